--- a/crates/decide/benches/decisions.rs
+++ b/crates/decide/benches/decisions.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use decide::admit::{Admission, Call, Predictive, Verdict};
-use decide::route::{self, Answer, Pool, Report, RoundRobin, Router, Sampled, Target};
+use decide::admit::{Admission, AdmissionDecision, Call, Predictive};
+use decide::route::{self, LoadReport, Pool, ResponseStats, RoundRobin, Router, Sampled, Target};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::hint::black_box;
 use std::time::Duration;
@@ -21,14 +21,14 @@
         let id = format!("gen-{number}");
         let domain = ["a", "b", "c", "d"][number % 4];
         pool.insert(Target::new(id.as_str(), domain, 8));
-        let report = Report {
+        let report = LoadReport {
             queued: rng.random_range(0..4),
             running: 8,
             limit: 8,
         };
         pool.sent(&id, Duration::ZERO);
         pool.reported(&id, Duration::ZERO, report);
-        let answer = Answer {
+        let answer = ResponseStats {
             busy: Duration::from_millis(rng.random_range(20..80)),
             elapsed: Duration::from_millis(90),
             prefix: &prefix(number as u64 % 64),
@@ -79,7 +79,7 @@
     let mut group = criterion.benchmark_group("pool");
     for fleet in FLEETS {
         let mut pool = pool(fleet);
-        let answer = Answer {
+        let answer = ResponseStats {
             busy: Duration::from_millis(40),
             elapsed: Duration::from_millis(90),
             prefix: &[],
@@ -113,7 +113,7 @@
             item: next,
         };
         match admission.offer(call, SLOTS, now, rng) {
-            Verdict::Refused { retry_after, .. } => Some(retry_after),
+            AdmissionDecision::Refused { retry_after, .. } => Some(retry_after),
             _ => None,
         }
     };
--- a/crates/decide/examples/demand.rs
+++ b/crates/decide/examples/demand.rs
@@ -7,7 +7,7 @@
 //! A trace is drawn from a fixed seed: windows of 100 ms with a Poisson number of calls of four
 //! classes, each call's busy time log-normal around the mean of its class.
 
-use decide::demand::{Class, Demand, Kalman, Sketch, Weighted};
+use decide::demand::{Class, EwmaEstimator, KalmanFilter, QuantileEstimator, ServiceTimeEstimator};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
 }
 
 /// Mean relative errors of the estimate and of the forecast.
-fn errors(mut demand: impl Demand, trace: &[Window]) -> (f64, f64) {
+fn errors(mut demand: impl ServiceTimeEstimator, trace: &[Window]) -> (f64, f64) {
     let (mut estimate, mut forecast, mut count) = (0.0, 0.0, 0.0);
     for (number, window) in trace.iter().enumerate() {
         if number >= WARM_UP {
@@ -107,7 +107,7 @@
     (estimate / count, forecast / count)
 }
 
-fn estimate_error(demand: &impl Demand, window: &Window) -> f64 {
+fn estimate_error(demand: &impl ServiceTimeEstimator, window: &Window) -> f64 {
     let classes = window.means.iter().enumerate();
     let sum: f64 = classes
         .map(|(class, mean)| (demand.estimate(class).as_secs_f64() - mean).abs() / mean)
@@ -115,7 +115,7 @@
     sum / window.means.len() as f64
 }
 
-fn forecast_error(demand: &impl Demand, window: &Window) -> f64 {
+fn forecast_error(demand: &impl ServiceTimeEstimator, window: &Window) -> f64 {
     let expected: f64 = window
         .calls
         .iter()
@@ -129,7 +129,7 @@
     (forecast - expected).abs() / expected
 }
 
-fn report<D: Demand>(name: &str, shape: Shape, make: impl Fn() -> D) {
+fn report<D: ServiceTimeEstimator>(name: &str, shape: Shape, make: impl Fn() -> D) {
     let (estimate, forecast) = (1..=SEEDS)
         .map(|seed| errors(make(), &trace(shape, seed)))
         .fold((0.0, 0.0), |sum, error| (sum.0 + error.0, sum.1 + error.1));
@@ -154,16 +154,18 @@
             let label = format!("kalman {drift} us, {noise} ms");
             let (drift, noise) = (Duration::from_micros(drift), Duration::from_millis(noise));
             report(&label, shape, || {
-                Kalman::new(MEANS.len(), first, drift, noise)
+                KalmanFilter::new(MEANS.len(), first, drift, noise)
             });
         }
         for weight in [0.02, 0.05, 0.1, 0.2] {
             let label = format!("weighted mean {weight}");
-            report(&label, shape, || Weighted::new(MEANS.len(), weight));
+            report(&label, shape, || EwmaEstimator::new(MEANS.len(), weight));
         }
         for (quantile, size) in [(0.5, 100), (0.6, 100), (0.6, 400), (0.9, 400)] {
             let label = format!("sketch p{:.0} of {size}", quantile * 100.0);
-            report(&label, shape, || Sketch::new(MEANS.len(), quantile, size));
+            report(&label, shape, || {
+                QuantileEstimator::new(MEANS.len(), quantile, size)
+            });
         }
     }
 }
--- a/crates/decide/examples/slow_target.rs
+++ b/crates/decide/examples/slow_target.rs
@@ -1,7 +1,7 @@
 //! Where calls go when one target of three is ten times slower: `cargo run -p decide --example
 //! slow_target`.
 
-use decide::route::{Answer, Call, Pool, RoundRobin, Router, Sampled, Target, TargetId};
+use decide::route::{Call, Pool, ResponseStats, RoundRobin, Router, Sampled, Target, TargetId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::time::Duration;
@@ -55,8 +55,8 @@
     }
 }
 
-fn answer(busy: Duration) -> Answer<'static> {
-    Answer {
+fn answer(busy: Duration) -> ResponseStats<'static> {
+    ResponseStats {
         busy,
         elapsed: busy,
         prefix: &[],
--- a/crates/decide/src/admit/fair.rs
+++ b/crates/decide/src/admit/fair.rs
@@ -62,7 +62,7 @@
 
 /// Calls that wait, by workspace.
 #[derive(Clone, Debug)]
-pub struct Fair<T> {
+pub struct FairQueue<T> {
     index: Map<WorkspaceId, usize>,
     flows: Vec<Flow<T>>,
     active: BinaryHeap<Reverse<(Virtual, usize)>>,
@@ -73,7 +73,7 @@
     queued: usize,
 }
 
-impl<T> Fair<T> {
+impl<T> FairQueue<T> {
     /// An empty queue in which a workspace may run ahead of its share by `lookahead` calls for the
     /// sake of an urgent one.
     #[must_use]
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -32,8 +32,8 @@
 
 impl<T> Call<T> {
     /// What admission needs to know of the call.
-    pub fn ask(&self) -> Ask<'_> {
-        Ask {
+    pub fn ask(&self) -> AdmissionRequest<'_> {
+        AdmissionRequest {
             workspace: &self.workspace,
             share: self.share,
             latest_start: self.latest_start,
@@ -43,7 +43,7 @@
 
 /// What admission needs to know of a request that is not accepted yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Workspace of the caller.
     pub workspace: &'a str,
     /// Share of the pool that the workspace has, relative to others.
@@ -54,7 +54,7 @@
 
 /// What becomes of a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict<T> {
+pub enum AdmissionDecision<T> {
     /// Start the call now; it counts as started.
     Start(T),
     /// Accepted; [`Admission::next`] will give it out.
@@ -79,15 +79,20 @@
     /// will not be refused there.
     fn overload(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<Duration>;
     /// Offers the first call of a new request, which may be refused; `limit` is the number of calls
     /// that may be in flight.
-    fn offer(&mut self, call: Call<T>, limit: u32, now: Duration, rng: &mut impl Rng)
-    -> Verdict<T>;
+    fn offer(
+        &mut self,
+        call: Call<T>,
+        limit: u32,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) -> AdmissionDecision<T>;
     /// Queues a call of a request that was accepted before: never refused. Gives it back if it may
     /// start now.
     fn push(&mut self, call: Call<T>, limit: u32, now: Duration) -> Option<T>;
@@ -105,7 +110,7 @@
 impl<T, N: Admission<T>, S: Admission<T>> Admission<T> for Either<N, S> {
     fn overload(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
@@ -119,7 +124,7 @@
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
-    ) -> Verdict<T> {
+    ) -> AdmissionDecision<T> {
         either!(self, inner => inner.offer(call, limit, now, rng))
     }
 
--- a/crates/decide/src/admit/predictive.rs
+++ b/crates/decide/src/admit/predictive.rs
@@ -1,8 +1,8 @@
 //! Bounded and fair admission by predicted waiting time.
 
-use super::fair::Fair;
-use super::{Admission, Ask, Call, Verdict};
-use crate::smooth::Mean;
+use super::fair::FairQueue;
+use super::{Admission, AdmissionDecision, AdmissionRequest, Call};
+use crate::smooth::Ewma;
 use rand::Rng;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 
 /// What a deployment sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct AdmissionConfig {
     /// Calls that may wait in all.
     pub queue: usize,
     /// Weight of attainment against cost, from 0 to 1; it sets how far a workspace may run ahead
@@ -36,7 +36,7 @@
     pub attainment: f64,
 }
 
-impl Default for Bounds {
+impl Default for AdmissionConfig {
     fn default() -> Self {
         Self {
             queue: 4_096,
@@ -53,38 +53,38 @@
 /// to those that can still make theirs, but keeps a share of the starts.
 #[derive(Clone, Debug)]
 pub struct Predictive<T> {
-    bounds: Bounds,
-    waiting: Fair<T>,
-    late: Fair<T>,
+    bounds: AdmissionConfig,
+    waiting: FairQueue<T>,
+    late: FairQueue<T>,
     in_flight: u32,
     turn: u32,
-    cost: Mean,
-    elapsed: Mean,
-    slack: Mean,
+    cost: Ewma,
+    elapsed: Ewma,
+    slack: Ewma,
     refused: f64,
     drained: Duration,
 }
 
 impl<T> Default for Predictive<T> {
     fn default() -> Self {
-        Self::new(Bounds::default())
+        Self::new(AdmissionConfig::default())
     }
 }
 
 impl<T> Predictive<T> {
     /// Admission to an idle pool.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: AdmissionConfig) -> Self {
         let lookahead = 4 + (8.0 * bounds.attainment.clamp(0.0, 1.0)) as u64;
         Self {
             bounds,
-            waiting: Fair::new(lookahead),
-            late: Fair::new(lookahead),
+            waiting: FairQueue::new(lookahead),
+            late: FairQueue::new(lookahead),
             in_flight: 0,
             turn: 0,
-            cost: Mean::new(COST_WEIGHT),
-            elapsed: Mean::new(COST_WEIGHT),
-            slack: Mean::new(SLACK_WEIGHT),
+            cost: Ewma::new(COST_WEIGHT),
+            elapsed: Ewma::new(COST_WEIGHT),
+            slack: Ewma::new(SLACK_WEIGHT),
             refused: 0.0,
             drained: Duration::ZERO,
         }
@@ -172,7 +172,7 @@
 impl<T> Admission<T> for Predictive<T> {
     fn overload(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
@@ -198,13 +198,13 @@
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
-    ) -> Verdict<T> {
+    ) -> AdmissionDecision<T> {
         if let Some(retry_after) = self.overload(&call.ask(), limit, now, rng) {
             let item = call.item;
-            return Verdict::Refused { item, retry_after };
+            return AdmissionDecision::Refused { item, retry_after };
         }
         self.push(call, limit, now)
-            .map_or(Verdict::Queued, Verdict::Start)
+            .map_or(AdmissionDecision::Queued, AdmissionDecision::Start)
     }
 
     fn push(&mut self, call: Call<T>, limit: u32, now: Duration) -> Option<T> {
--- a/crates/decide/src/admit/unbounded.rs
+++ b/crates/decide/src/admit/unbounded.rs
@@ -1,6 +1,6 @@
 //! The baseline: first in, first out, without bound.
 
-use super::{Admission, Ask, Call, Verdict};
+use super::{Admission, AdmissionDecision, AdmissionRequest, Call};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 impl<T> Admission<T> for Unbounded<T> {
     fn overload(
         &mut self,
-        _ask: &Ask<'_>,
+        _ask: &AdmissionRequest<'_>,
         _limit: u32,
         _now: Duration,
         _rng: &mut impl Rng,
@@ -38,9 +38,9 @@
         limit: u32,
         now: Duration,
         _rng: &mut impl Rng,
-    ) -> Verdict<T> {
+    ) -> AdmissionDecision<T> {
         self.push(call, limit, now)
-            .map_or(Verdict::Queued, Verdict::Start)
+            .map_or(AdmissionDecision::Queued, AdmissionDecision::Start)
     }
 
     fn push(&mut self, call: Call<T>, limit: u32, now: Duration) -> Option<T> {
--- a/crates/decide/src/batch.rs
+++ b/crates/decide/src/batch.rs
@@ -5,14 +5,14 @@
 //! while every runner has a call in progress and are bound to a runner only when it is free:
 //! whatever arrives in between shares the next call.
 
-mod choice;
+mod configured;
+mod forecast;
 mod isolation;
-mod outlook;
 mod rules;
 
-pub use choice::Choice;
-pub use isolation::{Content, Isolation, Space, Suspect};
-pub use outlook::{Free, Need, Offer, Outlook};
+pub use configured::ConfiguredQueue;
+pub use forecast::{CallForecast, FreeRunner, RequiredGroup, RunnerFreeTime};
+pub use isolation::{CallCapacity, ContentHash, Isolation, Suspect};
 pub use rules::Rules;
 
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
 const HOPE: f64 = 1.5;
 
 /// Names a group of pieces for as long as it waits.
-pub type Ticket = u64;
+pub type GroupId = u64;
 
 /// What one call of a runner holds and costs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -76,24 +76,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
     /// Name of the group.
-    pub ticket: Ticket,
+    pub group_id: GroupId,
     /// Pieces that still wait.
     pub pieces: u32,
     /// Size of one result in bytes.
-    pub result: u64,
+    pub result_bytes: u64,
     /// Moment by which the pieces must be made for the request to be on time.
     pub due: Duration,
     /// Moment after which the pieces are of no use at all.
-    pub last: Duration,
+    pub expires_at: Duration,
     /// How urgent the request is; 0 comes first.
     pub rank: u8,
     /// Failure domain where the pieces are best made: near their inputs, or near where their
     /// results will be fetched.
     pub domain: Option<Arc<str>>,
     /// When the group came.
-    pub since: Duration,
+    pub arrived_at: Duration,
     /// How long the group waits for a runner of that domain as long as it is not late for that.
-    pub patience: Duration,
+    pub max_domain_wait: Duration,
 }
 
 impl Group {
@@ -107,7 +107,7 @@
     /// A group that is late has nothing to lose by the wait; one that is not goes elsewhere before
     /// it would be late.
     fn anywhere_from(&self, shape: Shape, now: Duration) -> Duration {
-        let patient = self.since + self.patience;
+        let patient = self.arrived_at + self.max_domain_wait;
         let before_due = |time: Duration| self.due.saturating_sub(time);
         let late = before_due(shape.time(self.pieces)) < now;
         if late {
@@ -121,17 +121,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Portion {
     /// The group.
-    pub ticket: Ticket,
+    pub group_id: GroupId,
     /// How many of its waiting pieces.
     pub pieces: u32,
 }
 
 /// Chooses the pieces of the next call.
-pub trait Former {
+pub trait BatchQueue {
     /// Adds a group.
     fn push(&mut self, group: Group);
     /// Forgets a group whose request is gone.
-    fn withdraw(&mut self, ticket: Ticket);
+    fn withdraw(&mut self, group_id: GroupId);
     /// Removes and gives the groups that are better given up: those that cannot be made by their
     /// last moment, and those that are late while the runners are busy with more than a call's time
     /// of others. What waits takes the runners `piece` for each piece.
@@ -141,15 +141,15 @@
     /// no time left, what was plain seconds before. This holds also for requests whose first stages
     /// are made: kept for the sake of that work, their results lapse while they wait, and have to be
     /// made again.
-    fn expire(&mut self, now: Duration, piece: Duration) -> Vec<Ticket>;
+    fn expire(&mut self, now: Duration, piece: Duration) -> Vec<GroupId>;
     /// Takes the pieces of a call that starts now at a runner; none if there is no group as it needs.
-    fn take(&mut self, now: Duration, offer: &Offer<'_>) -> Vec<Portion>;
+    fn take(&mut self, now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion>;
     /// When the next group that waits for a runner of its domain may go anywhere.
-    fn next(&self, now: Duration) -> Option<Duration>;
+    fn next_wakeup(&self, now: Duration) -> Option<Duration>;
     /// Pieces that wait.
-    fn waiting(&self) -> u32;
+    fn waiting_pieces(&self) -> u32;
     /// Pieces that wait and would be taken before those of a new group of this rank.
-    fn ahead(&self, now: Duration, rank: u8) -> u32;
+    fn pieces_ahead(&self, now: Duration, rank: u8) -> u32;
 }
 
 /// Fills calls with those that can still be on time first, by urgency and then by due time.
@@ -160,38 +160,38 @@
 /// # Examples
 ///
 /// ```
-/// use decide::batch::{Former, Group, Need, Offer, Portion, Shape, Slack};
+/// use decide::batch::{BatchQueue, Group, RequiredGroup, FreeRunner, Portion, Shape, SlackQueue};
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
 /// let shape = Shape { size: 4, call: second / 5, piece: second / 50 };
-/// let mut former = Slack::new(shape);
+/// let mut batch_queue = SlackQueue::new(shape);
 /// let group = Group {
-///     ticket: 1,
+///     group_id: 1,
 ///     pieces: 3,
-///     result: 10,
+///     result_bytes: 10,
 ///     due: second,
-///     last: second * 8,
+///     expires_at: second * 8,
 ///     rank: 0,
 ///     domain: None,
-///     since: Duration::ZERO,
-///     patience: Duration::ZERO,
+///     arrived_at: Duration::ZERO,
+///     max_domain_wait: Duration::ZERO,
 /// };
-/// former.push(group.clone());
-/// former.push(Group { ticket: 2, pieces: 1, due: second / 2, ..group });
-/// let offer = Offer { room: 1_000, domain: "a", need: Need::Any, frees: &[] };
-/// let taken = former.take(Duration::ZERO, &offer);
-/// assert_eq!(taken[0], Portion { ticket: 2, pieces: 1 });
-/// assert_eq!(taken[1], Portion { ticket: 1, pieces: 3 });
+/// batch_queue.push(group.clone());
+/// batch_queue.push(Group { group_id: 2, pieces: 1, due: second / 2, ..group });
+/// let offer = FreeRunner { room: 1_000, domain: "a", need: RequiredGroup::Any, free_times: &[] };
+/// let taken = batch_queue.take(Duration::ZERO, &offer);
+/// assert_eq!(taken[0], Portion { group_id: 2, pieces: 1 });
+/// assert_eq!(taken[1], Portion { group_id: 1, pieces: 3 });
 /// ```
 #[derive(Clone, Debug)]
-pub struct Slack {
+pub struct SlackQueue {
     shape: Shape,
     rules: Rules,
     groups: Vec<Group>,
 }
 
-impl Slack {
+impl SlackQueue {
     /// An empty former for calls of this shape.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
@@ -224,16 +224,16 @@
     }
 }
 
-impl Former for Slack {
+impl BatchQueue for SlackQueue {
     fn push(&mut self, group: Group) {
         self.groups.push(group);
     }
 
-    fn withdraw(&mut self, ticket: Ticket) {
-        self.groups.retain(|group| group.ticket != ticket);
+    fn withdraw(&mut self, group_id: GroupId) {
+        self.groups.retain(|group| group.group_id != group_id);
     }
 
-    fn expire(&mut self, now: Duration, piece: Duration) -> Vec<Ticket> {
+    fn expire(&mut self, now: Duration, piece: Duration) -> Vec<GroupId> {
         if !self.rules.give_up {
             return past(&mut self.groups, self.shape, now);
         }
@@ -244,26 +244,26 @@
         self.groups.retain(|group| {
             let wait = piece * ahead;
             let late = group.due < now + shortest;
-            let hopeless = now + wait.div_f64(HOPE) + shortest > group.last;
+            let hopeless = now + wait.div_f64(HOPE) + shortest > group.expires_at;
             let crowded_out = late && wait > call;
             let keep = !hopeless && !crowded_out;
             if keep {
                 ahead += group.pieces;
             } else {
-                useless.push(group.ticket);
+                useless.push(group.group_id);
             }
             keep
         });
         useless
     }
 
-    fn take(&mut self, now: Duration, offer: &Offer<'_>) -> Vec<Portion> {
+    fn take(&mut self, now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion> {
         let near = |group: &Group| group.is_near(offer.domain);
-        if offer.need == Need::Near && !self.groups.iter().any(near) {
+        if offer.need == RequiredGroup::Near && !self.groups.iter().any(near) {
             return Vec::new();
         }
         self.sort(now);
-        let mut outlook = Outlook::new(self.shape, offer.frees);
+        let mut outlook = CallForecast::new(self.shape, offer.free_times);
         let any = !self.rules.near;
         let may = |group: &&Group| any || near(group) || !outlook.waits(group, now);
         let groups = self.groups.iter().filter(may);
@@ -272,7 +272,7 @@
             if let Some(group) = self
                 .groups
                 .iter_mut()
-                .find(|group| group.ticket == portion.ticket)
+                .find(|group| group.group_id == portion.group_id)
             {
                 group.pieces -= portion.pieces;
             }
@@ -281,7 +281,7 @@
         portions
     }
 
-    fn next(&self, now: Duration) -> Option<Duration> {
+    fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         let moments = self
             .groups
             .iter()
@@ -289,11 +289,11 @@
         moments.filter(|moment| *moment > now).min()
     }
 
-    fn waiting(&self) -> u32 {
+    fn waiting_pieces(&self) -> u32 {
         self.groups.iter().map(|group| group.pieces).sum()
     }
 
-    fn ahead(&self, now: Duration, rank: u8) -> u32 {
+    fn pieces_ahead(&self, now: Duration, rank: u8) -> u32 {
         let end = now + self.shape.shortest();
         let before = |group: &&Group| group.due >= end && group.rank <= rank;
         let groups = self.groups.iter().filter(before);
@@ -316,7 +316,9 @@
     let mut free = size;
     let mut portions = Vec::new();
     for group in groups {
-        let fitting = room.checked_div(group.result).unwrap_or(u64::from(size));
+        let fitting = room
+            .checked_div(group.result_bytes)
+            .unwrap_or(u64::from(size));
         let pieces = group
             .pieces
             .min(free)
@@ -326,9 +328,9 @@
         let later = whole && divided && !portions.is_empty();
         if pieces > 0 && !later {
             free -= pieces;
-            room -= group.result * u64::from(pieces);
+            room -= group.result_bytes * u64::from(pieces);
             portions.push(Portion {
-                ticket: group.ticket,
+                group_id: group.group_id,
                 pieces,
             });
         }
@@ -340,22 +342,22 @@
 }
 
 /// Removes and gives the groups that a call which starts now makes too late.
-fn past(groups: &mut Vec<Group>, shape: Shape, now: Duration) -> Vec<Ticket> {
+fn past(groups: &mut Vec<Group>, shape: Shape, now: Duration) -> Vec<GroupId> {
     let end = now + shape.shortest();
-    let useless = groups.iter().filter(|group| group.last < end);
-    let useless = useless.map(|group| group.ticket).collect();
-    groups.retain(|group| group.last >= end);
+    let useless = groups.iter().filter(|group| group.expires_at < end);
+    let useless = useless.map(|group| group.group_id).collect();
+    groups.retain(|group| group.expires_at >= end);
     useless
 }
 
 /// One group a call, in order of arrival: the baseline.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct FifoQueue {
     shape: Shape,
     groups: Vec<Group>,
 }
 
-impl Arrival {
+impl FifoQueue {
     /// An empty former for calls of this shape.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
@@ -371,20 +373,20 @@
     }
 }
 
-impl Former for Arrival {
+impl BatchQueue for FifoQueue {
     fn push(&mut self, group: Group) {
         self.groups.push(group);
     }
 
-    fn withdraw(&mut self, ticket: Ticket) {
-        self.groups.retain(|group| group.ticket != ticket);
+    fn withdraw(&mut self, group_id: GroupId) {
+        self.groups.retain(|group| group.group_id != group_id);
     }
 
-    fn expire(&mut self, now: Duration, _piece: Duration) -> Vec<Ticket> {
+    fn expire(&mut self, now: Duration, _piece: Duration) -> Vec<GroupId> {
         past(&mut self.groups, self.shape, now)
     }
 
-    fn take(&mut self, _now: Duration, offer: &Offer<'_>) -> Vec<Portion> {
+    fn take(&mut self, _now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion> {
         let Some(first) = self.groups.first_mut() else {
             return Vec::new();
         };
@@ -394,15 +396,15 @@
         portions
     }
 
-    fn next(&self, _now: Duration) -> Option<Duration> {
+    fn next_wakeup(&self, _now: Duration) -> Option<Duration> {
         None
     }
 
-    fn waiting(&self) -> u32 {
+    fn waiting_pieces(&self) -> u32 {
         self.groups.iter().map(|group| group.pieces).sum()
     }
 
-    fn ahead(&self, _now: Duration, _rank: u8) -> u32 {
-        self.waiting()
+    fn pieces_ahead(&self, _now: Duration, _rank: u8) -> u32 {
+        self.waiting_pieces()
     }
 }
--- a/crates/decide/src/batch/outlook.rs
+++ b/crates/decide/src/batch/forecast.rs
@@ -6,7 +6,7 @@
 
 /// Which groups a call must hold at least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RequiredGroup {
     /// One that is best made in the runner's domain.
     Near,
     /// Any that may be made there.
@@ -15,7 +15,7 @@
 
 /// When a runner is expected to take its next call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Free {
+pub struct RunnerFreeTime {
     /// Failure domain of the runner.
     pub domain: Arc<str>,
     /// The moment; for a slow runner, later by the time that its call takes longer.
@@ -24,15 +24,15 @@
 
 /// A runner that takes a call now.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer<'a> {
+pub struct FreeRunner<'a> {
     /// Bytes of results that it has room for.
     pub room: u64,
     /// Its failure domain.
     pub domain: &'a str,
     /// What the call must hold at least.
-    pub need: Need,
+    pub need: RequiredGroup,
     /// When each runner of the service is expected to be free.
-    pub frees: &'a [Free],
+    pub free_times: &'a [RunnerFreeTime],
 }
 
 /// The next calls of all runners, as they fill up with groups that wait for them.
@@ -46,30 +46,30 @@
 /// # Examples
 ///
 /// ```
-/// use decide::batch::{Free, Group, Outlook, Shape};
+/// use decide::batch::{RunnerFreeTime, Group, CallForecast, Shape};
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
 /// let shape = Shape { size: 4, call: ms(200), piece: ms(10) };
-/// let frees = [Free { domain: "a".into(), at: ms(100) }];
-/// let mut outlook = Outlook::new(shape, &frees);
+/// let free_times = [RunnerFreeTime { domain: "a".into(), at: ms(100) }];
+/// let mut outlook = CallForecast::new(shape, &free_times);
 /// let group = Group {
-///     ticket: 1,
+///     group_id: 1,
 ///     pieces: 3,
-///     result: 10,
+///     result_bytes: 10,
 ///     due: ms(2_000),
-///     last: ms(8_000),
+///     expires_at: ms(8_000),
 ///     rank: 0,
 ///     domain: Some("a".into()),
-///     since: ms(0),
-///     patience: ms(150),
+///     arrived_at: ms(0),
+///     max_domain_wait: ms(150),
 /// };
 /// assert!(outlook.waits(&group, ms(0)));
 /// // The next one fits into the call after that only, which is too late for it.
 /// assert!(!outlook.waits(&group, ms(0)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Outlook {
+pub struct CallForecast {
     shape: Shape,
     calls: Vec<Next>,
 }
@@ -88,18 +88,18 @@
     places: u32,
 }
 
-impl Outlook {
+impl CallForecast {
     /// Calls of this shape at runners that are free at these moments.
     #[must_use]
-    pub fn new(shape: Shape, frees: &[Free]) -> Self {
-        let next = |free: &Free| Next {
+    pub fn new(shape: Shape, free_times: &[RunnerFreeTime]) -> Self {
+        let next = |free: &RunnerFreeTime| Next {
             domain: free.domain.clone(),
             turn: Turn {
                 at: free.at,
                 places: shape.size,
             },
         };
-        let calls = frees.iter().map(next).collect();
+        let calls = free_times.iter().map(next).collect();
         Self { shape, calls }
     }
 
--- a/crates/decide/src/batch/isolation.rs
+++ b/crates/decide/src/batch/isolation.rs
@@ -6,11 +6,11 @@
 //! half of those that were together when a runner ended, then each by itself. The innocent ones are made
 //! within two calls, which clears them, and the one to blame is alone when it ends its third runner.
 
-use super::{Group, Portion, Ticket};
+use super::{Group, GroupId, Portion};
 use std::time::Duration;
 
 /// What a request asks for, as a hash: the same for each attempt of its caller.
-pub type Content = u64;
+pub type ContentHash = u64;
 
 /// Part of the time that a group has left for which it waits until enough runners are up.
 const PATIENCE_PART: u32 = 2;
@@ -21,33 +21,33 @@
     /// The group.
     pub group: Group,
     /// What its request asks for.
-    pub content: Content,
+    pub content: ContentHash,
     /// Runners that have ended under it.
     pub crashes: u32,
     /// Most suspects in a call of which it is one.
-    pub company: usize,
+    pub max_suspects: usize,
     /// When it was set apart.
     pub since: Duration,
 }
 
 impl Suspect {
-    fn company(&self) -> usize {
+    fn max_suspects(&self) -> usize {
         if self.crashes > 1 {
             return 1;
         }
-        self.company.max(1)
+        self.max_suspects.max(1)
     }
 
     /// Until when it waits for runners.
     fn patient_until(&self) -> Duration {
-        let left = self.group.last.saturating_sub(self.since);
+        let left = self.group.expires_at.saturating_sub(self.since);
         self.since + left / PATIENCE_PART
     }
 }
 
 /// What a runner takes in one call.
 #[derive(Clone, Copy, Debug)]
-pub struct Space {
+pub struct CallCapacity {
     /// Pieces.
     pub pieces: u32,
     /// Bytes of results that it has room for.
@@ -59,30 +59,30 @@
 /// # Examples
 ///
 /// ```
-/// use decide::batch::{Group, Isolation, Space, Suspect};
+/// use decide::batch::{Group, Isolation, CallCapacity, Suspect};
 /// use std::time::Duration;
 ///
-/// let suspect = |ticket| Suspect {
+/// let suspect = |group_id| Suspect {
 ///     group: Group {
-///         ticket,
+///         group_id,
 ///         pieces: 1,
-///         result: 10,
+///         result_bytes: 10,
 ///         due: Duration::from_secs(1),
-///         last: Duration::from_secs(4),
+///         expires_at: Duration::from_secs(4),
 ///         rank: 0,
 ///         domain: None,
-///         since: Duration::ZERO,
-///         patience: Duration::ZERO,
+///         arrived_at: Duration::ZERO,
+///         max_domain_wait: Duration::ZERO,
 ///     },
-///     content: ticket,
+///     content: group_id,
 ///     crashes: 1,
-///     company: 1,
+///     max_suspects: 1,
 ///     since: Duration::ZERO,
 /// };
 /// let mut isolation = Isolation::default();
 /// isolation.push(suspect(1));
 /// isolation.push(suspect(2));
-/// let space = Space { pieces: 8, room: 1_000 };
+/// let space = CallCapacity { pieces: 8, room: 1_000 };
 /// assert_eq!(isolation.take(4, space, |_| true).len(), 1);
 /// assert_eq!(isolation.take(4, space, |_| true).len(), 1);
 /// assert!(isolation.is_empty());
@@ -91,7 +91,7 @@
 pub struct Isolation {
     waiting: Vec<Suspect>,
     /// Contents of each call in progress that carries suspects.
-    calls: Vec<Vec<Content>>,
+    calls: Vec<Vec<ContentHash>>,
 }
 
 impl Isolation {
@@ -108,23 +108,23 @@
 
     /// Whether a group is set apart.
     #[must_use]
-    pub fn contains(&self, ticket: Ticket) -> bool {
+    pub fn contains(&self, group_id: GroupId) -> bool {
         self.waiting
             .iter()
-            .any(|suspect| suspect.group.ticket == ticket)
+            .any(|suspect| suspect.group.group_id == group_id)
     }
 
     /// Forgets a group; gives it if it was set apart.
-    pub fn withdraw(&mut self, ticket: Ticket) -> Option<Suspect> {
+    pub fn withdraw(&mut self, group_id: GroupId) -> Option<Suspect> {
         let mut waiting = self.waiting.iter();
-        let position = waiting.position(|suspect| suspect.group.ticket == ticket)?;
+        let position = waiting.position(|suspect| suspect.group.group_id == group_id)?;
         Some(self.waiting.swap_remove(position))
     }
 
     /// More runners have ended under a group that is set apart.
-    pub fn set_crashes(&mut self, ticket: Ticket, crashes: u32) {
+    pub fn set_crashes(&mut self, group_id: GroupId, crashes: u32) {
         let mut waiting = self.waiting.iter_mut();
-        if let Some(suspect) = waiting.find(|suspect| suspect.group.ticket == ticket) {
+        if let Some(suspect) = waiting.find(|suspect| suspect.group.group_id == group_id) {
             suspect.crashes = crashes;
         }
     }
@@ -137,7 +137,7 @@
     pub fn take(
         &mut self,
         runners: usize,
-        space: Space,
+        space: CallCapacity,
         may_run: impl Fn(u32) -> bool,
     ) -> Vec<Portion> {
         if self.calls.len() >= runners.div_ceil(2) {
@@ -170,7 +170,7 @@
 
     fn remove(&mut self, portion: &Portion) {
         self.waiting.retain_mut(|suspect| {
-            if suspect.group.ticket == portion.ticket {
+            if suspect.group.group_id == portion.group_id {
                 suspect.group.pieces -= portion.pieces;
             }
             suspect.group.pieces > 0
@@ -178,7 +178,7 @@
     }
 
     /// A call with these contents has ended.
-    pub fn ended(&mut self, contents: &[Content]) {
+    pub fn ended(&mut self, contents: &[ContentHash]) {
         let mut calls = self.calls.iter();
         if let Some(position) = calls.position(|call| call == contents) {
             self.calls.swap_remove(position);
@@ -186,36 +186,36 @@
     }
 
     /// Removes and gives the groups that a call of this time would make too late.
-    pub fn expire(&mut self, now: Duration, shortest: Duration) -> Vec<Ticket> {
-        self.remove_where(|suspect| now + shortest > suspect.group.last)
+    pub fn expire(&mut self, now: Duration, shortest: Duration) -> Vec<GroupId> {
+        self.remove_where(|suspect| now + shortest > suspect.group.expires_at)
     }
 
     /// Removes and gives the groups that have waited long enough for runners to come back.
-    pub fn give_up(&mut self, now: Duration, may_run: impl Fn(u32) -> bool) -> Vec<Ticket> {
+    pub fn give_up(&mut self, now: Duration, may_run: impl Fn(u32) -> bool) -> Vec<GroupId> {
         self.remove_where(|suspect| suspect.patient_until() <= now && !may_run(suspect.crashes))
     }
 
-    fn remove_where(&mut self, is_over: impl Fn(&Suspect) -> bool) -> Vec<Ticket> {
+    fn remove_where(&mut self, is_over: impl Fn(&Suspect) -> bool) -> Vec<GroupId> {
         let (over, left) = self.waiting.drain(..).partition(is_over);
         self.waiting = left;
         let over: Vec<Suspect> = over;
-        over.iter().map(|suspect| suspect.group.ticket).collect()
+        over.iter().map(|suspect| suspect.group.group_id).collect()
     }
 }
 
 /// The suspects of a call that is about to start.
 struct Call {
-    free: Space,
-    company: usize,
+    free: CallCapacity,
+    max_suspects: usize,
     portions: Vec<Portion>,
-    contents: Vec<Content>,
+    contents: Vec<ContentHash>,
 }
 
 impl Call {
-    fn new(space: Space) -> Self {
+    fn new(space: CallCapacity) -> Self {
         Self {
             free: space,
-            company: usize::MAX,
+            max_suspects: usize::MAX,
             portions: Vec::new(),
             contents: Vec::new(),
         }
@@ -223,11 +223,11 @@
 
     fn add(&mut self, suspect: &Suspect) {
         let group = &suspect.group;
-        let company = self.company.min(suspect.company());
-        if self.portions.len() >= company || self.contents.contains(&suspect.content) {
+        let max_suspects = self.max_suspects.min(suspect.max_suspects());
+        if self.portions.len() >= max_suspects || self.contents.contains(&suspect.content) {
             return;
         }
-        let fitting = self.free.room.checked_div(group.result);
+        let fitting = self.free.room.checked_div(group.result_bytes);
         let fitting = fitting.map_or(u32::MAX, |fitting| {
             u32::try_from(fitting).unwrap_or(u32::MAX)
         });
@@ -236,12 +236,12 @@
         if pieces == 0 || is_divided && !self.portions.is_empty() {
             return;
         }
-        self.company = company;
+        self.max_suspects = max_suspects;
         self.free.pieces -= pieces;
-        self.free.room -= group.result * u64::from(pieces);
+        self.free.room -= group.result_bytes * u64::from(pieces);
         self.contents.push(suspect.content);
         self.portions.push(Portion {
-            ticket: group.ticket,
+            group_id: group.group_id,
             pieces,
         });
     }
--- a/crates/decide/src/batch/rules.rs
+++ b/crates/decide/src/batch/rules.rs
@@ -1,6 +1,6 @@
 //! Rules of a former that can be left out, to measure what each is worth.
 
-/// Which rules [`Slack`](super::Slack) keeps.
+/// Which rules [`SlackQueue`](super::Slack) keeps.
 ///
 /// # Examples
 ///
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -6,7 +6,7 @@
 
 /// When a stage should start, and how urgent that is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Slot {
+pub struct StageSchedule {
     /// Latest moment, since the process started, at which the stage may start and the request
     /// still meet its deadline.
     pub latest_start: Duration,
@@ -14,7 +14,7 @@
     pub priority: u8,
 }
 
-impl Slot {
+impl StageSchedule {
     /// Time from `now` that the stage may still wait.
     #[must_use]
     pub fn slack(&self, now: Duration) -> Duration {
@@ -26,7 +26,13 @@
 pub trait Budget {
     /// The slot of stage number `stage` for a request that came at `arrived` and is due at
     /// `deadline`, both since the process started.
-    fn slot(&self, stage: usize, now: Duration, arrived: Duration, deadline: Duration) -> Slot;
+    fn schedule(
+        &self,
+        stage: usize,
+        now: Duration,
+        arrived: Duration,
+        deadline: Duration,
+    ) -> StageSchedule;
     /// Takes in a whole request: for each stage the time from its sending to its whole answer,
     /// without waits in this process's queues.
     fn finished(&mut self, stages: &[Duration]);
@@ -34,14 +40,20 @@
 
 /// The baseline: each stage has the whole time, and all are equally urgent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Whole;
+pub struct FullBudget;
 
 /// Priority of a call that is neither urgent nor late.
 pub const PLAIN: u8 = 128;
 
-impl Budget for Whole {
-    fn slot(&self, _stage: usize, _now: Duration, _arrived: Duration, deadline: Duration) -> Slot {
-        Slot {
+impl Budget for FullBudget {
+    fn schedule(
+        &self,
+        _stage: usize,
+        _now: Duration,
+        _arrived: Duration,
+        deadline: Duration,
+    ) -> StageSchedule {
+        StageSchedule {
             latest_start: deadline,
             priority: PLAIN,
         }
@@ -79,8 +91,8 @@
 ///     split.finished(&[Duration::from_millis(10), Duration::from_millis(90)]);
 /// }
 /// let second = Duration::from_secs(1);
-/// let first = split.slot(0, Duration::ZERO, Duration::ZERO, second);
-/// let last = split.slot(1, Duration::ZERO, Duration::ZERO, second);
+/// let first = split.schedule(0, Duration::ZERO, Duration::ZERO, second);
+/// let last = split.schedule(1, Duration::ZERO, Duration::ZERO, second);
 /// assert!(first.latest_start < last.latest_start);
 /// ```
 #[derive(Clone, Debug)]
@@ -108,11 +120,17 @@
 }
 
 impl Budget for Split {
-    fn slot(&self, stage: usize, now: Duration, arrived: Duration, deadline: Duration) -> Slot {
+    fn schedule(
+        &self,
+        stage: usize,
+        now: Duration,
+        arrived: Duration,
+        deadline: Duration,
+    ) -> StageSchedule {
         let latest_start = deadline.saturating_sub(self.remaining(stage));
         let slack = latest_start.saturating_sub(now);
         let whole = deadline.saturating_sub(arrived);
-        Slot {
+        StageSchedule {
             latest_start,
             priority: priority(slack, whole),
         }
@@ -177,8 +195,14 @@
 }
 
 impl<N: Budget, S: Budget> Budget for Either<N, S> {
-    fn slot(&self, stage: usize, now: Duration, arrived: Duration, deadline: Duration) -> Slot {
-        either!(self, inner => inner.slot(stage, now, arrived, deadline))
+    fn schedule(
+        &self,
+        stage: usize,
+        now: Duration,
+        arrived: Duration,
+        deadline: Duration,
+    ) -> StageSchedule {
+        either!(self, inner => inner.schedule(stage, now, arrived, deadline))
     }
 
     fn finished(&mut self, stages: &[Duration]) {
--- a/crates/decide/src/demand/kalman.rs
+++ b/crates/decide/src/demand/kalman.rs
@@ -5,7 +5,7 @@
 //! observation the utilisation of one monitoring window, which the number of calls of each class
 //! in that window ties to the state. No single call has to be timed.
 
-use super::{Class, Demand};
+use super::{Class, ServiceTimeEstimator};
 use std::time::Duration;
 
 /// Share of the ceiling, against the old estimate, in the bound on a new one.
@@ -13,7 +13,7 @@
 
 /// Estimates each class's service time from windows of counts and total busy time.
 #[derive(Clone, Debug)]
-pub struct Kalman {
+pub struct KalmanFilter {
     /// Service time of each class in seconds.
     state: Vec<f64>,
     /// Covariance of the estimate's error, row by row, in square seconds.
@@ -26,7 +26,7 @@
     busy: f64,
 }
 
-impl Kalman {
+impl KalmanFilter {
     /// A filter for so many classes that starts at the service time `first` and takes standard
     /// deviations: `drift` for what a service time gains in one window, `noise` for the busy time
     /// of one call.
@@ -98,7 +98,7 @@
     }
 }
 
-impl Demand for Kalman {
+impl ServiceTimeEstimator for KalmanFilter {
     fn answered(&mut self, class: Class, busy: Duration) {
         self.counts[class] += 1.0;
         self.busy += busy.as_secs_f64();
--- a/crates/decide/src/demand/mean.rs
+++ b/crates/decide/src/demand/mean.rs
@@ -1,7 +1,7 @@
 //! An exponentially weighted mean of each class.
 
-use super::{Class, Demand};
-use crate::smooth::Mean;
+use super::{Class, ServiceTimeEstimator};
+use crate::smooth::Ewma;
 use std::time::Duration;
 
 /// Weight of one answer that had the least error on recorded demand.
@@ -9,20 +9,20 @@
 
 /// Mean busy time of each class, the newest answers weighing most.
 #[derive(Clone, Debug)]
-pub struct Weighted {
-    classes: Vec<Mean>,
+pub struct EwmaEstimator {
+    classes: Vec<Ewma>,
 }
 
-impl Weighted {
+impl EwmaEstimator {
     /// The estimator that is used unless another is wanted, for so many classes.
     ///
     /// # Examples
     ///
     /// ```
-    /// use decide::demand::{Demand, Weighted};
+    /// use decide::demand::{ServiceTimeEstimator, EwmaEstimator};
     /// use std::time::Duration;
     ///
-    /// let mut demand = Weighted::default_for(1);
+    /// let mut demand = EwmaEstimator::default_for(1);
     /// demand.answered(0, Duration::from_millis(20));
     /// assert_eq!(demand.estimate(0), Duration::from_millis(20));
     /// ```
@@ -35,12 +35,12 @@
     #[must_use]
     pub fn new(classes: usize, weight: f64) -> Self {
         Self {
-            classes: vec![Mean::new(weight); classes],
+            classes: vec![Ewma::new(weight); classes],
         }
     }
 }
 
-impl Demand for Weighted {
+impl ServiceTimeEstimator for EwmaEstimator {
     fn answered(&mut self, class: Class, busy: Duration) {
         self.classes[class].add(busy.as_secs_f64());
     }
--- a/crates/decide/src/demand/mod.rs
+++ b/crates/decide/src/demand/mod.rs
@@ -8,9 +8,9 @@
 pub mod mean;
 pub mod quantile;
 
-pub use kalman::Kalman;
-pub use mean::Weighted;
-pub use quantile::Sketch;
+pub use kalman::KalmanFilter;
+pub use mean::EwmaEstimator;
+pub use quantile::QuantileEstimator;
 
 use crate::either::{Either, either};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub type Class = usize;
 
 /// Estimates how long a runner is busy with one call of a class.
-pub trait Demand {
+pub trait ServiceTimeEstimator {
     /// A call of the class was answered after the runner was busy for this time.
     fn answered(&mut self, class: Class, busy: Duration);
     /// A monitoring window of fixed length has ended.
@@ -28,7 +28,7 @@
     fn estimate(&self, class: Class) -> Duration;
 }
 
-impl<N: Demand, S: Demand> Demand for Either<N, S> {
+impl<N: ServiceTimeEstimator, S: ServiceTimeEstimator> ServiceTimeEstimator for Either<N, S> {
     fn answered(&mut self, class: Class, busy: Duration) {
         either!(self, inner => inner.answered(class, busy));
     }
--- a/crates/decide/src/demand/quantile.rs
+++ b/crates/decide/src/demand/quantile.rs
@@ -1,6 +1,6 @@
 //! A quantile sketch of each class.
 
-use super::{Class, Demand};
+use super::{Class, ServiceTimeEstimator};
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 /// A quantile of each class's busy times over the current and the last window.
 #[derive(Clone, Debug)]
-pub struct Sketch {
+pub struct QuantileEstimator {
     quantile: f64,
     size: u64,
     classes: Vec<Windows>,
@@ -23,7 +23,7 @@
     last: Duration,
 }
 
-impl Sketch {
+impl QuantileEstimator {
     /// An estimator for so many classes that gives this quantile, from 0 to 1, of windows of
     /// `size` answers.
     #[must_use]
@@ -46,7 +46,7 @@
     }
 }
 
-impl Demand for Sketch {
+impl ServiceTimeEstimator for QuantileEstimator {
     fn answered(&mut self, class: Class, busy: Duration) {
         let windows = &mut self.classes[class];
         let micros = u64::try_from(busy.as_micros()).unwrap_or(LONGEST_US);
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -1,7 +1,7 @@
 //! How many calls may be in flight at once.
 
 use crate::either::{Either, either};
-use crate::smooth::Mean;
+use crate::smooth::Ewma;
 use std::time::Duration;
 
 /// One answered call, as its sender saw it.
@@ -89,7 +89,7 @@
     limit: f64,
     least: f64,
     most: f64,
-    stretch: Mean,
+    stretch: Ewma,
     floor: Option<f64>,
     starting: bool,
 }
@@ -102,7 +102,7 @@
             limit: f64::from(start),
             least: f64::from(least),
             most: f64::from(most),
-            stretch: Mean::new(SHORT_WEIGHT),
+            stretch: Ewma::new(SHORT_WEIGHT),
             floor: None,
             starting: true,
         }
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -1,6 +1,6 @@
 //! Which process does work that only one should do at a time.
 
-use crate::subset::rank;
+use crate::subset::rendezvous_hash;
 
 /// A process that may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 #[must_use]
 pub fn choose<'a>(work: &str, candidates: &[Candidate<'a>]) -> Option<&'a str> {
     let score = |candidate: &Candidate<'_>| {
-        let hash = (rank(work, candidate.id) as f64 + 1.0) / (HASHES + 2.0);
+        let hash = (rendezvous_hash(work, candidate.id) as f64 + 1.0) / (HASHES + 2.0);
         -candidate.weight / hash.ln()
     };
     candidates
--- a/crates/decide/src/retry/budgeted.rs
+++ b/crates/decide/src/retry/budgeted.rs
@@ -26,24 +26,24 @@
 
 /// Shares of recent successes that may be spent on second attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct BudgetRatios {
     /// Retries for each success.
     pub retries: f64,
     /// Hedges for each success.
     pub hedges: f64,
 }
 
-impl Share {
+impl BudgetRatios {
     /// Shares for a deployment that weighs attainment this much against cost, from 0 to 1: hedges
     /// are pure cost while nothing straggles, so that a cost-weighted deployment sends fewer.
     ///
     /// # Examples
     ///
     /// ```
-    /// use decide::retry::Share;
+    /// use decide::retry::BudgetRatios;
     ///
-    /// assert!(Share::weighted(1.0).hedges > Share::weighted(0.2).hedges);
-    /// assert_eq!(Share::weighted(0.0).hedges, 0.0);
+    /// assert!(BudgetRatios::weighted(1.0).hedges > BudgetRatios::weighted(0.2).hedges);
+    /// assert_eq!(BudgetRatios::weighted(0.0).hedges, 0.0);
     /// ```
     #[must_use]
     pub fn weighted(attainment: f64) -> Self {
@@ -57,7 +57,7 @@
 /// Pays for each second attempt from what successes have brought in.
 #[derive(Clone, Debug)]
 pub struct Budgeted {
-    share: Share,
+    share: BudgetRatios,
     retries: f64,
     hedges: f64,
     refilled: Duration,
@@ -68,7 +68,7 @@
 impl Budgeted {
     /// A budget with these shares.
     #[must_use]
-    pub fn new(share: Share) -> Self {
+    pub fn new(share: BudgetRatios) -> Self {
         Self {
             share,
             retries: BURST,
--- a/crates/decide/src/retry/eject.rs
+++ b/crates/decide/src/retry/eject.rs
@@ -4,7 +4,7 @@
 
 /// When targets are ejected, for how long, and how many at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ejection {
+pub struct EjectionPolicy {
     /// Failures in a row that eject a target.
     pub failures: u32,
     /// First time out; doubles with each ejection that follows soon.
@@ -16,7 +16,7 @@
     pub cap: f64,
 }
 
-impl Default for Ejection {
+impl Default for EjectionPolicy {
     fn default() -> Self {
         Self {
             failures: 3,
@@ -27,7 +27,7 @@
     }
 }
 
-impl Ejection {
+impl EjectionPolicy {
     /// Never ejects: the baseline.
     #[must_use]
     pub fn never() -> Self {
@@ -85,7 +85,7 @@
     /// `all` targets of the pool take new work.
     pub fn failed(
         &mut self,
-        rule: &Ejection,
+        rule: &EjectionPolicy,
         now: Duration,
         live: usize,
         all: usize,
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -11,7 +11,7 @@
 pub mod window;
 
 pub use always::Always;
-pub use budgeted::{Budgeted, Share};
+pub use budgeted::{BudgetRatios, Budgeted};
 
 use crate::either::{Either, either};
 use std::time::Duration;
--- a/crates/decide/src/retry/window.rs
+++ b/crates/decide/src/retry/window.rs
@@ -15,7 +15,7 @@
 
 /// The bound that an operator has set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RepeatLimit {
     /// Repeats for each first attempt.
     pub ratio: f64,
     /// Repeats besides, over the whole fleet.
@@ -36,26 +36,26 @@
 /// # Examples
 ///
 /// ```
-/// use decide::retry::window::{Bound, Quota};
+/// use decide::retry::window::{RepeatLimit, Quota};
 /// use std::time::Duration;
 ///
-/// let bound = Bound { ratio: 0.5, slack: 4.0, window: Duration::from_secs(10) };
+/// let bound = RepeatLimit { ratio: 0.5, slack: 4.0, window: Duration::from_secs(10) };
 /// let mut quota = Quota::new(bound);
 /// let now = Duration::from_secs(1);
-/// quota.first(now, 2);
-/// let granted = (0..9).filter(|_| quota.repeat(now, 4)).count();
+/// quota.record_first_attempts(now, 2);
+/// let granted = (0..9).filter(|_| quota.try_repeat(now, 4)).count();
 /// assert_eq!(granted, 2);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Quota {
-    bound: Bound,
+    bound: RepeatLimit,
     steps: VecDeque<Step>,
 }
 
 impl Quota {
     /// A quota under this bound.
     #[must_use]
-    pub fn new(bound: Bound) -> Self {
+    pub fn new(bound: RepeatLimit) -> Self {
         Self {
             bound,
             steps: VecDeque::new(),
@@ -64,7 +64,7 @@
 
     /// The operator has changed the bound. Repeats so far go on to count, for a whole window from
     /// now; first attempts so far do not, as the new bound may look back less far.
-    pub fn rebind(&mut self, now: Duration, bound: Bound) {
+    pub fn set_limit(&mut self, now: Duration, bound: RepeatLimit) {
         if bound == self.bound {
             return;
         }
@@ -74,12 +74,12 @@
     }
 
     /// First attempts were sent.
-    pub fn first(&mut self, now: Duration, count: u32) {
+    pub fn record_first_attempts(&mut self, now: Duration, count: u32) {
         self.step(now).firsts += count;
     }
 
     /// Whether a repeat may be sent now by one of `processes`; if so, it is counted.
-    pub fn repeat(&mut self, now: Duration, processes: usize) -> bool {
+    pub fn try_repeat(&mut self, now: Duration, processes: usize) -> bool {
         self.step(now);
         let firsts: u32 = self.steps.iter().map(|step| step.firsts).sum();
         let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
--- a/crates/decide/src/route/affine.rs
+++ b/crates/decide/src/route/affinity.rs
@@ -5,7 +5,7 @@
 //! need not know. The names of prefix and runner alone say which that is.
 
 use super::{Block, Call, Pool, Router, Target, TargetId};
-use crate::subset::rank;
+use crate::subset::rendezvous_hash;
 use rand::Rng;
 
 /// Seconds that an engine takes to read a token of a prompt: one that reads 25 in a millisecond.
@@ -27,7 +27,7 @@
 
 /// Part of a prompt that other calls share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Hash of this part and all before it.
     pub block: Block,
     /// Its tokens.
@@ -36,7 +36,7 @@
 
 /// Seconds that an engine takes to read this many tokens.
 #[must_use]
-pub fn reading(tokens: u32) -> f64 {
+pub fn read_seconds(tokens: u32) -> f64 {
     f64::from(tokens) * TOKEN
 }
 
@@ -49,8 +49,8 @@
 /// # Examples
 ///
 /// ```
-/// use decide::route::affine::Part;
-/// use decide::route::{Affine, Call, Pool, Router, Target};
+/// use decide::route::affinity::PromptPart;
+/// use decide::route::{PrefixAffinity, Call, Pool, Router, Target};
 /// use rand::{SeedableRng, rngs::SmallRng};
 /// use std::time::Duration;
 ///
@@ -65,22 +65,22 @@
 ///     tried: &[],
 ///     slack: Duration::from_secs(1),
 /// };
-/// let parts = [Part { block: 7, tokens: 2_000 }];
+/// let parts = [PromptPart { block: 7, tokens: 2_000 }];
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let first = Affine::new(4, &parts).pick(&pool, &call, &mut rng);
-/// assert_eq!(first, Affine::new(4, &parts).pick(&pool, &call, &mut rng));
+/// let first = PrefixAffinity::new(4, &parts).pick(&pool, &call, &mut rng);
+/// assert_eq!(first, PrefixAffinity::new(4, &parts).pick(&pool, &call, &mut rng));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Affine<'a> {
+pub struct PrefixAffinity<'a> {
     processes: f64,
-    parts: &'a [Part],
+    parts: &'a [PromptPart],
 }
 
-impl<'a> Affine<'a> {
+impl<'a> PrefixAffinity<'a> {
     /// A router for a call with these shared parts, in one of `processes` that see about the same
     /// calls.
     #[must_use]
-    pub fn new(processes: usize, parts: &'a [Part]) -> Self {
+    pub fn new(processes: usize, parts: &'a [PromptPart]) -> Self {
         Self {
             processes: processes.max(1) as f64,
             parts,
@@ -89,8 +89,8 @@
 
     /// Seconds until the call would begin at a target, and what else speaks against it.
     fn cost(&self, pool: &Pool, call: &Call<'_>, target: &Target) -> f64 {
-        let own = target.burden().wait();
-        let queue = match pool.elsewhere(target, call.now) {
+        let own = target.call_load().wait();
+        let queue = match pool.peer_load(target, call.now) {
             Some(others) => own + others.wait(),
             None => own * self.processes,
         };
@@ -102,8 +102,8 @@
         if self.parts.is_empty() {
             return queue + away + pool.expected(target, call);
         }
-        let norm = pool.norm();
-        let slowness = target.service(call.now, norm) / norm.service;
+        let means = pool.means();
+        let slowness = target.service(call.now, means) / means.service;
         queue * slowness + away
     }
 
@@ -121,16 +121,16 @@
         sort(group, targets, whole);
         let mut costs = vec![0.0; targets.len()];
         for (place, &index) in group.iter().enumerate().skip(1) {
-            costs[index] = AGAIN * reading(rest) + NEXT * place as f64;
+            costs[index] = AGAIN * read_seconds(rest) + NEXT * place as f64;
         }
         for &mut index in others {
-            costs[index] = AGAIN * reading(rest + first.tokens) + NEXT * size as f64;
+            costs[index] = AGAIN * read_seconds(rest + first.tokens) + NEXT * size as f64;
         }
         costs
     }
 }
 
-impl Router for Affine<'_> {
+impl Router for PrefixAffinity<'_> {
     fn pick(&mut self, pool: &Pool, call: &Call<'_>, rng: &mut impl Rng) -> Option<TargetId> {
         let targets: Vec<&Target> = pool
             .live()
@@ -149,5 +149,5 @@
 
 fn sort(places: &mut [usize], targets: &[&Target], block: Block) {
     let name = format!("{block:x}");
-    places.sort_by_cached_key(|&place| rank(&name, &targets[place].id));
+    places.sort_by_cached_key(|&place| rendezvous_hash(&name, &targets[place].id));
 }
--- a/crates/decide/src/route/burden.rs
+++ b/crates/decide/src/route/call_load.rs
@@ -12,22 +12,22 @@
 /// # Examples
 ///
 /// ```
-/// use decide::route::Burden;
+/// use decide::route::CallLoad;
 ///
-/// let mut all = Burden { calls: 2, reading: 0.1 };
-/// all += Burden { calls: 1, reading: 0.3 };
+/// let mut all = CallLoad { calls: 2, reading: 0.1 };
+/// all += CallLoad { calls: 1, reading: 0.3 };
 /// assert_eq!(all.calls, 3);
 /// assert!((all.wait() - 0.424).abs() < 1e-9);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Burden {
+pub struct CallLoad {
     /// Calls that are not over.
     pub calls: u32,
     /// Seconds that the prompts take to read of those whose answers have not begun.
     pub reading: f64,
 }
 
-impl Burden {
+impl CallLoad {
     /// Seconds for which they hold up a new call.
     #[must_use]
     pub fn wait(&self) -> f64 {
@@ -41,7 +41,7 @@
     }
 }
 
-impl AddAssign for Burden {
+impl AddAssign for CallLoad {
     fn add_assign(&mut self, other: Self) {
         self.calls += other.calls;
         self.reading += other.reading;
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -1,15 +1,15 @@
 //! Which target a call goes to.
 //!
-//! * [`affine`]: the same few targets for calls that share a prompt prefix
-//! * [`burden`]: the calls that processes have at a target, as they tell one another
+//! * [`affinity`]: the same few targets for calls that share a prompt prefix
+//! * [`call_load`]: the calls that processes have at a target, as they tell one another
 //! * [`pool`]: what is known of a service's targets
 //! * [`target`]: what is known of one target
 //! * [`prefix`]: which targets are believed to have which prompt prefixes in cache
 //! * [`robin`]: the baseline, each target in turn
 //! * [`sampled`]: the best of a few sampled candidates by expected finish
 
-pub mod affine;
-pub mod burden;
+pub mod affinity;
+pub mod call_load;
 pub mod pool;
 pub mod prefix;
 pub mod robin;
@@ -17,12 +17,12 @@
 pub mod target;
 mod trust;
 
-pub use affine::Affine;
-pub use burden::Burden;
+pub use affinity::PrefixAffinity;
+pub use call_load::CallLoad;
 pub use pool::Pool;
 pub use robin::RoundRobin;
 pub use sampled::Sampled;
-pub use target::{Answer, Report, Target, TargetId};
+pub use target::{LoadReport, ResponseStats, Target, TargetId};
 
 use crate::either::{Either, either};
 use rand::Rng;
--- a/crates/decide/src/route/pool.rs
+++ b/crates/decide/src/route/pool.rs
@@ -1,12 +1,12 @@
 //! What is known of a service's targets.
 
-use super::prefix::Belief;
-use super::target::{Answer, Norm, Report, Target, TargetId};
+use super::prefix::CacheIndex;
+use super::target::{LoadReport, PoolMeans, ResponseStats, Target, TargetId};
 use super::trust::Trust;
-use super::{Block, Burden, Call};
+use super::{Block, Call, CallLoad};
 use crate::Map;
-use crate::retry::eject::Ejection;
-use crate::smooth::Mean;
+use crate::retry::eject::EjectionPolicy;
+use crate::smooth::Ewma;
 use std::time::Duration;
 
 /// Service time in seconds that is assumed before the first answer.
@@ -48,27 +48,27 @@
     capacity: u32,
     due: Option<Duration>,
     others: f64,
-    service: Mean,
-    cold: Mean,
-    warm: Mean,
-    belief: Belief,
+    service: Ewma,
+    cold: Ewma,
+    warm: Ewma,
+    cache_index: CacheIndex,
     trust: Trust,
     /// When a prompt was last sent, and when other processes last told of their calls.
     prompted: Option<Duration>,
     told: Option<Duration>,
-    ejection: Ejection,
+    ejection: EjectionPolicy,
 }
 
 impl Default for Pool {
     fn default() -> Self {
-        Self::new(Ejection::default())
+        Self::new(EjectionPolicy::default())
     }
 }
 
 impl Pool {
     /// An empty pool that ejects outliers as told.
     #[must_use]
-    pub fn new(ejection: Ejection) -> Self {
+    pub fn new(ejection: EjectionPolicy) -> Self {
         Self {
             targets: Vec::new(),
             index: Map::default(),
@@ -76,10 +76,10 @@
             capacity: 0,
             due: None,
             others: 0.0,
-            service: Mean::new(POOL_WEIGHT),
-            cold: Mean::new(POOL_WEIGHT),
-            warm: Mean::new(POOL_WEIGHT),
-            belief: Belief::default(),
+            service: Ewma::new(POOL_WEIGHT),
+            cold: Ewma::new(POOL_WEIGHT),
+            warm: Ewma::new(POOL_WEIGHT),
+            cache_index: CacheIndex::default(),
             trust: Trust::default(),
             prompted: None,
             told: None,
@@ -138,15 +138,15 @@
     /// A call was sent to the target.
     pub fn sent(&mut self, id: &str, now: Duration) {
         self.readmit(now);
-        let norm = self.norm();
+        let means = self.means();
         if let Some(target) = self.get_mut(id) {
-            target.predicted = target.predict(norm);
+            target.predicted = target.predict(means);
             target.in_flight += 1;
         }
     }
 
     /// A call that was sent has a prompt that takes this many seconds to read.
-    pub fn reads(&mut self, id: &str, now: Duration, seconds: f64) {
+    pub fn prompt_sent(&mut self, id: &str, now: Duration, seconds: f64) {
         self.prompted = Some(now);
         if let Some(target) = self.get_mut(id) {
             target.reading += seconds;
@@ -155,46 +155,48 @@
 
     /// Whether prompts are sent to the targets these days.
     #[must_use]
-    pub fn prompted(&self, now: Duration) -> bool {
+    pub fn has_recent_prompts(&self, now: Duration) -> bool {
         let age = |then: Duration| now.saturating_sub(then);
         self.prompted.is_some_and(|then| age(then) < PROMPTED)
     }
 
     /// The calls that this process has at the targets.
     #[must_use]
-    pub fn burdens(&self) -> Vec<(TargetId, Burden)> {
-        let burdens = self.targets.iter();
-        let burdens = burdens.map(|target| (target.id.clone(), target.burden()));
-        burdens.filter(|(_, burden)| !burden.is_empty()).collect()
+    pub fn call_loads(&self) -> Vec<(TargetId, CallLoad)> {
+        let loads = self.targets.iter();
+        let loads = loads.map(|target| (target.id.clone(), target.call_load()));
+        loads
+            .filter(|(_, call_load)| !call_load.is_empty())
+            .collect()
     }
 
     /// Other processes have told of all calls that they have at the targets.
-    pub fn told(&mut self, now: Duration, burdens: Vec<(TargetId, Burden)>) {
+    pub fn update_peer_loads(&mut self, now: Duration, loads: Vec<(TargetId, CallLoad)>) {
         self.told = Some(now);
         for target in &mut self.targets {
-            target.elsewhere = Burden::default();
+            target.peer_load = CallLoad::default();
         }
-        for (id, burden) in burdens {
+        for (id, call_load) in loads {
             if let Some(target) = self.get_mut(&id) {
-                target.elsewhere = burden;
+                target.peer_load = call_load;
             }
         }
     }
 
     /// Calls of other processes at a target, unless they have not told for a while.
     #[must_use]
-    pub fn elsewhere(&self, target: &Target, now: Duration) -> Option<Burden> {
-        (self.told_age(now)? < TOLD).then_some(target.elsewhere)
+    pub fn peer_load(&self, target: &Target, now: Duration) -> Option<CallLoad> {
+        (self.peer_loads_age(now)? < TOLD).then_some(target.peer_load)
     }
 
     /// Age of what other processes have told of their calls.
     #[must_use]
-    pub fn told_age(&self, now: Duration) -> Option<Duration> {
+    pub fn peer_loads_age(&self, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.told?))
     }
 
     /// A prompt has been read, or is not read any more.
-    pub fn has_read(&mut self, id: &str, seconds: f64) {
+    pub fn prompt_read(&mut self, id: &str, seconds: f64) {
         if let Some(target) = self.get_mut(id) {
             target.reading = (target.reading - seconds).max(0.0);
         }
@@ -208,21 +210,21 @@
     }
 
     /// A sent call was answered whole.
-    pub fn answered(&mut self, id: &str, now: Duration, answer: &Answer<'_>) {
+    pub fn answered(&mut self, id: &str, now: Duration, answer: &ResponseStats<'_>) {
         self.returned(id);
         self.readmit(now);
         self.learn_saving(answer);
         let Some(&place) = self.index.get(id) else {
             return;
         };
-        let norm = self.norm();
-        let believed = self.belief.overlap(id, answer.prefix, now);
+        let means = self.means();
+        let believed = self.cache_index.overlap(id, answer.prefix, now);
         let target = &mut self.targets[place];
-        self.trust.learn(target.predicted, answer, norm);
-        let service = target.learn_service(now, answer.elapsed, norm);
+        self.trust.learn(target.predicted, answer, means);
+        let service = target.learn_service(now, answer.elapsed, means);
         target.learn_hits(believed, answer.hits);
         target.health.succeeded();
-        self.belief.stored(&target.id, answer.prefix, now);
+        self.cache_index.stored(&target.id, answer.prefix, now);
         self.service.add(service);
     }
 
@@ -245,7 +247,7 @@
     }
 
     /// The target's agent told its load, on an answer or on its own.
-    pub fn reported(&mut self, id: &str, now: Duration, report: Report) {
+    pub fn reported(&mut self, id: &str, now: Duration, report: LoadReport) {
         let Some(&place) = self.index.get(id) else {
             return;
         };
@@ -286,13 +288,13 @@
     pub fn stored(&mut self, id: &str, now: Duration, blocks: &[Block]) {
         if let Some(&place) = self.index.get(id) {
             let id = self.targets[place].id.clone();
-            self.belief.stored(&id, blocks, now);
+            self.cache_index.stored(&id, blocks, now);
         }
     }
 
     /// The target's engine said that it has dropped this block.
     pub fn evicted(&mut self, id: &str, block: Block) {
-        self.belief.evicted(id, block);
+        self.cache_index.evicted(id, block);
     }
 
     /// Puts targets whose ejection is over back to work, on probation.
@@ -327,23 +329,23 @@
 
     /// Which prefixes the targets are believed to have in cache.
     #[must_use]
-    pub fn belief(&self) -> &Belief {
-        &self.belief
+    pub fn cache_index(&self) -> &CacheIndex {
+        &self.cache_index
     }
 
     /// Expected time in seconds until the target would answer the call.
     #[must_use]
     pub fn expected(&self, target: &Target, call: &Call<'_>) -> f64 {
-        let norm = self.norm();
-        let finish = target.finish(call.now, norm);
-        finish - target.service(call.now, norm) * self.saving() * self.overlap(target, call)
+        let means = self.means();
+        let finish = target.finish(call.now, means);
+        finish - target.service(call.now, means) * self.saving() * self.overlap(target, call)
     }
 
     /// Means over the pool.
     #[must_use]
-    pub fn norm(&self) -> Norm {
+    pub fn means(&self) -> PoolMeans {
         let count = self.targets.len().max(1) as f64;
-        Norm {
+        PoolMeans {
             service: self.service.get().unwrap_or(FIRST_SERVICE),
             others: (self.others / count).max(0.0),
             trust: self.trust.get(),
@@ -355,7 +357,7 @@
         if call.prefix.is_empty() {
             return 0.0;
         }
-        let held = self.belief.overlap(&target.id, call.prefix, call.now);
+        let held = self.cache_index.overlap(&target.id, call.prefix, call.now);
         target.credit() * held as f64 / call.prefix.len() as f64
     }
 
@@ -366,7 +368,7 @@
         }
     }
 
-    fn learn_saving(&mut self, answer: &Answer<'_>) {
+    fn learn_saving(&mut self, answer: &ResponseStats<'_>) {
         if answer.prefix.is_empty() {
             return;
         }
--- a/crates/decide/src/route/prefix.rs
+++ b/crates/decide/src/route/prefix.rs
@@ -27,20 +27,20 @@
 /// # Examples
 ///
 /// ```
-/// use decide::route::prefix::Belief;
+/// use decide::route::prefix::CacheIndex;
 /// use std::time::Duration;
 ///
-/// let mut belief = Belief::default();
-/// belief.stored(&"gen-1".into(), &[11, 12], Duration::ZERO);
-/// assert_eq!(belief.overlap("gen-1", &[11, 12, 13], Duration::ZERO), 2);
+/// let mut cache_index = CacheIndex::default();
+/// cache_index.stored(&"gen-1".into(), &[11, 12], Duration::ZERO);
+/// assert_eq!(cache_index.overlap("gen-1", &[11, 12, 13], Duration::ZERO), 2);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Belief {
+pub struct CacheIndex {
     young: Map<Block, Holders>,
     old: Map<Block, Holders>,
 }
 
-impl Belief {
+impl CacheIndex {
     /// The target has just been seen to hold these blocks.
     pub fn stored(&mut self, target: &TargetId, blocks: &[Block], now: Duration) {
         for &block in blocks {
--- a/crates/decide/src/route/sampled.rs
+++ b/crates/decide/src/route/sampled.rs
@@ -71,7 +71,7 @@
 /// beyond it no more than the deadline can bear.
 fn margin(pool: &Pool, call: &Call<'_>) -> f64 {
     let bearable = call.slack.as_secs_f64() * SLACK_SHARE;
-    CROSSING + bearable.min(pool.norm().service * SERVICE_SHARE)
+    CROSSING + bearable.min(pool.means().service * SERVICE_SHARE)
 }
 
 fn draw<'a>(pool: &'a Pool, call: &Call<'_>, rng: &mut impl Rng) -> [Option<&'a Target>; SAMPLE] {
@@ -95,7 +95,7 @@
 }
 
 fn holders<'a>(pool: &'a Pool, call: &'a Call<'_>) -> impl Iterator<Item = &'a Target> {
-    pool.belief()
+    pool.cache_index()
         .holding(call.prefix, call.now)
         .filter(|id| !call.tried.contains(id))
         .filter_map(|id| pool.get(id))
--- a/crates/decide/src/route/target.rs
+++ b/crates/decide/src/route/target.rs
@@ -1,8 +1,8 @@
 //! What is known of one target.
 
-use super::{Block, Burden};
+use super::{Block, CallLoad};
 use crate::retry::eject::Health;
-use crate::smooth::{Mean, decay};
+use crate::smooth::{Ewma, decay};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 
 /// Load that a target's agent told on an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// Calls that wait for a slot.
     pub queued: u32,
     /// Calls at the runner.
@@ -33,7 +33,7 @@
 
 /// A whole answer, as the router learns from it.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer<'a> {
+pub struct ResponseStats<'a> {
     /// Time the runner was busy with the call.
     pub busy: Duration,
     /// Time from sending the call to its whole answer.
@@ -54,7 +54,7 @@
     pub(super) in_flight: u32,
     pub(super) reading: f64,
     /// Calls of other processes, as they last told.
-    pub(super) elsewhere: Burden,
+    pub(super) peer_load: CallLoad,
     pub(super) limit: u32,
     pub(super) others: f64,
     pub(super) reported: Option<Duration>,
@@ -62,13 +62,13 @@
     pub(super) health: Health,
     service: Option<f64>,
     answered: Duration,
-    credit: Mean,
+    credit: Ewma,
     pub(super) predicted: Prediction,
 }
 
 /// Means over a pool that stand in for what is not, or no longer, known of one target.
 #[derive(Clone, Copy, Debug)]
-pub struct Norm {
+pub struct PoolMeans {
     /// Service time in seconds.
     pub service: f64,
     /// Calls of other senders.
@@ -85,7 +85,7 @@
             domain: domain.into(),
             in_flight: 0,
             reading: 0.0,
-            elsewhere: Burden::default(),
+            peer_load: CallLoad::default(),
             limit: limit.max(1),
             others: 0.0,
             reported: None,
@@ -93,7 +93,7 @@
             health: Health::default(),
             service: None,
             answered: Duration::ZERO,
-            credit: Mean::new(CREDIT_WEIGHT),
+            credit: Ewma::new(CREDIT_WEIGHT),
             predicted: Prediction::default(),
         }
     }
@@ -106,8 +106,8 @@
 
     /// Calls that this process has there.
     #[must_use]
-    pub fn burden(&self) -> Burden {
-        Burden {
+    pub fn call_load(&self) -> CallLoad {
+        CallLoad {
             calls: self.in_flight,
             reading: self.reading,
         }
@@ -128,32 +128,32 @@
     /// Expected calls at the target: the own ones exactly, those of other senders by the last
     /// report and, as that gets older, by the mean of the pool.
     #[must_use]
-    pub fn load(&self, now: Duration, norm: Norm) -> f64 {
+    pub fn load(&self, now: Duration, means: PoolMeans) -> f64 {
         let fresh = self.reported.map_or(0.0, |then| {
             decay(now.saturating_sub(then), REPORT_HALF_LIFE)
         });
-        let trust = norm.trust * fresh;
-        let others = trust * self.others + (1.0 - trust) * norm.others;
+        let trust = means.trust * fresh;
+        let others = trust * self.others + (1.0 - trust) * means.others;
         f64::from(self.in_flight) + others
     }
 
     /// Expected time in seconds from sending one call to its answer if it need not wait.
     #[must_use]
-    pub fn service(&self, now: Duration, norm: Norm) -> f64 {
+    pub fn service(&self, now: Duration, means: PoolMeans) -> f64 {
         let Some(own) = self.service else {
-            return norm.service;
+            return means.service;
         };
         let trust = decay(now.saturating_sub(self.answered), SERVICE_HALF_LIFE);
-        norm.service * significant((trust * own + (1.0 - trust) * norm.service) / norm.service)
+        means.service * significant((trust * own + (1.0 - trust) * means.service) / means.service)
     }
 
     /// Expected time in seconds until one more call would be answered, queueing included.
     #[must_use]
-    pub fn finish(&self, now: Duration, norm: Norm) -> f64 {
-        let load = self.load(now, norm);
+    pub fn finish(&self, now: Duration, means: PoolMeans) -> f64 {
+        let load = self.load(now, means);
         let limit = f64::from(self.limit);
         let crowding = load.min(limit) / limit * CROWDING;
-        self.service(now, norm) * (1.0 + self.wait(load) + crowding)
+        self.service(now, means) * (1.0 + self.wait(load) + crowding)
     }
 
     /// Expected wait of one more call at this load, as a multiple of the service time.
@@ -163,11 +163,11 @@
     }
 
     /// Expected waits of one more call by the last report, and by the mean of the pool.
-    pub(super) fn predict(&self, norm: Norm) -> Prediction {
+    pub(super) fn predict(&self, means: PoolMeans) -> Prediction {
         let own = f64::from(self.in_flight);
         Prediction {
             by_report: self.wait(own + self.others),
-            by_mean: self.wait(own + norm.others),
+            by_mean: self.wait(own + means.others),
         }
     }
 
@@ -178,9 +178,14 @@
     /// Starts from the faded value, not from the last one: the first good answer of a recovered
     /// straggler would renew the trust in its bad past otherwise, and keep calls away from it for
     /// as many answers as that takes to wear off.
-    pub(super) fn learn_service(&mut self, now: Duration, elapsed: Duration, norm: Norm) -> f64 {
+    pub(super) fn learn_service(
+        &mut self,
+        now: Duration,
+        elapsed: Duration,
+        means: PoolMeans,
+    ) -> f64 {
         let service = elapsed.as_secs_f64() / (1.0 + self.predicted.by_report);
-        let faded = self.service(now, norm);
+        let faded = self.service(now, means);
         self.service = Some(faded + SERVICE_WEIGHT * (service - faded));
         self.answered = now;
         service
@@ -202,7 +207,7 @@
         }
     }
 
-    pub(super) fn learn_load(&mut self, now: Duration, report: Report) {
+    pub(super) fn learn_load(&mut self, now: Duration, report: LoadReport) {
         let total = f64::from(report.queued) + f64::from(report.running);
         self.others = (total - f64::from(self.in_flight)).max(0.0);
         self.reported = Some(now);
--- a/crates/decide/src/route/trust.rs
+++ b/crates/decide/src/route/trust.rs
@@ -1,7 +1,7 @@
 //! How far load reports can be trusted.
 
-use super::target::{Answer, Norm, Prediction};
-use crate::smooth::Mean;
+use super::target::{PoolMeans, Prediction, ResponseStats};
+use crate::smooth::Ewma;
 
 /// Weight of one answer in the mean square errors.
 const WEIGHT: f64 = 0.02;
@@ -20,15 +20,15 @@
 /// shows here.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trust {
-    by_report: Mean,
-    by_mean: Mean,
+    by_report: Ewma,
+    by_mean: Ewma,
 }
 
 impl Default for Trust {
     fn default() -> Self {
         Self {
-            by_report: Mean::new(WEIGHT),
-            by_mean: Mean::new(WEIGHT),
+            by_report: Ewma::new(WEIGHT),
+            by_mean: Ewma::new(WEIGHT),
         }
     }
 }
@@ -45,8 +45,13 @@
     }
 
     /// Compares what was predicted when a call was sent with the wait that its answer shows.
-    pub(super) fn learn(&mut self, predicted: Prediction, answer: &Answer<'_>, norm: Norm) {
-        let wait = (answer.elapsed.as_secs_f64() / norm.service - 1.0).max(0.0);
+    pub(super) fn learn(
+        &mut self,
+        predicted: Prediction,
+        answer: &ResponseStats<'_>,
+        means: PoolMeans,
+    ) {
+        let wait = (answer.elapsed.as_secs_f64() / means.service - 1.0).max(0.0);
         self.by_report.add((predicted.by_report - wait).powi(2));
         self.by_mean.add((predicted.by_mean - wait).powi(2));
     }
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -5,7 +5,7 @@
 //! their first requests alone would be too many in a large fleet. So only a few may send, chosen by
 //! names alone, and each keeps a fixed gap between two requests, without a word between them.
 
-use crate::subset::rank;
+use crate::subset::rendezvous_hash;
 use std::time::Duration;
 
 /// Processes that may send to a runner that has named a limit. More would send too many at once after
@@ -14,45 +14,45 @@
 
 /// One process's part of what a runner bears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct RateShare {
     /// Processes that may send.
-    pub places: usize,
+    pub senders: usize,
     /// Time between two requests of one process, at least.
-    pub gap: Duration,
+    pub interval: Duration,
 }
 
-impl Share {
+impl RateShare {
     /// The part of each of so many processes where a runner asks for this mean time between the
     /// requests of all.
     ///
     /// # Examples
     ///
     /// ```
-    /// use decide::share::Share;
+    /// use decide::share::RateShare;
     /// use std::time::Duration;
     ///
-    /// let share = Share::spaced(Duration::from_millis(500), 27);
-    /// assert_eq!((share.places, share.gap), (4, Duration::from_secs(2)));
+    /// let share = RateShare::from_interval(Duration::from_millis(500), 27);
+    /// assert_eq!((share.senders, share.interval), (4, Duration::from_secs(2)));
     /// ```
     #[must_use]
-    pub fn spaced(spacing: Duration, processes: usize) -> Self {
-        let places = processes.clamp(1, PLACES);
+    pub fn from_interval(spacing: Duration, processes: usize) -> Self {
+        let senders = processes.clamp(1, PLACES);
         Self {
-            places,
-            gap: spacing.saturating_mul(places as u32),
+            senders,
+            interval: spacing.saturating_mul(senders as u32),
         }
     }
 
     /// Whether a process has a place, by its name and those of the others.
     #[must_use]
-    pub fn has_place<'a>(
+    pub fn may_send<'a>(
         &self,
         runner: &str,
         own: &str,
         others: impl IntoIterator<Item = &'a str>,
     ) -> bool {
-        let mine = (rank(runner, own), own);
-        let before = |other: &&str| (rank(runner, other), *other) < mine;
-        others.into_iter().filter(before).count() < self.places
+        let mine = (rendezvous_hash(runner, own), own);
+        let before = |other: &&str| (rendezvous_hash(runner, other), *other) < mine;
+        others.into_iter().filter(before).count() < self.senders
     }
 }
--- a/crates/decide/src/smooth.rs
+++ b/crates/decide/src/smooth.rs
@@ -7,19 +7,19 @@
 /// # Examples
 ///
 /// ```
-/// let mut mean = decide::smooth::Mean::new(0.5);
+/// let mut mean = decide::smooth::Ewma::new(0.5);
 /// assert_eq!(mean.get(), None);
 /// mean.add(10.0);
 /// mean.add(20.0);
 /// assert_eq!(mean.get(), Some(15.0));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Mean {
+pub struct Ewma {
     weight: f64,
     value: Option<f64>,
 }
 
-impl Mean {
+impl Ewma {
     /// A mean in which the newest value has this weight, above 0 and up to 1.
     #[must_use]
     pub fn new(weight: f64) -> Self {
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -38,7 +38,7 @@
 pub fn choose<'a>(own: &str, size: usize, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
     let mut ranked: Vec<(u64, Candidate<'a>)> = candidates
         .iter()
-        .map(|candidate| (rank(own, candidate.id), *candidate))
+        .map(|candidate| (rendezvous_hash(own, candidate.id), *candidate))
         .collect();
     ranked.sort_unstable_by_key(|(rank, candidate)| (*rank, candidate.id));
     let mut turns = crate::Map::default();
@@ -61,7 +61,7 @@
 /// Hash of both names. FNV alone hardly changes its high bits with the last byte, which names that
 /// are numbered differ by; the final mix spreads them.
 #[must_use]
-pub fn rank(own: &str, id: &str) -> u64 {
+pub fn rendezvous_hash(own: &str, id: &str) -> u64 {
     let bytes = own.bytes().chain([0]).chain(id.bytes());
     let hash = bytes.fold(OFFSET, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
--- a/crates/decide/src/wait.rs
+++ b/crates/decide/src/wait.rs
@@ -8,7 +8,7 @@
 
 /// Whether a call that no target has can get one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlook {
+pub enum TargetAvailability {
     /// Some target takes such calls.
     Open,
     /// Some target is loading the model that the call needs.
@@ -19,7 +19,7 @@
     Closed,
 }
 
-impl Outlook {
+impl TargetAvailability {
     /// Name in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -34,10 +34,10 @@
 
 /// Longest waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// While the outlook is [`Outlook::Closed`].
+pub struct WaitLimits {
+    /// While the outlook is [`TargetAvailability::Closed`].
     pub closed: Duration,
-    /// While it is [`Outlook::Unknown`] or [`Outlook::Closed`]: a target whose link comes and goes is
+    /// While it is [`TargetAvailability::Unknown`] or [`TargetAvailability::Closed`]: a target whose link comes and goes is
     /// unknown again each time.
     pub unknown: Duration,
     /// In all.
@@ -46,7 +46,7 @@
 
 /// Whether the call waits on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum WaitDecision {
     /// It does, until this moment at most if nothing changes.
     Wait {
         /// When to look again.
@@ -64,19 +64,19 @@
 /// # Examples
 ///
 /// ```
-/// use decide::wait::{Bounds, Outlook, Verdict, Wait};
+/// use decide::wait::{WaitLimits, TargetAvailability, WaitDecision, Wait};
 /// use std::time::Duration;
 ///
 /// let (bound, hour) = (Duration::from_millis(500), Duration::from_secs(3_600));
-/// let bounds = Bounds { closed: bound, unknown: 12 * bound, total: hour };
+/// let bounds = WaitLimits { closed: bound, unknown: 12 * bound, total: hour };
 /// let mut wait = Wait::new(bounds, Duration::ZERO);
-/// assert_eq!(wait.observe(Outlook::Open, Duration::ZERO), Verdict::Wait { until: hour });
-/// assert_eq!(wait.observe(Outlook::Closed, bound), Verdict::Wait { until: 2 * bound });
-/// assert_eq!(wait.observe(Outlook::Closed, 2 * bound), Verdict::GiveUp { bound });
+/// assert_eq!(wait.observe(TargetAvailability::Open, Duration::ZERO), WaitDecision::Wait { until: hour });
+/// assert_eq!(wait.observe(TargetAvailability::Closed, bound), WaitDecision::Wait { until: 2 * bound });
+/// assert_eq!(wait.observe(TargetAvailability::Closed, 2 * bound), WaitDecision::GiveUp { bound });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Wait {
-    bounds: Bounds,
+    bounds: WaitLimits,
     began: Duration,
     /// Since when the outlook has been closed.
     closed: Option<Duration>,
@@ -87,7 +87,7 @@
 impl Wait {
     /// A wait that begins now.
     #[must_use]
-    pub fn new(bounds: Bounds, now: Duration) -> Self {
+    pub fn new(bounds: WaitLimits, now: Duration) -> Self {
         Self {
             bounds,
             began: now,
@@ -103,13 +103,15 @@
     }
 
     /// Takes in the outlook as it is now.
-    pub fn observe(&mut self, outlook: Outlook, now: Duration) -> Verdict {
+    pub fn observe(&mut self, outlook: TargetAvailability, now: Duration) -> WaitDecision {
         self.uncertain = match outlook {
-            Outlook::Open | Outlook::Loading => None,
-            Outlook::Unknown | Outlook::Closed => self.uncertain.or(Some(now)),
+            TargetAvailability::Open | TargetAvailability::Loading => None,
+            TargetAvailability::Unknown | TargetAvailability::Closed => {
+                self.uncertain.or(Some(now))
+            }
         };
         self.closed = match outlook {
-            Outlook::Closed => self.closed.or(Some(now)),
+            TargetAvailability::Closed => self.closed.or(Some(now)),
             _ => None,
         };
         let ends = [
@@ -123,8 +125,8 @@
         let first = ends.min_by_key(|(end, _)| *end);
         let (until, bound) = first.unwrap_or((now, self.bounds.total));
         if until <= now {
-            return Verdict::GiveUp { bound };
+            return WaitDecision::GiveUp { bound };
         }
-        Verdict::Wait { until }
+        WaitDecision::Wait { until }
     }
 }
--- a/crates/decide/src/warmup.rs
+++ b/crates/decide/src/warmup.rs
@@ -5,7 +5,7 @@
 //! names alone, and each keeps a fixed gap between two requests: together they stay under the bound
 //! in any second, without a word between them.
 
-pub use crate::share::Share;
+pub use crate::share::RateShare;
 use std::time::Duration;
 
 /// Longest time from the decision to send a request until it is on its way: that of a connection.
@@ -20,38 +20,40 @@
 
 /// What a runner bears that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RateLimit {
     /// Requests a second on average.
     pub rate: f64,
     /// Requests in any one second.
-    pub most: u32,
+    pub max_per_second: u32,
 }
 
-impl Share {
+impl RateShare {
     /// The part of each of so many processes; `None` if the runner bears nothing.
     ///
     /// # Examples
     ///
     /// ```
-    /// use decide::warmup::{Bound, Share};
+    /// use decide::warmup::{RateLimit, RateShare};
     /// use std::time::Duration;
     ///
-    /// let bound = Bound { rate: 8.0, most: 17 };
-    /// let share = Share::new(&bound, 27).unwrap();
-    /// assert_eq!((share.places, share.gap), (8, Duration::from_secs(1)));
+    /// let bound = RateLimit { rate: 8.0, max_per_second: 17 };
+    /// let share = RateShare::new(&bound, 27).unwrap();
+    /// assert_eq!((share.senders, share.interval), (8, Duration::from_secs(1)));
     /// ```
     #[must_use]
-    pub fn new(bound: &Bound, processes: usize) -> Option<Self> {
-        if bound.most == 0 || bound.rate <= 0.0 {
+    pub fn new(bound: &RateLimit, processes: usize) -> Option<Self> {
+        if bound.max_per_second == 0 || bound.rate <= 0.0 {
             return None;
         }
-        let most = (bound.most / EACH).max(1);
-        let places = u32::try_from(processes).unwrap_or(most).clamp(1, most);
-        let each = bound.most / places;
-        let on_average = Duration::from_secs_f64(f64::from(places) / bound.rate);
+        let max_per_second = (bound.max_per_second / EACH).max(1);
+        let senders = u32::try_from(processes)
+            .unwrap_or(max_per_second)
+            .clamp(1, max_per_second);
+        let each = bound.max_per_second / senders;
+        let on_average = Duration::from_secs_f64(f64::from(senders) / bound.rate);
         Some(Self {
-            places: places as usize,
-            gap: on_average.max(WINDOW / each + MARGIN),
+            senders: senders as usize,
+            interval: on_average.max(WINDOW / each + MARGIN),
         })
     }
 }
--- a/crates/decide/tests/closed_service.rs
+++ b/crates/decide/tests/closed_service.rs
@@ -1,10 +1,10 @@
 //! Calls that were accepted by a service which then loses its targets.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::wait::{Bounds, Outlook, Verdict, Wait};
+use decide::wait::{TargetAvailability, Wait, WaitDecision, WaitLimits};
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: WaitLimits = WaitLimits {
     closed: Duration::from_millis(500),
     unknown: Duration::from_secs(6),
     total: Duration::from_secs(3_600),
@@ -12,10 +12,10 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// Plays a wait with the outlook at each moment and gives when it is given up.
-fn play(outlook: impl Fn(Duration) -> Outlook) -> Duration {
+fn play(outlook: impl Fn(Duration) -> TargetAvailability) -> Duration {
     let mut wait = Wait::new(BOUNDS, Duration::ZERO);
     let mut now = Duration::ZERO;
-    while let Verdict::Wait { until } = wait.observe(outlook(now), now) {
+    while let WaitDecision::Wait { until } = wait.observe(outlook(now), now) {
         assert!(until > now);
         now = until.min(now + TICK);
     }
@@ -27,8 +27,8 @@
 fn gone_for_good() {
     let gone = Duration::from_secs(7);
     let ended = play(|now| match now < gone {
-        true => Outlook::Open,
-        false => Outlook::Closed,
+        true => TargetAvailability::Open,
+        false => TargetAvailability::Closed,
     });
     assert!(ended <= gone + Duration::from_secs(1), "{ended:?}");
 }
@@ -37,8 +37,8 @@
 #[test]
 fn short_gap() {
     let ended = play(|now| match now.as_millis() % 1_000 {
-        0..400 => Outlook::Closed,
-        _ => Outlook::Open,
+        0..400 => TargetAvailability::Closed,
+        _ => TargetAvailability::Open,
     });
     assert_eq!(ended, BOUNDS.total);
 }
@@ -48,8 +48,8 @@
 #[test]
 fn never_speaks() {
     let ended = play(|now| match now.as_millis() % 3_000 {
-        0..300 => Outlook::Closed,
-        _ => Outlook::Unknown,
+        0..300 => TargetAvailability::Closed,
+        _ => TargetAvailability::Unknown,
     });
     assert_eq!(ended, BOUNDS.unknown);
 }
@@ -58,8 +58,8 @@
 #[test]
 fn long_load() {
     let ended = play(|now| match now < Duration::from_secs(300) {
-        true => Outlook::Loading,
-        false => Outlook::Closed,
+        true => TargetAvailability::Loading,
+        false => TargetAvailability::Closed,
     });
     assert!(ended >= Duration::from_secs(300));
     assert!(ended <= Duration::from_secs(301));
--- a/crates/decide/tests/cold_runner.rs
+++ b/crates/decide/tests/cold_runner.rs
@@ -1,7 +1,7 @@
 //! A failure domain's runners come back cold in a burst, and look idle to all processes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::warmup::{Bound, Share};
+use decide::warmup::{RateLimit, RateShare};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -12,17 +12,17 @@
 
 /// Moments at which one runner is sent requests by processes that all want to send all the time, each
 /// with its own delays.
-fn sent(share: Share, seed: u64) -> Vec<Duration> {
+fn sent(share: RateShare, seed: u64) -> Vec<Duration> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut moments = Vec::new();
-    for _ in 0..share.places {
-        let mut granted = rng.random_range(Duration::ZERO..share.gap);
+    for _ in 0..share.senders {
+        let mut granted = rng.random_range(Duration::ZERO..share.interval);
         while granted < SECOND * 20 {
             // Half of the connections are open already, which brings requests closer together.
             let late = rng.random_bool(0.5);
             let delay = if late { CONNECT } else { Duration::ZERO };
             moments.push(granted + delay);
-            granted += share.gap;
+            granted += share.interval;
         }
     }
     moments.sort_unstable();
@@ -42,7 +42,7 @@
 /// stays under what it bears, whatever their number, or it fails as soon as it is back.
 #[test]
 fn bounded_together() {
-    for (rate, most) in [
+    for (rate, max_per_second) in [
         (8.2, 17),
         (8.2, 8),
         (2.0, 8),
@@ -51,10 +51,20 @@
         (5.0, 3),
     ] {
         for processes in [1, 2, 3, 4, 7, 8, 9, 27, 300] {
-            let share = Share::new(&Bound { rate, most }, processes).unwrap();
+            let share = RateShare::new(
+                &RateLimit {
+                    rate,
+                    max_per_second,
+                },
+                processes,
+            )
+            .unwrap();
             for seed in 0..20 {
                 let peak = peak(&sent(share, seed));
-                assert!(peak <= most as usize, "{rate} {most} {processes}: {peak}");
+                assert!(
+                    peak <= max_per_second as usize,
+                    "{rate} {max_per_second} {processes}: {peak}"
+                );
             }
         }
     }
@@ -65,15 +75,15 @@
 #[test]
 fn used_up() {
     for processes in [1, 4, 27] {
-        let share = Share::new(
-            &Bound {
+        let share = RateShare::new(
+            &RateLimit {
                 rate: 8.2,
-                most: 17,
+                max_per_second: 17,
             },
             processes,
         )
         .unwrap();
-        let rate = share.places as f64 / share.gap.as_secs_f64();
+        let rate = share.senders as f64 / share.interval.as_secs_f64();
         assert!((8.0..8.201).contains(&rate), "{processes}: {rate}");
     }
 }
@@ -82,32 +92,50 @@
 #[test]
 fn places_agreed() {
     let names: Vec<String> = (0..27).map(|number| format!("relay-{number}")).collect();
-    let share = Share::new(
-        &Bound {
+    let share = RateShare::new(
+        &RateLimit {
             rate: 8.2,
-            most: 17,
+            max_per_second: 17,
         },
         names.len(),
     )
     .unwrap();
-    let mut places = vec![0; names.len()];
+    let mut senders = vec![0; names.len()];
     for runner in 0..60 {
         let runner = format!("runner-{runner}");
         let has = |own: &&String| {
             let others = names.iter().filter(|name| *name != *own);
-            share.has_place(&runner, own, others.map(String::as_str))
+            share.may_send(&runner, own, others.map(String::as_str))
         };
-        assert_eq!(names.iter().filter(has).count(), share.places);
-        for (place, name) in places.iter_mut().zip(&names) {
+        assert_eq!(names.iter().filter(has).count(), share.senders);
+        for (place, name) in senders.iter_mut().zip(&names) {
             *place += usize::from(has(&name));
         }
     }
-    assert!(places.iter().all(|count| *count > 5), "{places:?}");
+    assert!(senders.iter().all(|count| *count > 5), "{senders:?}");
 }
 
 /// A runner that bears nothing yet gets nothing.
 #[test]
 fn bears_nothing() {
-    assert_eq!(Share::new(&Bound { rate: 8.2, most: 0 }, 4), None);
-    assert_eq!(Share::new(&Bound { rate: 0.0, most: 4 }, 4), None);
+    assert_eq!(
+        RateShare::new(
+            &RateLimit {
+                rate: 8.2,
+                max_per_second: 0
+            },
+            4
+        ),
+        None
+    );
+    assert_eq!(
+        RateShare::new(
+            &RateLimit {
+                rate: 0.0,
+                max_per_second: 4
+            },
+            4
+        ),
+        None
+    );
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A row of runners in virtual time, for tests of routing.
 #![allow(dead_code, unreachable_pub)]
 
-use decide::retry::eject::Ejection;
-use decide::route::{Answer, Call, Pool, Report, Router, Target};
+use decide::retry::eject::EjectionPolicy;
+use decide::route::{Call, LoadReport, Pool, ResponseStats, Router, Target};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -43,7 +43,7 @@
         busy: Duration,
         elapsed: Duration,
     },
-    Report {
+    LoadReport {
         entry: usize,
         runner: usize,
         load: usize,
@@ -100,7 +100,7 @@
             if let Event::Done { entry, runner, .. } = events[number] {
                 let load = runners[runner].load(at);
                 heap.push(Reverse((at + shape.report_lag_ms * 1_000, events.len())));
-                events.push(Event::Report {
+                events.push(Event::LoadReport {
                     entry,
                     runner,
                     load,
@@ -138,7 +138,7 @@
 }
 
 fn entry<R: Router + Default>(shape: Shape) -> (Pool, R) {
-    let mut pool = Pool::new(Ejection::default());
+    let mut pool = Pool::new(EjectionPolicy::default());
     for runner in 0..shape.runners {
         pool.insert(Target::new(name(runner), "a", shape.slots as u32));
     }
@@ -176,7 +176,7 @@
             busy,
             elapsed,
         } => {
-            let answer = Answer {
+            let answer = ResponseStats {
                 busy,
                 elapsed,
                 prefix: &[],
@@ -184,12 +184,12 @@
             };
             entries[entry].0.answered(&name(runner), now, &answer);
         }
-        Event::Report {
+        Event::LoadReport {
             entry,
             runner,
             load,
         } => {
-            let report = Report {
+            let report = LoadReport {
                 queued: load as u32,
                 running: 0,
                 limit: 0,
--- a/crates/decide/tests/common/repeats.rs
+++ b/crates/decide/tests/common/repeats.rs
@@ -1,6 +1,6 @@
 //! A fleet of processes in virtual time whose requests fail and are repeated.
 
-use decide::retry::window::Bound;
+use decide::retry::window::RepeatLimit;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -24,13 +24,13 @@
 /// What a process keeps its repeats by.
 pub trait Guard {
     /// A process starts; `is_first` where nothing ran before it.
-    fn start(bound: Bound, now: Duration, is_first: bool) -> Self;
+    fn start(bound: RepeatLimit, now: Duration, is_first: bool) -> Self;
     /// A request that came at `arrived` is sent for the first time.
     fn first(&mut self, now: Duration, arrived: Duration);
     /// Whether one of `processes` may send a repeat, `None` before they are known.
     fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool;
     /// The bound is another one.
-    fn rebind(&mut self, now: Duration, bound: Bound);
+    fn set_limit(&mut self, now: Duration, bound: RepeatLimit);
 }
 
 /// What happens in a play.
@@ -90,7 +90,7 @@
     /// When repeats arrived.
     pub arrivals: Vec<Duration>,
     /// Each bound, and when the first process had it and the last repeat under it arrived.
-    pub bounds: Vec<(Bound, Duration, Duration)>,
+    pub bounds: Vec<(RepeatLimit, Duration, Duration)>,
     pub refused: usize,
 }
 
@@ -106,7 +106,7 @@
         life: u32,
         sent: Duration,
     },
-    Ask {
+    AdmissionRequest {
         process: usize,
         life: u32,
         attempt: u32,
@@ -131,8 +131,8 @@
 struct Play<G> {
     rng: SmallRng,
     terms: Terms,
-    bound: Bound,
-    changed: Option<(Duration, Bound)>,
+    bound: RepeatLimit,
+    changed: Option<(Duration, RepeatLimit)>,
     phases: Vec<Phase>,
     /// From when to when each process has a row.
     rows: Vec<[Duration; 2]>,
@@ -167,7 +167,7 @@
     fn draw(seed: u64, terms: Terms) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = rng.random_range(4..=40_usize);
-        let bound = Bound {
+        let bound = RepeatLimit {
             ratio: rng.random_range(0.1..0.3),
             slack: rng.random_range(20.0..120.0),
             window: seconds(rng.random_range(4.0..10.0)),
@@ -232,7 +232,7 @@
 
     fn draw_bounds(&mut self) {
         let at = seconds(self.rng.random_range(8.0..35.0));
-        let changed = Bound {
+        let changed = RepeatLimit {
             ratio: self.bound.ratio * self.rng.random_range(0.5..2.0),
             slack: self.bound.slack * self.rng.random_range(0.5..2.0),
             ..self.bound
@@ -282,7 +282,7 @@
             Event::Rebind(process) => {
                 let (_, bound) = self.changed.expect("a changed bound");
                 if let Some(process) = &mut self.processes[process] {
-                    process.guard.rebind(now, bound);
+                    process.guard.set_limit(now, bound);
                 }
             }
             Event::Kill(process) => {
@@ -301,7 +301,7 @@
                 life,
                 sent,
             } => self.count(now, process, life, sent),
-            Event::Ask {
+            Event::AdmissionRequest {
                 process,
                 life,
                 attempt,
@@ -320,7 +320,7 @@
                 let life = self.lives[process];
                 self.push(
                     now,
-                    Event::Ask {
+                    Event::AdmissionRequest {
                         process,
                         life,
                         attempt: 1,
@@ -381,7 +381,7 @@
         let took = seconds(0.02 + 1.5 * self.rng.random::<f64>().powi(3));
         self.push(
             now + took,
-            Event::Ask {
+            Event::AdmissionRequest {
                 process,
                 life,
                 attempt,
--- a/crates/decide/tests/common/stage.rs
+++ b/crates/decide/tests/common/stage.rs
@@ -1,6 +1,6 @@
 //! The runners of one stage service in virtual time, for tests of formers.
 
-use decide::batch::{Former, Free, Group, Need, Offer, Portion, Shape};
+use decide::batch::{BatchQueue, FreeRunner, Group, Portion, RequiredGroup, RunnerFreeTime, Shape};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -71,7 +71,7 @@
 }
 
 struct Open {
-    ticket: u64,
+    group_id: u64,
     began: Duration,
     left: u32,
     calls: u32,
@@ -79,7 +79,7 @@
 }
 
 /// Plays a load; inputs lie at a runner's domain with the same chance for each runner.
-pub fn play(former: &mut impl Former, load: &Load, seed: u64) -> Outcome {
+pub fn play(batch_queue: &mut impl BatchQueue, load: &Load, seed: u64) -> Outcome {
     let mut world = World {
         load,
         now: Duration::ZERO,
@@ -89,11 +89,11 @@
         outcome: Outcome::default(),
     };
     while world.now < load.end {
-        world.arrive(former);
+        world.arrive(batch_queue);
         world.land();
-        world.give_up(former);
-        for need in [Need::Near, Need::Any] {
-            (0..load.domains.len()).for_each(|index| world.launch(former, index, need));
+        world.give_up(batch_queue);
+        for need in [RequiredGroup::Near, RequiredGroup::Any] {
+            (0..load.domains.len()).for_each(|index| world.launch(batch_queue, index, need));
         }
         world.now += STEP;
     }
@@ -110,7 +110,7 @@
 }
 
 impl World<'_> {
-    fn arrive(&mut self, former: &mut impl Former) {
+    fn arrive(&mut self, batch_queue: &mut impl BatchQueue) {
         let load = self.load;
         if !self.rng.random_bool(load.rate * STEP.as_secs_f64()) {
             return;
@@ -118,20 +118,20 @@
         self.outcome.asked += 1;
         let pieces = self.rng.random_range(load.pieces.0..=load.pieces.1);
         let domain = load.domains[self.rng.random_range(0..load.domains.len())];
-        let ticket = u64::from(self.outcome.asked);
-        former.push(Group {
-            ticket,
+        let group_id = u64::from(self.outcome.asked);
+        batch_queue.push(Group {
+            group_id,
             pieces,
-            result: 1,
+            result_bytes: 1,
             due: self.now + load.aim,
-            last: self.now + load.aim * 4,
+            expires_at: self.now + load.aim * 4,
             rank: 0,
             domain: Some(domain.into()),
-            since: self.now,
-            patience: load.patience,
+            arrived_at: self.now,
+            max_domain_wait: load.patience,
         });
         self.open.push(Open {
-            ticket,
+            group_id,
             began: self.now,
             left: pieces,
             calls: 0,
@@ -151,7 +151,7 @@
 
     fn made(&mut self, portion: Portion) {
         let mut open = self.open.iter_mut();
-        let Some(request) = open.find(|open| open.ticket == portion.ticket) else {
+        let Some(request) = open.find(|open| open.group_id == portion.group_id) else {
             return;
         };
         request.left -= portion.pieces;
@@ -160,29 +160,29 @@
         }
         self.outcome.split += u32::from(request.calls > 1);
         self.outcome.on_time += u32::from(self.now <= request.began + self.load.aim);
-        self.open.retain(|open| open.ticket != portion.ticket);
-        self.give_back(portion.ticket, self.now + self.load.held);
+        self.open.retain(|open| open.group_id != portion.group_id);
+        self.give_back(portion.group_id, self.now + self.load.held);
     }
 
-    fn give_back(&mut self, ticket: u64, until: Duration) {
+    fn give_back(&mut self, group_id: u64, until: Duration) {
         let kept = self.runners.iter_mut().flat_map(|runner| &mut runner.kept);
-        for (portion, since, held) in kept.filter(|(portion, ..)| portion.ticket == ticket) {
+        for (portion, since, held) in kept.filter(|(portion, ..)| portion.group_id == group_id) {
             *held = Some(until);
             self.outcome.kept += (until - *since) * portion.pieces;
         }
     }
 
-    fn give_up(&mut self, former: &mut impl Former) {
+    fn give_up(&mut self, batch_queue: &mut impl BatchQueue) {
         let runners = self.load.domains.len() as u32;
         let shape = self.load.shape;
         let full = shape.call + shape.piece * shape.size;
-        for ticket in former.expire(self.now, full / (shape.size * runners)) {
-            self.open.retain(|open| open.ticket != ticket);
-            self.give_back(ticket, self.now);
+        for group_id in batch_queue.expire(self.now, full / (shape.size * runners)) {
+            self.open.retain(|open| open.group_id != group_id);
+            self.give_back(group_id, self.now);
         }
     }
 
-    fn launch(&mut self, former: &mut impl Former, index: usize, need: Need) {
+    fn launch(&mut self, batch_queue: &mut impl BatchQueue, index: usize, need: RequiredGroup) {
         let now = self.now;
         let runner = &mut self.runners[index];
         if runner.call.is_some() {
@@ -193,13 +193,13 @@
             .retain(|(.., until)| until.is_none_or(|until| until > now));
         let room = runner.free(self.load.room);
         let domain = self.load.domains[index];
-        let offer = Offer {
+        let offer = FreeRunner {
             room,
             domain,
             need,
-            frees: &self.frees(),
+            free_times: &self.free_times(),
         };
-        let portions = former.take(now, &offer);
+        let portions = batch_queue.take(now, &offer);
         if portions.is_empty() {
             return;
         }
@@ -215,9 +215,9 @@
         runner.call = Some((end, portions));
     }
 
-    fn frees(&self) -> Vec<Free> {
+    fn free_times(&self) -> Vec<RunnerFreeTime> {
         let runners = self.runners.iter().zip(self.load.domains);
-        let free = |(runner, domain): (&Runner, &&str)| Free {
+        let free = |(runner, domain): (&Runner, &&str)| RunnerFreeTime {
             domain: (*domain).into(),
             at: runner.call.as_ref().map_or(self.now, |(end, _)| *end),
         };
@@ -226,7 +226,7 @@
 
     fn sent(&mut self, portion: &Portion, domain: &str) {
         let mut open = self.open.iter_mut();
-        let Some(request) = open.find(|open| open.ticket == portion.ticket) else {
+        let Some(request) = open.find(|open| open.group_id == portion.group_id) else {
             return;
         };
         request.calls += 1;
--- a/crates/decide/tests/demand_traces.rs
+++ b/crates/decide/tests/demand_traces.rs
@@ -1,13 +1,13 @@
 //! Estimators of service demand on simple traces.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::demand::{Demand, Kalman, Sketch, Weighted};
+use decide::demand::{EwmaEstimator, KalmanFilter, QuantileEstimator, ServiceTimeEstimator};
 use std::time::Duration;
 
 const TRUE: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(50)];
 
 /// Runs windows whose mix of classes changes, as the filter needs to tell them apart.
-fn learn(mut demand: impl Demand) -> [f64; 2] {
+fn learn(mut demand: impl ServiceTimeEstimator) -> [f64; 2] {
     for window in 0..400_usize {
         for (class, busy) in TRUE.iter().enumerate() {
             let calls = 2 + (window * (class + 3)) % 7;
@@ -21,11 +21,11 @@
 #[test]
 fn all_converge() {
     let first = Duration::from_millis(20);
-    let kalman = Kalman::new(2, first, first / 100, first / 10);
+    let kalman = KalmanFilter::new(2, first, first / 100, first / 10);
     for ratios in [
         learn(kalman),
-        learn(Weighted::new(2, 0.05)),
-        learn(Sketch::new(2, 0.6, 100)),
+        learn(EwmaEstimator::new(2, 0.05)),
+        learn(QuantileEstimator::new(2, 0.6, 100)),
     ] {
         println!("{ratios:?}");
         assert!(ratios.iter().all(|ratio| (0.95..1.05).contains(ratio)));
--- a/crates/decide/tests/ejected_target.rs
+++ b/crates/decide/tests/ejected_target.rs
@@ -1,7 +1,7 @@
 //! Targets that are ejected while all others go.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::retry::eject::Ejection;
+use decide::retry::eject::EjectionPolicy;
 use decide::route::{Call, Pool, RoundRobin, Router, Target};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -9,11 +9,11 @@
 
 /// Two targets, of which the first has been ejected.
 fn one_ejected() -> Pool {
-    let mut pool = Pool::new(Ejection::default());
+    let mut pool = Pool::new(EjectionPolicy::default());
     for id in ["ejected", "other"] {
         pool.insert(Target::new(id, "a", 4));
     }
-    for _ in 0..Ejection::default().failures {
+    for _ in 0..EjectionPolicy::default().failures {
         pool.failed("ejected", Duration::ZERO);
     }
     assert!(pool.get("ejected").unwrap().ejected());
@@ -57,7 +57,7 @@
 #[test]
 fn quiet_service() {
     let mut pool = one_ejected();
-    let over = Ejection::default().first;
+    let over = EjectionPolicy::default().first;
     assert_eq!(pick(&mut pool, over / 2, &["other"]), None);
     assert_eq!(
         pick(&mut pool, over, &["other"]).as_deref(),
--- a/crates/decide/tests/fair_queue.rs
+++ b/crates/decide/tests/fair_queue.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::WorkspaceId;
-use decide::admit::{Call, fair::Fair};
+use decide::admit::{Call, fair::FairQueue};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::time::Duration;
@@ -127,7 +127,7 @@
     let share = |flow: usize| 1 + flow as u32 % 3;
     let steps = prop::collection::vec(step(), 0..200);
     let outcome = runner.run(&steps, |steps| {
-        let (mut fair, mut slow) = (Fair::new(LOOKAHEAD), Slow::default());
+        let (mut fair, mut slow) = (FairQueue::new(LOOKAHEAD), Slow::default());
         let mut number = 0;
         for step in steps {
             match step {
--- a/crates/decide/tests/flash_crowd.rs
+++ b/crates/decide/tests/flash_crowd.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::WorkspaceId;
-use decide::admit::{Admission, Call, Predictive, Unbounded, Verdict};
+use decide::admit::{Admission, AdmissionDecision, Call, Predictive, Unbounded};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -61,9 +61,9 @@
                 item: (workspace, at),
             };
             match admission.offer(call, SLOTS, now, &mut rng) {
-                Verdict::Start(item) => Some(item),
-                Verdict::Queued => None,
-                Verdict::Refused { retry_after, .. } => {
+                AdmissionDecision::Start(item) => Some(item),
+                AdmissionDecision::Queued => None,
+                AdmissionDecision::Refused { retry_after, .. } => {
                     counts[workspace].refused += 1;
                     waits.push(retry_after);
                     if stubborn && at < SECONDS * 1_000_000 {
@@ -153,7 +153,7 @@
     };
     admission.offer(call(0, now * 2), 1, now, &mut rng);
     let late = admission.offer(call(1, Duration::from_secs(9)), 1, now, &mut rng);
-    assert_eq!(late, Verdict::Queued);
+    assert_eq!(late, AdmissionDecision::Queued);
     let given = (2..).take(40).position(|number| {
         admission.push(call(number, now * 2), 1, now);
         admission.finished("w0", Duration::ZERO, None);
@@ -177,14 +177,14 @@
     let now = Duration::from_secs(1);
     for item in 0..4 {
         let verdict = admission.offer(call(item), 1, now, &mut rng);
-        assert!(!matches!(verdict, Verdict::Refused { .. }));
+        assert!(!matches!(verdict, AdmissionDecision::Refused { .. }));
     }
     for item in 4..10_000 {
         admission.push(call(item), 1, now);
     }
     assert!(matches!(
         admission.offer(call(0), 1, now, &mut rng),
-        Verdict::Refused { .. }
+        AdmissionDecision::Refused { .. }
     ));
     let mut run = 1;
     while admission.in_flight() > 0 {
--- a/crates/decide/tests/isolated_suspects.rs
+++ b/crates/decide/tests/isolated_suspects.rs
@@ -1,32 +1,32 @@
 //! Groups under which runners have ended, in calls of their own.
 
-use decide::batch::{Group, Isolation, Portion, Space, Suspect};
+use decide::batch::{CallCapacity, Group, Isolation, Portion, Suspect};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Runners of the cell.
 const RUNNERS: usize = 8;
-const SPACE: Space = Space {
+const SPACE: CallCapacity = CallCapacity {
     pieces: 16,
     room: 1_000,
 };
 
-fn suspect(ticket: u64, content: u64, crashes: u32) -> Suspect {
+fn suspect(group_id: u64, content: u64, crashes: u32) -> Suspect {
     Suspect {
         group: Group {
-            ticket,
+            group_id,
             pieces: 1,
-            result: 10,
+            result_bytes: 10,
             due: SECOND,
-            last: SECOND * 4,
+            expires_at: SECOND * 4,
             rank: 0,
             domain: None,
-            since: Duration::ZERO,
-            patience: Duration::ZERO,
+            arrived_at: Duration::ZERO,
+            max_domain_wait: Duration::ZERO,
         },
         content,
         crashes,
-        company: 4,
+        max_suspects: 4,
         since: Duration::ZERO,
     }
 }
--- a/crates/decide/tests/near_inputs.rs
+++ b/crates/decide/tests/near_inputs.rs
@@ -10,7 +10,9 @@
 mod common;
 
 use common::stage::{Load, Outcome, ROOM, play};
-use decide::batch::{Former, Free, Group, Need, Offer, Rules, Shape, Slack};
+use decide::batch::{
+    BatchQueue, FreeRunner, Group, RequiredGroup, Rules, RunnerFreeTime, Shape, SlackQueue,
+};
 use std::time::Duration;
 
 const SHAPE: Shape = Shape {
@@ -31,7 +33,7 @@
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    play(&mut Slack::with(SHAPE, rules), &LOAD, seed)
+    play(&mut SlackQueue::with(SHAPE, rules), &LOAD, seed)
 }
 
 /// A request waits for the runner near its inputs when that will be free in time, and all others
@@ -58,29 +60,29 @@
 fn hurries_elsewhere() {
     let ms = Duration::from_millis;
     for (free_in, waits) in [(ms(150), true), (ms(450), false)] {
-        let mut former = Slack::new(SHAPE);
-        former.push(Group {
-            ticket: 1,
+        let mut batch_queue = SlackQueue::new(SHAPE);
+        batch_queue.push(Group {
+            group_id: 1,
             pieces: 10,
-            result: 1,
+            result_bytes: 1,
             due: ms(700),
-            last: ms(3_000),
+            expires_at: ms(3_000),
             rank: 0,
             domain: Some("a".into()),
-            since: Duration::ZERO,
-            patience: ms(360),
+            arrived_at: Duration::ZERO,
+            max_domain_wait: ms(360),
         });
-        let free = |domain: &str, at| Free {
+        let free = |domain: &str, at| RunnerFreeTime {
             domain: domain.into(),
             at,
         };
-        let offer = Offer {
+        let offer = FreeRunner {
             room: 1_000,
             domain: "b",
-            need: Need::Any,
-            frees: &[free("a", free_in), free("b", Duration::ZERO)],
+            need: RequiredGroup::Any,
+            free_times: &[free("a", free_in), free("b", Duration::ZERO)],
         };
-        let taken = former.take(Duration::ZERO, &offer);
+        let taken = batch_queue.take(Duration::ZERO, &offer);
         assert_eq!(taken.is_empty(), waits, "near runner free in {free_in:?}");
     }
 }
--- a/crates/decide/tests/pool_model.rs
+++ b/crates/decide/tests/pool_model.rs
@@ -1,8 +1,10 @@
 //! The pool and the routers against an obvious slow version.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::retry::eject::Ejection;
-use decide::route::{Answer, Call, Pool, Report, RoundRobin, Router, Sampled, Target, TargetId};
+use decide::retry::eject::EjectionPolicy;
+use decide::route::{
+    Call, LoadReport, Pool, ResponseStats, RoundRobin, Router, Sampled, Target, TargetId,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -74,7 +76,7 @@
     }
 }
 
-fn failed(slow: &mut BTreeMap<TargetId, Slow>, id: &TargetId, now: u64, rule: &Ejection) {
+fn failed(slow: &mut BTreeMap<TargetId, Slow>, id: &TargetId, now: u64, rule: &EjectionPolicy) {
     let out = slow.values().filter(|target| !target.live()).count() + 1;
     let allowed = out as f64 <= rule.cap * slow.len() as f64;
     let Some(target) = slow.get_mut(id).filter(|target| target.live()) else {
@@ -89,9 +91,9 @@
 }
 
 fn apply(step: &Step, now: &mut u64, pool: &mut Pool, slow: &mut BTreeMap<TargetId, Slow>) {
-    let rule = Ejection::default();
+    let rule = EjectionPolicy::default();
     let at = Duration::from_millis(*now);
-    let answer = Answer {
+    let answer = ResponseStats {
         busy: Duration::from_millis(5),
         elapsed: Duration::from_millis(90),
         prefix: &[],
@@ -153,7 +155,7 @@
             pool.reported(
                 &name(id),
                 at,
-                Report {
+                LoadReport {
                     queued: 0,
                     running: 0,
                     limit,
--- a/crates/decide/tests/repeat_bound.rs
+++ b/crates/decide/tests/repeat_bound.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::repeats::{Guard, Seen, Terms, configured, play};
-use decide::retry::window::{Bound, Quota};
+use decide::retry::window::{Quota, RepeatLimit};
 use std::time::Duration;
 
 /// Plays in CI; `REPEAT_PLAYS` asks for more.
@@ -14,20 +14,20 @@
 struct Shipped(Quota);
 
 impl Guard for Shipped {
-    fn start(bound: Bound, _now: Duration, _is_first: bool) -> Self {
+    fn start(bound: RepeatLimit, _now: Duration, _is_first: bool) -> Self {
         Self(Quota::new(bound))
     }
 
     fn first(&mut self, now: Duration, _arrived: Duration) {
-        self.0.first(now, 1);
+        self.0.record_first_attempts(now, 1);
     }
 
     fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool {
-        self.0.repeat(now, configured(processes))
+        self.0.try_repeat(now, configured(processes))
     }
 
-    fn rebind(&mut self, now: Duration, bound: Bound) {
-        self.0.rebind(now, bound);
+    fn set_limit(&mut self, now: Duration, bound: RepeatLimit) {
+        self.0.set_limit(now, bound);
     }
 }
 
@@ -42,7 +42,7 @@
 struct Rule {
     requests: Vec<Nanos>,
     arrivals: Vec<Nanos>,
-    bounds: Vec<(Bound, Nanos, Nanos)>,
+    bounds: Vec<(RepeatLimit, Nanos, Nanos)>,
     window: Nanos,
 }
 
--- a/crates/decide/tests/retry_storm.rs
+++ b/crates/decide/tests/retry_storm.rs
@@ -1,14 +1,14 @@
 //! Retries, hedges and ejection while much fails at once.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::retry::eject::Ejection;
-use decide::retry::window::{Bound, Quota};
-use decide::retry::{Always, Budgeted, Failure, Retry, Share};
+use decide::retry::eject::EjectionPolicy;
+use decide::retry::window::{Quota, RepeatLimit};
+use decide::retry::{Always, BudgetRatios, Budgeted, Failure, Retry};
 use decide::route::{Pool, Target};
 use std::time::Duration;
 
 fn budgeted(attainment: f64) -> Budgeted {
-    Budgeted::new(Share::weighted(attainment))
+    Budgeted::new(BudgetRatios::weighted(attainment))
 }
 
 /// Sends `calls` calls, one each millisecond, of which all but each `whole`th attempt fail, and
@@ -87,7 +87,7 @@
 /// them look like an outlier. Were they all ejected, nobody would be served at all.
 #[test]
 fn half_stay() {
-    let mut pool = Pool::new(Ejection::default());
+    let mut pool = Pool::new(EjectionPolicy::default());
     for number in 0..10 {
         pool.insert(Target::new(format!("r{number}"), "a", 4));
     }
@@ -109,7 +109,7 @@
 /// count: with an empty window each change of the settings would grant the whole bound once more.
 #[test]
 fn bound_changed() {
-    let bound = |slack| Bound {
+    let bound = |slack| RepeatLimit {
         ratio: 0.0,
         slack,
         window: Duration::from_secs(10),
@@ -117,12 +117,12 @@
     let mut quota = Quota::new(bound(8.0));
     let granted = |quota: &mut Quota, at| {
         let now = Duration::from_secs(at);
-        (0..20).filter(|_| quota.repeat(now, 1)).count()
+        (0..20).filter(|_| quota.try_repeat(now, 1)).count()
     };
     assert_eq!(granted(&mut quota, 1), 8);
-    quota.rebind(Duration::from_secs(2), bound(10.0));
+    quota.set_limit(Duration::from_secs(2), bound(10.0));
     assert_eq!(granted(&mut quota, 2), 2);
-    quota.rebind(Duration::from_secs(3), bound(4.0));
+    quota.set_limit(Duration::from_secs(3), bound(4.0));
     assert_eq!(granted(&mut quota, 3), 0);
     assert_eq!(granted(&mut quota, 30), 4, "the window is over");
 }
--- a/crates/decide/tests/runner_limit.rs
+++ b/crates/decide/tests/runner_limit.rs
@@ -1,7 +1,7 @@
 //! A runner in need names a limit, and callers of many processes press on.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::share::Share;
+use decide::share::RateShare;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -15,12 +15,12 @@
 const CONNECT: Duration = Duration::from_millis(300);
 
 /// Most requests within any span, where each process that may send wants to all the time.
-fn peak(share: Share, seed: u64) -> usize {
+fn peak(share: RateShare, seed: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut moments = Vec::new();
-    for _ in 0..share.places {
+    for _ in 0..share.senders {
         // All have learnt of the limit within moments.
-        let mut granted = share.gap + rng.random_range(Duration::ZERO..CONNECT);
+        let mut granted = share.interval + rng.random_range(Duration::ZERO..CONNECT);
         while granted < SPAN * 40 {
             let delay = if rng.random_bool(0.5) {
                 CONNECT
@@ -28,7 +28,7 @@
                 Duration::ZERO
             };
             moments.push(granted + delay);
-            granted += share.gap;
+            granted += share.interval;
         }
     }
     moments.sort_unstable();
@@ -43,7 +43,7 @@
     EXCESS * rate * SPAN.as_secs_f64() + BESIDES
 }
 
-fn peaks(share: impl Fn(Duration, usize) -> Share) -> Vec<(f64, usize, usize)> {
+fn peaks(share: impl Fn(Duration, usize) -> RateShare) -> Vec<(f64, usize, usize)> {
     let mut over = Vec::new();
     for rate in [0.2, 0.5, 1.0, 2.0, 7.3, 30.0] {
         for processes in [1, 2, 3, 4, 5, 8, 27, 68, 300] {
@@ -63,15 +63,15 @@
 /// What all processes send together stays under the limit, whatever their number.
 #[test]
 fn kept_together() {
-    assert_eq!(peaks(Share::spaced), []);
+    assert_eq!(peaks(RateShare::from_interval), []);
 }
 
 /// An equal part for each process: the gaps are so long that all first requests fall into one span.
 #[test]
 fn equal_parts_exceed() {
-    let equal = |spacing: Duration, processes: usize| Share {
-        places: processes,
-        gap: spacing * processes as u32,
+    let equal = |spacing: Duration, processes: usize| RateShare {
+        senders: processes,
+        interval: spacing * processes as u32,
     };
     let over = peaks(equal);
     assert!(
@@ -88,8 +88,8 @@
 #[test]
 fn used_up() {
     for processes in [1, 4, 68] {
-        let share = Share::spaced(Duration::from_millis(250), processes);
-        let rate = share.places as f64 / share.gap.as_secs_f64();
+        let share = RateShare::from_interval(Duration::from_millis(250), processes);
+        let rate = share.senders as f64 / share.interval.as_secs_f64();
         assert!((rate - 4.0).abs() < 0.01, "{processes}: {rate}");
     }
 }
--- a/crates/decide/tests/shared_burdens.rs
+++ b/crates/decide/tests/shared_burdens.rs
@@ -8,8 +8,8 @@
 //! to the first event rose from 0.2 to 0.9 s in such a burst.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use decide::route::affine::Part;
-use decide::route::{Affine, Burden, Call, Pool, Router, Target, TargetId};
+use decide::route::affinity::PromptPart;
+use decide::route::{Call, CallLoad, Pool, PrefixAffinity, Router, Target, TargetId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{HashMap, HashSet};
@@ -70,11 +70,11 @@
         let own = (-2_890.0 * self.rng.random::<f64>().max(1e-6).ln()) as u32;
         let block = 1_000 + second;
         let parts = [
-            Part {
+            PromptPart {
                 block: first,
                 tokens: FIRST,
             },
-            Part {
+            PromptPart {
                 block,
                 tokens: SECOND,
             },
@@ -87,11 +87,11 @@
             slack: Duration::from_secs(1),
         };
         let pool = &mut self.pools[process];
-        let picked = Affine::new(PROCESSES, &parts).pick(pool, &call, &mut self.rng);
+        let picked = PrefixAffinity::new(PROCESSES, &parts).pick(pool, &call, &mut self.rng);
         let id = picked.unwrap();
         let reading = f64::from(own) * TOKEN;
         pool.sent(&id, now);
-        pool.reads(&id, now, reading);
+        pool.prompt_sent(&id, now, reading);
         let runner: usize = id.parse().unwrap();
         let mut tokens = own;
         for part in parts {
@@ -118,21 +118,21 @@
         for sent in over {
             let pool = &mut self.pools[sent.process];
             let id = sent.runner.to_string();
-            pool.has_read(&id, sent.reading);
+            pool.prompt_read(&id, sent.reading);
             pool.returned(&id);
         }
     }
 
     /// All processes tell of their calls, and each hears what the others have.
     fn tell(&mut self, now: Duration) {
-        let told: Vec<_> = self.pools.iter().map(Pool::burdens).collect();
+        let told: Vec<_> = self.pools.iter().map(Pool::call_loads).collect();
         for process in 0..PROCESSES {
-            let mut sums: HashMap<TargetId, Burden> = HashMap::new();
+            let mut sums: HashMap<TargetId, CallLoad> = HashMap::new();
             let others = told.iter().enumerate().filter(|(from, _)| *from != process);
-            for (id, burden) in others.flat_map(|(_, burdens)| burdens) {
-                *sums.entry(id.clone()).or_default() += *burden;
+            for (id, call_load) in others.flat_map(|(_, burdens)| burdens) {
+                *sums.entry(id.clone()).or_default() += *call_load;
             }
-            self.pools[process].told(now, sums.into_iter().collect());
+            self.pools[process].update_peer_loads(now, sums.into_iter().collect());
         }
     }
 }
--- a/crates/decide/tests/stage_burst.rs
+++ b/crates/decide/tests/stage_burst.rs
@@ -6,7 +6,7 @@
 //! are the figures of a measured retrieval stage before a model. At one request a call the runners
 //! make 20 requests a second, at full calls 43; 15 come usually and 38 in the burst.
 
-use decide::batch::{Arrival, Former, Group, Need, Offer, Shape, Slack};
+use decide::batch::{BatchQueue, FifoQueue, FreeRunner, Group, RequiredGroup, Shape, SlackQueue};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -21,11 +21,11 @@
 const DEADLINE: Duration = Duration::from_secs(6);
 const STEP: Duration = Duration::from_millis(5);
 const END: Duration = Duration::from_secs(30);
-const OFFER: Offer<'_> = Offer {
+const OFFER: FreeRunner<'_> = FreeRunner {
     room: 1_000,
     domain: "a",
-    need: Need::Any,
-    frees: &[],
+    need: RequiredGroup::Any,
+    free_times: &[],
 };
 
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
     if burst { 38.0 } else { 15.0 }
 }
 
-fn play(former: &mut impl Former, seed: u64) -> Outcome {
+fn play(batch_queue: &mut impl BatchQueue, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut runners: Vec<Option<Call>> = (0..RUNNERS).map(|_| None).collect();
     let mut open: Vec<(u64, Duration, u32)> = Vec::new();
@@ -58,28 +58,30 @@
     while now < END {
         if rng.random_bool(rate(now) * STEP.as_secs_f64()) {
             outcome.asked += 1;
-            let (ticket, pieces) = (u64::from(outcome.asked), rng.random_range(2..4));
-            open.push((ticket, now, pieces));
-            former.push(group(ticket, pieces, now));
+            let (group_id, pieces) = (u64::from(outcome.asked), rng.random_range(2..4));
+            open.push((group_id, now, pieces));
+            batch_queue.push(group(group_id, pieces, now));
         }
         for runner in &mut runners {
             if let Some(call) = runner.take_if(|call| call.end <= now) {
                 land(&call, now, &mut open, &mut outcome);
             }
         }
-        for ticket in former.expire(now, piece) {
+        for group_id in batch_queue.expire(now, piece) {
             let began = open
                 .iter()
-                .find(|(open, ..)| *open == ticket)
+                .find(|(open, ..)| *open == group_id)
                 .map(|(_, began, _)| *began);
             outcome.kept = outcome.kept.max(now - began.unwrap_or(now));
-            open.retain(|(open, ..)| *open != ticket);
+            open.retain(|(open, ..)| *open != group_id);
         }
         for runner in runners.iter_mut().filter(|runner| runner.is_none()) {
-            let taken = former.take(now, &OFFER);
+            let taken = batch_queue.take(now, &OFFER);
             let pieces: u32 = taken.iter().map(|portion| portion.pieces).sum();
             if pieces > 0 {
-                let groups = taken.iter().map(|portion| (portion.ticket, portion.pieces));
+                let groups = taken
+                    .iter()
+                    .map(|portion| (portion.group_id, portion.pieces));
                 let end = now + SHAPE.call + SHAPE.piece * pieces;
                 *runner = Some(Call {
                     end,
@@ -92,23 +94,23 @@
     outcome
 }
 
-fn group(ticket: u64, pieces: u32, now: Duration) -> Group {
+fn group(group_id: u64, pieces: u32, now: Duration) -> Group {
     Group {
-        ticket,
+        group_id,
         pieces,
-        result: 1,
+        result_bytes: 1,
         due: now + AIM,
-        last: now + DEADLINE,
+        expires_at: now + DEADLINE,
         rank: 0,
         domain: None,
-        since: now,
-        patience: Duration::ZERO,
+        arrived_at: now,
+        max_domain_wait: Duration::ZERO,
     }
 }
 
 fn land(call: &Call, now: Duration, open: &mut Vec<(u64, Duration, u32)>, outcome: &mut Outcome) {
-    for (ticket, pieces) in &call.groups {
-        let Some(request) = open.iter_mut().find(|(open, ..)| open == ticket) else {
+    for (group_id, pieces) in &call.groups {
+        let Some(request) = open.iter_mut().find(|(open, ..)| open == group_id) else {
             continue;
         };
         request.2 -= pieces;
@@ -124,8 +126,8 @@
 #[test]
 fn shared_calls() {
     for seed in 1..=3 {
-        let naive = play(&mut Arrival::new(SHAPE), seed);
-        let shipped = play(&mut Slack::new(SHAPE), seed);
+        let naive = play(&mut FifoQueue::new(SHAPE), seed);
+        let shipped = play(&mut SlackQueue::new(SHAPE), seed);
         let share = |outcome: &Outcome| f64::from(outcome.on_time) / f64::from(outcome.asked);
         assert!(share(&naive) < 0.8, "seed {seed}: {naive:?}");
         assert!(share(&shipped) > 0.9, "seed {seed}: {shipped:?}");
@@ -137,7 +139,7 @@
 #[test]
 fn given_up_soon() {
     for seed in 1..=3 {
-        let shipped = play(&mut Slack::new(SHAPE), seed);
+        let shipped = play(&mut SlackQueue::new(SHAPE), seed);
         assert!(shipped.kept < DEADLINE / 3, "seed {seed}: {shipped:?}");
     }
 }
@@ -146,18 +148,18 @@
 /// cannot bring all through in a burst; one that is due much sooner is not overtaken for that.
 #[test]
 fn small_first() {
-    let at = |ticket, pieces, due_ms| Group {
+    let at = |group_id, pieces, due_ms| Group {
         due: Duration::from_millis(due_ms),
-        ..group(ticket, pieces, Duration::ZERO)
+        ..group(group_id, pieces, Duration::ZERO)
     };
-    let mut former = Slack::new(SHAPE);
+    let mut batch_queue = SlackQueue::new(SHAPE);
     for group in [at(1, 7, 2_000), at(2, 2, 2_000), at(3, 8, 900)] {
-        former.push(group);
+        batch_queue.push(group);
     }
     let mut order = Vec::new();
-    while former.waiting() > 0 {
-        let taken = former.take(Duration::ZERO, &OFFER);
-        order.extend(taken.iter().map(|portion| portion.ticket));
+    while batch_queue.waiting_pieces() > 0 {
+        let taken = batch_queue.take(Duration::ZERO, &OFFER);
+        order.extend(taken.iter().map(|portion| portion.group_id));
     }
     order.dedup();
     assert_eq!(order, [3, 2, 1]);
--- a/crates/decide/tests/whole_groups.rs
+++ b/crates/decide/tests/whole_groups.rs
@@ -9,7 +9,9 @@
 mod common;
 
 use common::stage::{Load, Outcome, play};
-use decide::batch::{Former, Group, Need, Offer, Portion, Rules, Shape, Slack};
+use decide::batch::{
+    BatchQueue, FreeRunner, Group, Portion, RequiredGroup, Rules, Shape, SlackQueue,
+};
 use std::time::Duration;
 
 const SHAPE: Shape = Shape {
@@ -36,7 +38,7 @@
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    play(&mut Slack::with(SHAPE, rules), &LOAD, seed)
+    play(&mut SlackQueue::with(SHAPE, rules), &LOAD, seed)
 }
 
 /// Calls filled to the last place divide one request in ten. It depends on two calls and on the
@@ -61,29 +63,29 @@
 #[test]
 fn too_large_divided() {
     let group = |pieces| Group {
-        ticket: 1,
+        group_id: 1,
         pieces,
-        result: 10,
+        result_bytes: 10,
         due: Duration::from_secs(1),
-        last: Duration::from_secs(4),
+        expires_at: Duration::from_secs(4),
         rank: 0,
         domain: None,
-        since: Duration::ZERO,
-        patience: Duration::ZERO,
+        arrived_at: Duration::ZERO,
+        max_domain_wait: Duration::ZERO,
     };
     for (pieces, room, taken) in [(40, 1_000, 28), (6, 40, 4)] {
-        let mut former = Slack::new(SHAPE);
-        former.push(group(pieces));
-        let offer = Offer {
+        let mut batch_queue = SlackQueue::new(SHAPE);
+        batch_queue.push(group(pieces));
+        let offer = FreeRunner {
             room,
             domain: "a",
-            need: Need::Any,
-            frees: &[],
+            need: RequiredGroup::Any,
+            free_times: &[],
         };
         let portion = Portion {
-            ticket: 1,
+            group_id: 1,
             pieces: taken,
         };
-        assert_eq!(former.take(Duration::ZERO, &offer), [portion]);
+        assert_eq!(batch_queue.take(Duration::ZERO, &offer), [portion]);
     }
 }
--- a/crates/entry/src/budgets.rs
+++ b/crates/entry/src/budgets.rs
@@ -1,7 +1,7 @@
 //! Time budgets of the pipelines' stages.
 
 use decide::Either;
-use decide::budget::{Budget, Slot, Split, Whole};
+use decide::budget::{Budget, FullBudget, Split, StageSchedule};
 use foldhash::fast::RandomState;
 use record::{Pipeline, Version};
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 type Key = (String, Version);
-type Choice = Either<Whole, Split>;
+type Choice = Either<FullBudget, Split>;
 
 /// Time budgets by pipeline and version.
 #[derive(Debug)]
@@ -29,16 +29,16 @@
     }
 
     /// By when a stage should start.
-    pub fn slot(
+    pub fn schedule(
         &self,
         pipeline: &Pipeline,
         stage: usize,
         now: Duration,
         arrived: Duration,
         deadline: Duration,
-    ) -> Slot {
+    ) -> StageSchedule {
         self.with(pipeline, |budget| {
-            budget.slot(stage, now, arrived, deadline)
+            budget.schedule(stage, now, arrived, deadline)
         })
     }
 
@@ -54,7 +54,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         let key = (pipeline.name.clone(), pipeline.version);
         let budget = budgets.entry(key).or_insert_with(|| match self.policy {
-            setting::Policy::Naive => Either::Naive(Whole),
+            setting::Policy::Naive => Either::Naive(FullBudget),
             setting::Policy::Shipped => Either::Shipped(Split::new(pipeline.stages.len())),
         });
         work(budget)
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -16,7 +16,7 @@
 use crate::services::Services;
 use crate::telemetry::Telemetry;
 use crate::writes::Writes;
-use decide::budget::Slot;
+use decide::budget::StageSchedule;
 use record::service::Runner;
 use slog::Logger;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -120,16 +120,22 @@
     }
 
     /// By when a stage of a job should start, and how urgent it is.
-    pub fn slot(&self, job: &Job, position: usize) -> Slot {
+    pub fn schedule(&self, job: &Job, position: usize) -> StageSchedule {
         let since = |moment: Instant| moment.saturating_duration_since(self.started);
         let now = since(Instant::now());
         let (arrived, deadline) = (since(job.accepted), since(job.deadline));
         self.budgets
-            .slot(&job.pipeline, position, now, arrived, deadline)
+            .schedule(&job.pipeline, position, now, arrived, deadline)
     }
 
     /// What the decisions need to know of a stage of a job with this input.
-    pub fn demand(&self, job: &Job, position: usize, slot: &Slot, input: &[u8]) -> Demand {
+    pub fn demand(
+        &self,
+        job: &Job,
+        position: usize,
+        schedule: &StageSchedule,
+        input: &[u8],
+    ) -> Demand {
         let workspace = job.set.workspace(&job.workspace);
         let stage = &job.pipeline.stages[position];
         let service = job.set.service(&stage.service);
@@ -137,7 +143,7 @@
         Demand {
             workspace: job.workspace.as_str().into(),
             share: workspace.map_or(1, |workspace| workspace.share),
-            latest_start: slot.latest_start,
+            latest_start: schedule.latest_start,
             prefix: if cached {
                 prefix::blocks(input)
             } else {
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -198,15 +198,15 @@
         }
     }
     for position in 1..job.pipeline.stages.len() {
-        let slot = core.slot(job, position);
-        let demand = core.demand(job, position, &slot, &[]);
+        let schedule = core.schedule(job, position);
+        let demand = core.demand(job, position, &schedule, &[]);
         let service = core.services.get(&job.pipeline.stages[position].service);
         if let Some(overload) = service.overload(&demand) {
             return Err(refused(overload));
         }
     }
-    let slot = core.slot(job, 0);
-    let demand = core.demand(job, 0, &slot, &[]);
+    let schedule = core.schedule(job, 0);
+    let demand = core.demand(job, 0, &schedule, &[]);
     let service = core.services.get(&job.pipeline.stages[0].service);
     let mut waiter = Waiter::new(core, job, 0, job.may_have_run());
     match waiter.until(service.offer(&demand)).await {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -5,10 +5,10 @@
 
 use crate::service::policy::Policy;
 use crate::target::{Change, Observer, Target};
-use decide::admit::{Admission, Ask, Verdict};
+use decide::admit::{Admission, AdmissionDecision, AdmissionRequest};
 use decide::limit::{Limit, Sample};
 use decide::retry::{Failure, Retry};
-use decide::route::{self, Block, Report, Router, TargetId};
+use decide::route::{self, Block, LoadReport, Router, TargetId};
 use foldhash::fast::RandomState;
 use rand::Rng;
 use record::{Map, Set};
@@ -245,7 +245,7 @@
         let now = self.now();
         let mut state = self.lock();
         let limit = state.limit();
-        let ask = Ask {
+        let ask = AdmissionRequest {
             workspace: &demand.workspace,
             share: demand.share,
             latest_start: demand.latest_start,
@@ -271,9 +271,9 @@
             admission.offer(call, limit, now, &mut rand::rng())
         };
         match verdict {
-            Verdict::Start(ticket) => self.wake(ticket),
-            Verdict::Queued => {}
-            Verdict::Refused { retry_after, .. } => return Err(Overload { retry_after }),
+            AdmissionDecision::Start(ticket) => self.wake(ticket),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused { retry_after, .. } => return Err(Overload { retry_after }),
         }
         Ok(self.wait(turn, demand).await)
     }
@@ -378,7 +378,7 @@
     ) {
         let now = self.now();
         let mut state = self.lock();
-        let answer = route::Answer {
+        let answer = route::ResponseStats {
             busy,
             elapsed,
             prefix: &demand.prefix,
@@ -504,8 +504,8 @@
     }
 }
 
-fn report(load: Load) -> Report {
-    Report {
+fn report(load: Load) -> LoadReport {
+    LoadReport {
         queued: load.queued,
         running: load.running,
         limit: load.limit,
--- a/crates/entry/src/service/policy.rs
+++ b/crates/entry/src/service/policy.rs
@@ -2,10 +2,10 @@
 
 use super::Ticket;
 use decide::Either;
-use decide::admit::{Predictive, Unbounded, predictive::Bounds};
+use decide::admit::{Predictive, Unbounded, predictive::AdmissionConfig};
 use decide::limit::{Fixed, Gradient};
-use decide::retry::eject::Ejection;
-use decide::retry::{Always, Budgeted, Share};
+use decide::retry::eject::EjectionPolicy;
+use decide::retry::{Always, BudgetRatios, Budgeted};
 use decide::route::{Pool, RoundRobin, Sampled};
 
 /// Calls in flight that a service starts with before its targets are known.
@@ -28,7 +28,7 @@
 /// The targets' table; the naive decisions eject nobody.
 pub fn pool(policy: setting::Policy) -> Pool {
     match policy {
-        setting::Policy::Naive => Pool::new(Ejection::never()),
+        setting::Policy::Naive => Pool::new(EjectionPolicy::never()),
         setting::Policy::Shipped => Pool::default(),
     }
 }
@@ -46,9 +46,9 @@
             },
             setting::Policy::Shipped => Self {
                 router: Either::Shipped(Sampled),
-                admission: Either::Shipped(Predictive::new(Bounds::default())),
+                admission: Either::Shipped(Predictive::new(AdmissionConfig::default())),
                 limit: Either::Shipped(Gradient::new(FIRST_LIMIT, FIRST_LIMIT, FIRST_LIMIT)),
-                retry: Either::Shipped(Budgeted::new(Share::weighted(0.0))),
+                retry: Either::Shipped(Budgeted::new(BudgetRatios::weighted(0.0))),
                 attainment: 0.0,
             },
         }
@@ -61,7 +61,7 @@
         }
         self.attainment = attainment;
         if let Either::Shipped(retry) = &mut self.retry {
-            *retry = Budgeted::new(Share::weighted(attainment));
+            *retry = Budgeted::new(BudgetRatios::weighted(attainment));
         }
     }
 }
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -15,7 +15,7 @@
 use crate::target::{Inbox, Message, Target};
 use crate::wait::{GivenUp, Waiter};
 use bytes::{Bytes, BytesMut};
-use decide::budget::Slot;
+use decide::budget::StageSchedule;
 use decide::route::TargetId;
 use protocol::stage::{Action, Mode, Stage};
 use protocol::{Attempt, CallId, StageIndex};
@@ -58,7 +58,7 @@
     ran: bool,
     streamed: bool,
     service: Arc<Service>,
-    slot: Slot,
+    schedule: StageSchedule,
     demand: Demand,
     input: Bytes,
     machine: Stage,
@@ -92,8 +92,8 @@
     ) -> Self {
         let spec = &job.pipeline.stages[position];
         let service = core.services.get(&spec.service);
-        let slot = core.slot(job, position);
-        let demand = core.demand(job, position, &slot, &input);
+        let schedule = core.schedule(job, position);
+        let demand = core.demand(job, position, &schedule, &input);
         let (inbox, messages) = mpsc::unbounded_channel();
         let ran = position > 0 || job.may_have_run();
         Self {
@@ -104,7 +104,7 @@
             ran,
             streamed,
             service,
-            slot,
+            schedule,
             demand,
             input,
             machine: Stage::new(Mode {
@@ -225,7 +225,7 @@
             stage: self.spec.name.clone(),
             repeatable: self.spec.repeatable,
             stream: self.streamed,
-            priority: self.slot.priority,
+            priority: self.schedule.priority,
             remaining: self.job.remaining(),
             prefix: self.demand.prefix.clone(),
             resume,
--- a/crates/entry/src/stage/retry.rs
+++ b/crates/entry/src/stage/retry.rs
@@ -6,7 +6,7 @@
 use crate::service::models::Availability;
 use crate::wait::GivenUp;
 use decide::retry::Failure;
-use decide::wait::Outlook;
+use decide::wait::TargetAvailability;
 use protocol::Attempt;
 use protocol::call;
 use rand::Rng;
@@ -52,7 +52,7 @@
     /// Waits for a target that would take the stage; the pauses grow and differ.
     pub(super) async fn rest(&mut self) -> Result<(), End> {
         self.want_model();
-        let refused = self.waiter.outlook() == Outlook::Open;
+        let refused = self.waiter.outlook() == TargetAvailability::Open;
         if refused && self.began.elapsed() > PATIENCE {
             return Err(self.end());
         }
--- a/crates/entry/src/wait.rs
+++ b/crates/entry/src/wait.rs
@@ -5,7 +5,7 @@
 use crate::job::Job;
 use crate::service::Service;
 use crate::service::models::Availability;
-use decide::wait::{Bounds, Outlook, Verdict, Wait};
+use decide::wait::{TargetAvailability, Wait, WaitDecision, WaitLimits};
 use futures::FutureExt;
 use protocol::RequestId;
 use record::Set;
@@ -20,13 +20,13 @@
 const USUAL: Duration = Duration::from_secs(1);
 /// Bounds for a request of which nothing has run: it can be refused in truth, and is refused within a
 /// second of when a new one would be.
-const FRESH: Bounds = Bounds {
+const FRESH: WaitLimits = WaitLimits {
     closed: Duration::from_millis(500),
     unknown: Duration::from_secs(6),
     total: Duration::from_secs(3_600),
 };
 /// Bounds for a request of which stages have run: nobody can take it up anew.
-const BEGUN: Bounds = Bounds {
+const BEGUN: WaitLimits = WaitLimits {
     closed: Duration::from_secs(300),
     unknown: Duration::from_secs(300),
     ..FRESH
@@ -84,7 +84,7 @@
 
     /// A target has taken the call: what speaks against it later counts from then on.
     pub fn taken(&mut self) {
-        self.wait.observe(Outlook::Open, self.core.now());
+        self.wait.observe(TargetAvailability::Open, self.core.now());
     }
 
     /// Whether the call may get a target, and after which time to look again.
@@ -94,24 +94,24 @@
         let verdict = self.wait.observe(outlook, now);
         self.log(outlook, verdict);
         match verdict {
-            Verdict::Wait { until } => Ok(until.saturating_sub(now).min(LOOK)),
-            Verdict::GiveUp { .. } => Err(GivenUp),
+            WaitDecision::Wait { until } => Ok(until.saturating_sub(now).min(LOOK)),
+            WaitDecision::GiveUp { .. } => Err(GivenUp),
         }
     }
 
     /// Whether the call can get a target as things stand.
-    pub fn outlook(&self) -> Outlook {
+    pub fn outlook(&self) -> TargetAvailability {
         let set = self.core.config.current();
         outlook(&self.service, self.stage.model.as_deref(), &set)
     }
 
-    fn log(&mut self, outlook: Outlook, verdict: Verdict) {
+    fn log(&mut self, outlook: TargetAvailability, verdict: WaitDecision) {
         let now = self.core.now();
-        let usual = outlook == Outlook::Open && self.wait.elapsed(now) < USUAL;
+        let usual = outlook == TargetAvailability::Open && self.wait.elapsed(now) < USUAL;
         let (message, until) = match verdict {
-            Verdict::Wait { .. } if self.logged || usual => return,
-            Verdict::Wait { until } => ("call waits", until),
-            Verdict::GiveUp { .. } => ("call given up", now),
+            WaitDecision::Wait { .. } if self.logged || usual => return,
+            WaitDecision::Wait { until } => ("call waits", until),
+            WaitDecision::GiveUp { .. } => ("call given up", now),
         };
         self.logged = true;
         let queue = self.service.queue();
@@ -130,17 +130,17 @@
 
 /// Whether a call at a service, for a model if it names one, can get a target.
 #[must_use]
-pub fn outlook(service: &Service, model: Option<&str>, set: &Set) -> Outlook {
+pub fn outlook(service: &Service, model: Option<&str>, set: &Set) -> TargetAvailability {
     if !service.is_served(set) {
-        return Outlook::Closed;
+        return TargetAvailability::Closed;
     }
     let Some(model) = model else {
-        return Outlook::Open;
+        return TargetAvailability::Open;
     };
     match service.availability(model, set) {
-        Availability::Warm => Outlook::Open,
-        Availability::Loading => Outlook::Loading,
-        Availability::Pending => Outlook::Unknown,
-        Availability::Absent => Outlook::Closed,
+        Availability::Warm => TargetAvailability::Open,
+        Availability::Loading => TargetAvailability::Loading,
+        Availability::Pending => TargetAvailability::Unknown,
+        Availability::Absent => TargetAvailability::Closed,
     }
 }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -12,7 +12,7 @@
 use crate::serve::Job;
 use crate::splice;
 use crate::telemetry::millis;
-use decide::route::{self, Affine, Router};
+use decide::route::{self, PrefixAffinity, Router};
 use slog::info;
 use std::sync::Arc;
 use std::time::Duration;
@@ -251,7 +251,7 @@
     let processes = relay.processes();
     let id = relay.pool(&job.service, |pool| {
         pool.readmit(call.now);
-        relay.random(|rng| Affine::new(processes, shared).pick(pool, &call, rng))
+        relay.random(|rng| PrefixAffinity::new(processes, shared).pick(pool, &call, rng))
     })?;
     relay.runner(&id)
 }
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -7,7 +7,7 @@
 use crate::request::ContentId;
 use crate::runner::Runner;
 use crate::serve::Job;
-use decide::route::{self, Pool, Target, affine};
+use decide::route::{self, Pool, Target, affinity};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,11 +26,11 @@
 impl Before {
     fn new(pool: &Pool, id: &str, now: Duration) -> Self {
         let target = pool.get(id);
-        let others = target.and_then(|target| pool.elsewhere(target, now));
+        let others = target.and_then(|target| pool.peer_load(target, now));
         Self {
             own: target.map_or(0, Target::in_flight),
             others: others.map(|others| others.calls),
-            told: pool.told_age(now),
+            told: pool.peer_loads_age(now),
         }
     }
 }
@@ -57,12 +57,12 @@
     pub(super) fn new(job: &Job<D>, runner: Arc<Runner>) -> Self {
         let now = job.relay.now();
         let prompt = job.request.prompt.as_ref();
-        let reading = prompt.map_or(0.0, |prompt| affine::reading(prompt.own()));
+        let reading = prompt.map_or(0.0, |prompt| affinity::read_seconds(prompt.own()));
         let before = job.relay.pool(&job.service, |pool| {
             let before = Before::new(pool, &runner.id, now);
             pool.sent(&runner.id, now);
             if prompt.is_some() {
-                pool.reads(&runner.id, now, reading);
+                pool.prompt_sent(&runner.id, now, reading);
             }
             before
         });
@@ -86,7 +86,7 @@
         let reading = std::mem::take(&mut self.reading);
         if reading > 0.0 {
             self.relay.pool(&self.service, |pool| {
-                pool.has_read(&self.runner.id, reading);
+                pool.prompt_read(&self.runner.id, reading);
             });
         }
     }
@@ -107,7 +107,7 @@
     pub fn answered(mut self, elapsed: Duration) {
         self.over = true;
         let now = self.relay.now();
-        let answer = route::Answer {
+        let answer = route::ResponseStats {
             busy: elapsed,
             elapsed,
             prefix: &[],
--- a/crates/relay/src/batch/form.rs
+++ b/crates/relay/src/batch/form.rs
@@ -6,7 +6,7 @@
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::plan::{Batches, ServiceId};
-use decide::batch::{Former, Free, Need, Offer, Portion};
+use decide::batch::{BatchQueue, FreeRunner, Portion, RequiredGroup, RunnerFreeTime};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -33,8 +33,8 @@
         let at = relay.at(now);
         self.set_apart(relay, at);
         self.drop_useless(at, self.piece_time(&batches));
-        let former = self.former.as_ref()?;
-        let queue = self.piece_time(&batches) * former.waiting();
+        let batch_queue = self.batch_queue.as_ref()?;
+        let queue = self.piece_time(&batches) * batch_queue.waiting_pieces();
         let places = free_places(&self.places, batches, queue, now);
         let choice = match self.choose_suspects(relay, service, batches, &places) {
             Some(choice) => choice,
@@ -47,29 +47,29 @@
     fn choose(&mut self, started: Instant, batches: Batches, places: &[usize]) -> Option<Choosing> {
         let now = Instant::now();
         let at = now.saturating_duration_since(started);
-        if places.is_empty() || self.former.as_ref()?.waiting() == 0 {
+        if places.is_empty() || self.batch_queue.as_ref()?.waiting_pieces() == 0 {
             return None;
         }
-        let free = |place: &Place| Free {
+        let free = |place: &Place| RunnerFreeTime {
             domain: place.runner.domain.clone(),
             at: place
                 .free_at(batches, now)
                 .saturating_duration_since(started),
         };
-        let frees: Vec<Free> = self.places.iter().map(free).collect();
-        let former = self.former.as_mut()?;
-        let tries = [Need::Near, Need::Any].into_iter();
+        let free_times: Vec<RunnerFreeTime> = self.places.iter().map(free).collect();
+        let batch_queue = self.batch_queue.as_mut()?;
+        let tries = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
         let mut tries = tries.flat_map(|need| places.iter().map(move |&index| (index, need)));
         tries.find_map(|(index, need)| {
             let place = &mut self.places[index];
             let room = place.room(batches, now);
-            let offer = Offer {
+            let offer = FreeRunner {
                 room: room.free,
                 domain: &place.runner.domain,
                 need,
-                frees: &frees,
+                free_times: &free_times,
             };
-            let portions = former.take(at, &offer);
+            let portions = batch_queue.take(at, &offer);
             (!portions.is_empty()).then_some(Choosing {
                 index,
                 room,
@@ -91,7 +91,7 @@
         let waiting = &self.waiting;
         let bytes = |portion: &Portion| {
             let result = waiting
-                .get(&portion.ticket)
+                .get(&portion.group_id)
                 .map_or(0, |waiting| waiting.order.result);
             result * u64::from(portion.pieces)
         };
@@ -123,7 +123,7 @@
     /// Binds the pieces of a call to its runner.
     fn assemble(&mut self, mut launch: Launch, portions: &[Portion], now: Instant) -> Launch {
         for portion in portions {
-            let Some(waiting) = self.waiting.get_mut(&portion.ticket) else {
+            let Some(waiting) = self.waiting.get_mut(&portion.group_id) else {
                 continue;
             };
             let at = waiting.todo.len().saturating_sub(portion.pieces as usize);
@@ -131,7 +131,7 @@
             pieces.reverse();
             let items = pieces.iter().map(|&piece| waiting.item(piece, now));
             launch.items.extend(items);
-            launch.portions.push((portion.ticket, pieces));
+            launch.portions.push((portion.group_id, pieces));
             if !launch.contents.contains(&waiting.order.content) {
                 launch.contents.push(waiting.order.content);
             }
--- a/crates/relay/src/batch/launch.rs
+++ b/crates/relay/src/batch/launch.rs
@@ -4,7 +4,7 @@
 use crate::plan::Batches;
 use crate::request::ContentId;
 use crate::runner::Runner;
-use decide::batch::Ticket;
+use decide::batch::GroupId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(super) struct Launch {
     pub(super) runner: Arc<Runner>,
-    pub(super) portions: Vec<(Ticket, Vec<u32>)>,
+    pub(super) portions: Vec<(GroupId, Vec<u32>)>,
     pub(super) items: Vec<Item>,
     /// What the requests ask for whose pieces it carries, each once.
     pub(super) contents: Vec<ContentId>,
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -11,7 +11,7 @@
 use crate::request::ContentId;
 use crate::runner::{Runner, RunnerId};
 use decide::Map;
-use decide::batch::{Choice, Former, Group, Isolation, Rules, Shape, Ticket};
+use decide::batch::{BatchQueue, ConfiguredQueue, Group, GroupId, Isolation, Rules, Shape};
 use setting::Policy;
 use setting::relay::Policies;
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 
 #[derive(Debug, Default)]
 pub(super) struct State {
-    pub(super) former: Option<Choice>,
+    pub(super) batch_queue: Option<ConfiguredQueue>,
     /// Pieces under which runners have ended.
     pub(super) isolation: Isolation,
-    pub(super) waiting: Map<Ticket, Waiting>,
+    pub(super) waiting: Map<GroupId, Waiting>,
     pub(super) places: Vec<Place>,
-    next: Ticket,
+    next: GroupId,
     /// When calls are looked for next without a cause.
     wakes: Option<Instant>,
     /// How much larger than the configuration says results are taken to be.
@@ -40,9 +40,9 @@
     giving_back: bool,
 }
 
-fn former(policy: Policies, shape: Shape) -> Choice {
+fn batch_queue(policy: Policies, shape: Shape) -> ConfiguredQueue {
     if policy.batches == Policy::Naive {
-        return Choice::naive(shape);
+        return ConfiguredQueue::naive(shape);
     }
     let rules = Rules {
         near: policy.near == Policy::Shipped,
@@ -50,7 +50,7 @@
         small_first: policy.small_first == Policy::Shipped,
         give_up: policy.admission == Policy::Shipped,
     };
-    Choice::with(shape, rules)
+    ConfiguredQueue::with(shape, rules)
 }
 
 impl State {
@@ -95,7 +95,7 @@
 
     /// The inputs of a call's orders that have no pieces left which might fetch them.
     pub(super) fn inputs(&self, launch: &Launch) -> Vec<Results> {
-        let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
+        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
         let orders = launch.portions.iter().filter_map(waiting);
         let sent = orders.filter(|waiting| waiting.todo.is_empty());
         sent.flat_map(|waiting| waiting.order.inputs.clone())
@@ -144,15 +144,15 @@
         let piece = self.piece_time(batches);
         let now = Instant::now().saturating_duration_since(started);
         let ahead = |rank: Rank| {
-            let former = self.former.as_ref();
-            former.map_or(0, |former| former.ahead(now, rank))
+            let batch_queue = self.batch_queue.as_ref();
+            batch_queue.map_or(0, |batch_queue| batch_queue.pieces_ahead(now, rank))
         };
         Some(Waits::new(|rank| work + piece * ahead(rank)))
     }
 
     /// Names of the requests whose pieces a call carries.
     pub(super) fn requests(&self, launch: &Launch) -> String {
-        let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
+        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
         let ids = launch.portions.iter().filter_map(waiting);
         ids.map(|waiting| &*waiting.order.id)
             .collect::<Vec<_>>()
@@ -166,30 +166,30 @@
         order: Order,
         reply: oneshot::Sender<Outcome>,
     ) {
-        let ticket = self.next;
+        let group_id = self.next;
         self.next += 1;
         let waiting = Waiting {
             todo: (0..order.pieces).rev().collect(),
             made: vec![None; order.pieces as usize],
             since: Instant::now(),
-            company: 1,
+            max_suspects: 1,
             order,
             reply,
         };
-        let group = self.group(&waiting, ticket, relay);
+        let group = self.group(&waiting, group_id, relay);
         let policy = relay.options.policy;
-        let former = || former(policy, batches.shape);
-        let former = self.former.get_or_insert_with(former);
-        former.reshape(batches.shape);
-        former.push(group);
-        self.waiting.insert(ticket, waiting);
+        let batch_queue = || batch_queue(policy, batches.shape);
+        let batch_queue = self.batch_queue.get_or_insert_with(batch_queue);
+        batch_queue.reshape(batches.shape);
+        batch_queue.push(group);
+        self.waiting.insert(group_id, waiting);
     }
 
     /// The pieces of an order that still wait, as the former sees them.
     pub(super) fn group<D: Downstream>(
         &self,
         waiting: &Waiting,
-        ticket: Ticket,
+        group_id: GroupId,
         relay: &Relay<D>,
     ) -> Group {
         let order = &waiting.order;
@@ -198,15 +198,15 @@
             self.places.iter().any(there)
         });
         Group {
-            ticket,
+            group_id,
             pieces: u32::try_from(waiting.todo.len()).unwrap_or(u32::MAX),
-            result: self.inflation.apply(order.result),
+            result_bytes: self.inflation.apply(order.result),
             due: relay.at(order.due),
-            last: relay.at(order.last),
+            expires_at: relay.at(order.last),
             rank: order.rank,
             domain,
-            since: relay.at(waiting.since),
-            patience: order.patience,
+            arrived_at: relay.at(waiting.since),
+            max_domain_wait: order.patience,
         }
     }
 
@@ -221,34 +221,34 @@
 
     /// Drops the orders whose requests are gone, and ends those that cannot be made in time.
     pub(super) fn drop_useless(&mut self, at: Duration, piece: Duration) {
-        let Some(former) = self.former.as_mut() else {
+        let Some(batch_queue) = self.batch_queue.as_mut() else {
             return;
         };
-        let gone: Vec<Ticket> = self
+        let gone: Vec<GroupId> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.reply.is_closed())
-            .map(|(ticket, _)| *ticket)
+            .map(|(group_id, _)| *group_id)
             .collect();
-        for ticket in gone {
-            former.withdraw(ticket);
-            self.isolation.withdraw(ticket);
-            self.waiting.remove(&ticket);
+        for group_id in gone {
+            batch_queue.withdraw(group_id);
+            self.isolation.withdraw(group_id);
+            self.waiting.remove(&group_id);
         }
-        let shortest = former.shortest();
-        let late = former.expire(at, piece).into_iter();
-        for ticket in late.chain(self.isolation.expire(at, shortest)) {
-            self.end(ticket, Err(Spoiled::Late));
+        let shortest = batch_queue.shortest();
+        let late = batch_queue.expire(at, piece).into_iter();
+        for group_id in late.chain(self.isolation.expire(at, shortest)) {
+            self.end(group_id, Err(Spoiled::Late));
         }
     }
 
     /// Ends an order; whoever waited for it may be gone by now, which is no matter.
-    pub(super) fn end(&mut self, ticket: Ticket, outcome: Outcome) {
-        if let Some(former) = self.former.as_mut() {
-            former.withdraw(ticket);
+    pub(super) fn end(&mut self, group_id: GroupId, outcome: Outcome) {
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.withdraw(group_id);
         }
-        self.isolation.withdraw(ticket);
-        if let Some(waiting) = self.waiting.remove(&ticket) {
+        self.isolation.withdraw(group_id);
+        if let Some(waiting) = self.waiting.remove(&group_id) {
             let _ = waiting.reply.send(outcome);
         }
     }
@@ -268,7 +268,7 @@
         let pieces = launch
             .portions
             .iter()
-            .flat_map(|(ticket, pieces)| pieces.iter().map(move |&piece| (*ticket, piece)));
+            .flat_map(|(group_id, pieces)| pieces.iter().map(move |&piece| (*group_id, piece)));
         // Nothing was sent: the pieces wait for another runner, and no repeat is counted.
         let unmade = match &result {
             Err(failure) if failure.is_withdrawn() => Made::NoRoom,
@@ -277,12 +277,12 @@
         let mut made = result
             .map_or_else(|_| Vec::new(), std::convert::identity)
             .into_iter();
-        for (ticket, piece) in pieces {
+        for (group_id, piece) in pieces {
             let made = made.next().unwrap_or_else(|| unmade.clone());
-            if let Some(outcome) = self.settle(relay, service, launch, (ticket, piece), made) {
-                let waiting = self.waiting.get(&ticket).filter(|_| outcome.is_ok());
+            if let Some(outcome) = self.settle(relay, service, launch, (group_id, piece), made) {
+                let waiting = self.waiting.get(&group_id).filter(|_| outcome.is_ok());
                 complete.extend(waiting.map(|waiting| waiting.order.content));
-                self.end(ticket, outcome);
+                self.end(group_id, outcome);
             }
         }
         complete
@@ -331,19 +331,19 @@
         relay: &Relay<D>,
         service: &ServiceId,
         launch: &Launch,
-        (ticket, piece): (Ticket, u32),
+        (group_id, piece): (GroupId, u32),
         made: Made,
     ) -> Option<Outcome> {
         if let Made::Done(handle) = &made {
             let bytes = self
                 .waiting
-                .get(&ticket)
+                .get(&group_id)
                 .map_or(0, |waiting| waiting.order.result);
             let bytes = self.inflation.apply(bytes);
-            let wanted = self.waiting.contains_key(&ticket);
+            let wanted = self.waiting.contains_key(&group_id);
             self.keep(&launch.runner.id, handle, bytes, launch.batches, wanted);
         }
-        let waiting = self.waiting.get_mut(&ticket)?;
+        let waiting = self.waiting.get_mut(&group_id)?;
         match made {
             Made::Done(handle) => {
                 waiting.made[piece as usize] = Some(handle);
@@ -360,12 +360,12 @@
             Made::Failed if !relay.may_repeat(service) => Some(Err(Spoiled::Failed)),
             Made::NoRoom | Made::Failed => {
                 waiting.todo.push(piece);
-                let waiting = self.waiting.get(&ticket)?;
-                let group = self.group(waiting, ticket, relay);
-                self.isolation.withdraw(ticket);
-                let former = self.former.as_mut()?;
-                former.withdraw(ticket);
-                former.push(group);
+                let waiting = self.waiting.get(&group_id)?;
+                let group = self.group(waiting, group_id, relay);
+                self.isolation.withdraw(group_id);
+                let batch_queue = self.batch_queue.as_mut()?;
+                batch_queue.withdraw(group_id);
+                batch_queue.push(group);
                 None
             }
         }
@@ -402,12 +402,12 @@
         let rests = self.places.iter().filter_map(|place| place.rests_until);
         let rest = rests.filter(|until| *until > now).min();
         let suspects = (!self.isolation.is_empty()).then(|| now + POLL);
-        let former = self.former.as_ref()?;
-        if former.waiting() == 0 && suspects.is_none() {
+        let batch_queue = self.batch_queue.as_ref()?;
+        if batch_queue.waiting_pieces() == 0 && suspects.is_none() {
             return None;
         }
         let at = now.saturating_duration_since(started);
-        let moved = former.next(at).map(|moment| started + moment);
+        let moved = batch_queue.next_wakeup(at).map(|moment| started + moment);
         let stuck = self.stuck_until(now);
         let wakes = rest.into_iter().chain(moved).chain(stuck);
         let wake = wakes.chain(suspects).min()?;
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -9,7 +9,7 @@
 use crate::outage;
 use crate::plan::{Batches, ServiceId};
 use crate::request::ContentId;
-use decide::batch::{Former, Space, Suspect, Ticket};
+use decide::batch::{BatchQueue, CallCapacity, GroupId, Suspect};
 use protocol::quarantine::{Pass, Standing};
 use setting::Policy;
 use std::sync::Arc;
@@ -67,17 +67,17 @@
         if self.isolation.is_empty() && !relay.has_suspects() {
             return;
         }
-        for (ticket, belief) in self.beliefs(relay) {
+        for (group_id, belief) in self.beliefs(relay) {
             match belief {
-                Belief::Innocent => self.rejoin(relay, ticket),
-                Belief::Suspect(crashes) => self.isolate(relay, ticket, crashes, at),
-                Belief::Held => self.end(ticket, Err(Spoiled::Poison)),
+                Belief::Innocent => self.rejoin(relay, group_id),
+                Belief::Suspect(crashes) => self.isolate(relay, group_id, crashes, at),
+                Belief::Held => self.end(group_id, Err(Spoiled::Poison)),
             }
         }
     }
 
     /// What is known of the orders that have pieces waiting.
-    fn beliefs<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(Ticket, Belief)> {
+    fn beliefs<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, Belief)> {
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|(_, waiting)| !waiting.todo.is_empty());
         let now = relay.now();
@@ -92,50 +92,50 @@
                 }
             };
             waiting
-                .map(|(ticket, waiting)| {
+                .map(|(group_id, waiting)| {
                     let order = &waiting.order;
-                    (*ticket, belief(order.content, order.trial))
+                    (*group_id, belief(order.content, order.trial))
                 })
                 .collect()
         })
     }
 
-    fn rejoin<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket) {
-        if self.isolation.withdraw(ticket).is_none() {
+    fn rejoin<D: Downstream>(&mut self, relay: &Relay<D>, group_id: GroupId) {
+        if self.isolation.withdraw(group_id).is_none() {
             return;
         }
-        let Some(waiting) = self.waiting.get(&ticket) else {
+        let Some(waiting) = self.waiting.get(&group_id) else {
             return;
         };
-        let group = self.group(waiting, ticket, relay);
-        if let Some(former) = self.former.as_mut() {
-            former.push(group);
+        let group = self.group(waiting, group_id, relay);
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.push(group);
         }
     }
 
     fn isolate<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        ticket: Ticket,
+        group_id: GroupId,
         crashes: u32,
         at: Duration,
     ) {
-        if self.isolation.contains(ticket) {
-            self.isolation.set_crashes(ticket, crashes);
+        if self.isolation.contains(group_id) {
+            self.isolation.set_crashes(group_id, crashes);
             return;
         }
-        let Some(waiting) = self.waiting.get(&ticket) else {
+        let Some(waiting) = self.waiting.get(&group_id) else {
             return;
         };
         let suspect = Suspect {
-            group: self.group(waiting, ticket, relay),
+            group: self.group(waiting, group_id, relay),
             content: waiting.order.content,
             crashes,
-            company: waiting.company,
+            max_suspects: waiting.max_suspects,
             since: at,
         };
-        if let Some(former) = self.former.as_mut() {
-            former.withdraw(ticket);
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.withdraw(group_id);
         }
         self.isolation.push(suspect);
     }
@@ -154,8 +154,8 @@
         let now = Instant::now();
         let standing = relay.standing(service);
         let may_run = |crashes: u32| standing.bears(crashes);
-        for ticket in self.isolation.give_up(relay.at(now), may_run) {
-            self.give_up(relay, ticket, standing);
+        for group_id in self.isolation.give_up(relay.at(now), may_run) {
+            self.give_up(relay, group_id, standing);
         }
         let runners = self.places.len();
         let (silent, absent) = (relay.silent(service), relay.absent(service));
@@ -166,7 +166,7 @@
         let sound: Vec<usize> = places.iter().filter(sound).copied().collect();
         sound.into_iter().find_map(|index| {
             let room = self.places[index].room(batches, now);
-            let space = Space {
+            let space = CallCapacity {
                 pieces: batches.shape.size,
                 room: room.free,
             };
@@ -180,13 +180,13 @@
         })
     }
 
-    fn give_up<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket, standing: Standing) {
-        if let Some(waiting) = self.waiting.get(&ticket) {
+    fn give_up<D: Downstream>(&mut self, relay: &Relay<D>, group_id: GroupId, standing: Standing) {
+        if let Some(waiting) = self.waiting.get(&group_id) {
             slog::info!(relay.log, "suspect pieces given up"; "request" => &*waiting.order.id,
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
-        self.end(ticket, Err(Spoiled::Poison));
+        self.end(group_id, Err(Spoiled::Poison));
     }
 
     /// Learns from the end of a call which of its orders may share their next ones.
@@ -197,10 +197,10 @@
         if !matches!(result, Err(Failure::Lost { .. })) {
             return;
         }
-        let company = launch.contents.len().div_ceil(2);
-        for (ticket, _) in &launch.portions {
-            if let Some(waiting) = self.waiting.get_mut(ticket) {
-                waiting.company = company;
+        let max_suspects = launch.contents.len().div_ceil(2);
+        for (group_id, _) in &launch.portions {
+            if let Some(waiting) = self.waiting.get_mut(group_id) {
+                waiting.max_suspects = max_suspects;
                 waiting.order.trial = false;
             }
         }
--- a/crates/relay/src/batch/waiting.rs
+++ b/crates/relay/src/batch/waiting.rs
@@ -13,7 +13,7 @@
     pub(super) made: Vec<Option<Handle>>,
     pub(super) since: Instant,
     /// Most suspects in a call that carries its pieces, if it becomes one.
-    pub(super) company: usize,
+    pub(super) max_suspects: usize,
     pub(super) reply: oneshot::Sender<Outcome>,
 }
 
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -17,7 +17,7 @@
 use crate::telemetry::Telemetry;
 use crate::warmup::Warmups;
 use decide::Map;
-use decide::retry::window::{Bound, Quota};
+use decide::retry::window::{Quota, RepeatLimit};
 use decide::route::{Pool, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +42,7 @@
     /// Failure domain that it runs in.
     pub domain: DomainId,
     /// Bound on second attempts of the whole fleet, until it is changed.
-    pub repeats: Bound,
+    pub repeats: RepeatLimit,
     /// Processes that share this bound, as far as they do not know of one another.
     pub processes: usize,
     /// This process, as the others see it.
@@ -95,7 +95,7 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) limits: Mutex<Limits>,
     pools: Mutex<Map<ServiceId, Pool>>,
-    repeats: Mutex<Bound>,
+    repeats: Mutex<RepeatLimit>,
     quotas: Mutex<Map<ServiceId, Quota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest time that a caller of each route has been ready to wait.
@@ -331,31 +331,33 @@
     pub(crate) fn burdens(&self) -> Vec<(ServiceId, Burdens)> {
         let now = self.now();
         let pools = lock(&self.pools);
-        let prompted = pools.iter().filter(|(_, pool)| pool.prompted(now));
+        let prompted = pools
+            .iter()
+            .filter(|(_, pool)| pool.has_recent_prompts(now));
         prompted
-            .map(|(service, pool)| (service.clone(), pool.burdens()))
+            .map(|(service, pool)| (service.clone(), pool.call_loads()))
             .collect()
     }
 
     /// Counts first attempts at a service: one of a request, or those of its pieces.
     pub fn count_first(&self, service: &ServiceId, count: u32) {
         let now = self.now();
-        self.quota(service, |quota| quota.first(now, count));
+        self.quota(service, |quota| quota.record_first_attempts(now, count));
     }
 
     /// Whether a second attempt may be sent to a service now; if so, it is counted.
     pub fn may_repeat(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
-        self.quota(service, |quota| quota.repeat(now, processes))
+        self.quota(service, |quota| quota.try_repeat(now, processes))
     }
 
     /// The operator has changed the bound on second attempts.
-    pub fn bound_repeats(&self, bound: Bound) {
+    pub fn bound_repeats(&self, bound: RepeatLimit) {
         *lock(&self.repeats) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
-            quota.rebind(now, bound);
+            quota.set_limit(now, bound);
         }
     }
 
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -11,7 +11,7 @@
 use crate::serve::{Job, content_name};
 use crate::telemetry::millis;
 use decide::Map;
-use decide::route::affine;
+use decide::route::affinity;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use slog::info;
@@ -330,7 +330,7 @@
             .prompt
             .as_ref()
             .map_or(0, |prompt| prompt.input);
-        MODEL_LEAST + Duration::from_secs_f64(affine::reading(tokens))
+        MODEL_LEAST + Duration::from_secs_f64(affinity::read_seconds(tokens))
     }
 
     /// Expected time until the answer begins, with what waits now before the first stages.
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -11,7 +11,7 @@
 use crate::runner::{Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
-use decide::share::Share;
+use decide::share::RateShare;
 use foldhash::fast::FixedState;
 use serde::{Deserialize, Serialize};
 use slog::info;
@@ -137,8 +137,8 @@
 fn is_open(members: &Members, id: &str, spacing: Duration, sent: Instant) -> bool {
     // Before the others are listed there may be any number of them.
     let processes = members.count().unwrap_or(usize::MAX);
-    let share = Share::spaced(spacing, processes);
-    members.has_place(&share, id) && sent.elapsed() >= share.gap
+    let share = RateShare::from_interval(spacing, processes);
+    members.may_send(&share, id) && sent.elapsed() >= share.interval
 }
 
 impl<D: Downstream> Relay<D> {
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -13,8 +13,8 @@
 use crate::telemetry::millis;
 use decide::Map;
 use decide::owner::{Candidate, choose};
-use decide::subset::{self, rank};
-use decide::warmup::Share;
+use decide::subset::{self, rendezvous_hash};
+use decide::warmup::RateShare;
 use protocol::roster::Roster;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -189,9 +189,9 @@
     /// Whether this process is one of the few that may send to a runner that has just started. Those
     /// that cannot be reached keep their places: two processes that disagree on that would both send.
     #[must_use]
-    pub fn has_place(&self, share: &Share, runner: &str) -> bool {
+    pub fn may_send(&self, share: &RateShare, runner: &str) -> bool {
         let others = self.others.keys().map(|id| &**id);
-        share.has_place(runner, &self.own.id, others)
+        share.may_send(runner, &self.own.id, others)
     }
 
     /// The other processes that can be reached, as far as is known.
@@ -240,9 +240,9 @@
     /// piece of work from one another.
     #[must_use]
     pub fn order(&self, work: &str) -> u32 {
-        let own = rank(work, &self.own.id);
+        let own = rendezvous_hash(work, &self.own.id);
         let before = self.reachable().filter(|member| {
-            let other = rank(work, &member.id);
+            let other = rendezvous_hash(work, &member.id);
             (other, &*member.id) < (own, &*self.own.id)
         });
         u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/relay/src/peer/board.rs
+++ b/crates/relay/src/peer/board.rs
@@ -11,7 +11,7 @@
 use crate::plan::ServiceId;
 use crate::runner::RunnerId;
 use decide::Map;
-use decide::route::Burden;
+use decide::route::CallLoad;
 use setting::Policy;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const TTL: Duration = Duration::from_millis(500);
 
 /// Calls at each runner.
-pub type Burdens = Vec<(RunnerId, Burden)>;
+pub type Burdens = Vec<(RunnerId, CallLoad)>;
 
 /// The last word of each process on its calls at each service.
 #[derive(Debug, Default)]
@@ -42,10 +42,10 @@
         let mut board = lock(&self.0);
         let words = board.entry(service.clone()).or_default();
         words.retain(|_, word| word.received.elapsed() < TTL);
-        let mut sums: Map<RunnerId, Burden> = Map::default();
+        let mut sums: Map<RunnerId, CallLoad> = Map::default();
         let others = words.iter().filter(|(member, _)| **member != from);
-        for (runner, burden) in others.flat_map(|(_, word)| &word.burdens) {
-            *sums.entry(runner.clone()).or_default() += *burden;
+        for (runner, call_load) in others.flat_map(|(_, word)| &word.burdens) {
+            *sums.entry(runner.clone()).or_default() += *call_load;
         }
         let word = Word {
             received: Instant::now(),
@@ -93,5 +93,5 @@
 /// Takes in what the other processes have at the runners.
 pub(super) fn take<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: Burdens) {
     let now = relay.now();
-    relay.pool(service, |pool| pool.told(now, others));
+    relay.pool(service, |pool| pool.update_peer_loads(now, others));
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,7 +1,7 @@
 //! A caller's request, and what a caller gets.
 
 use bytes::Bytes;
-use decide::route::affine::Part;
+use decide::route::affinity::PromptPart;
 use http::{HeaderMap, Method, Uri};
 pub use protocol::ContentId;
 use std::hash::BuildHasher;
@@ -109,7 +109,7 @@
     /// Most tokens to generate.
     pub output: u32,
     /// Parts that it shares with other requests, in their order.
-    pub shared: Vec<Part>,
+    pub shared: Vec<PromptPart>,
 }
 
 impl Prompt {
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -6,7 +6,7 @@
 use crate::runner::{Fleet, Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
-use decide::warmup::{Bound, Share};
+use decide::warmup::{RateLimit, RateShare};
 use setting::Policy;
 use slog::info;
 use std::sync::Arc;
@@ -41,9 +41,9 @@
     }
 
     /// Whether this process's gap between two requests to the runner is over.
-    fn has_gap(&self, id: &str, share: &Share, now: Instant) -> bool {
+    fn has_gap(&self, id: &str, share: &RateShare, now: Instant) -> bool {
         let sent = self.sent.get(id);
-        sent.is_none_or(|sent| now.saturating_duration_since(*sent) >= share.gap)
+        sent.is_none_or(|sent| now.saturating_duration_since(*sent) >= share.interval)
     }
 }
 
@@ -103,7 +103,7 @@
         let now = Instant::now();
         let warmups = lock(&self.warmups);
         let open = |id: &RunnerId| {
-            let place = self.peers.members(|members| members.has_place(&share, id));
+            let place = self.peers.members(|members| members.may_send(&share, id));
             place && warmups.has_gap(id, &share, now)
         };
         cold.into_iter().filter(|id| !open(id)).collect()
@@ -126,22 +126,22 @@
     }
 
     /// This process's part of what a cold runner bears; none if it cannot know who else sends.
-    fn share(&self, rate: f64) -> Option<Share> {
+    fn share(&self, rate: f64) -> Option<RateShare> {
         self.look();
         let bound = self.bound(rate);
         let now = self.now();
         self.peers.members(|members| {
-            let share = Share::new(&bound, members.count()?)?;
+            let share = RateShare::new(&bound, members.count()?)?;
             members.roster.acts(now).then_some(share)
         })
     }
 
-    fn bound(&self, rate: f64) -> Bound {
+    fn bound(&self, rate: f64) -> RateLimit {
         let in_a_second = self.options.warmup;
-        let most = rate * in_a_second.excess + in_a_second.slack;
-        Bound {
+        let max_per_second = rate * in_a_second.excess + in_a_second.slack;
+        RateLimit {
             rate,
-            most: most as u32,
+            max_per_second: max_per_second as u32,
         }
     }
 
--- a/crates/relay/tests/burden_board.rs
+++ b/crates/relay/tests/burden_board.rs
@@ -1,12 +1,12 @@
 //! What the processes tell one another of their calls at model runners.
 
-use decide::route::Burden;
+use decide::route::CallLoad;
 use relay::peer::Board;
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn burden(calls: u32) -> Burden {
-    Burden {
+fn call_load(calls: u32) -> CallLoad {
+    CallLoad {
         calls,
         reading: 0.1 * f64::from(calls),
     }
@@ -18,10 +18,10 @@
 async fn others_only() {
     let board = Board::default();
     let service = "models".into();
-    board.exchange(&service, "a".into(), vec![("one".into(), burden(2))]);
-    let both = vec![("one".into(), burden(1)), ("two".into(), burden(4))];
+    board.exchange(&service, "a".into(), vec![("one".into(), call_load(2))]);
+    let both = vec![("one".into(), call_load(1)), ("two".into(), call_load(4))];
     let to_b = board.exchange(&service, "b".into(), both);
-    assert_eq!(to_b, [("one".into(), burden(2))]);
+    assert_eq!(to_b, [("one".into(), call_load(2))]);
     let to_a = board.exchange(&service, "a".into(), Vec::new());
     assert_eq!(to_a.len(), 2);
     let to_c = board.exchange(&service, "c".into(), Vec::new());
@@ -34,7 +34,7 @@
 async fn old_word_lapses() {
     let board = Board::default();
     let service = "models".into();
-    board.exchange(&service, "a".into(), vec![("one".into(), burden(9))]);
+    board.exchange(&service, "a".into(), vec![("one".into(), call_load(9))]);
     sleep(Duration::from_millis(600)).await;
     assert!(board.exchange(&service, "b".into(), Vec::new()).is_empty());
 }
