--- a/crates/decide/src/retry/window.rs
+++ b/crates/decide/src/retry/window.rs
@@ -15,7 +15,7 @@
 
 /// The bound that an operator has set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatLimit {
+pub struct RetryBound {
     /// Repeats for each first attempt.
     pub ratio: f64,
     /// Repeats besides, over the whole fleet.
@@ -36,26 +36,26 @@
 /// # Examples
 ///
 /// ```
-/// use decide::retry::window::{RepeatLimit, Quota};
+/// use decide::retry::window::{RetryBound, RetryQuota};
 /// use std::time::Duration;
 ///
-/// let bound = RepeatLimit { ratio: 0.5, slack: 4.0, window: Duration::from_secs(10) };
-/// let mut quota = Quota::new(bound);
+/// let bound = RetryBound { ratio: 0.5, slack: 4.0, window: Duration::from_secs(10) };
+/// let mut quota = RetryQuota::new(bound);
 /// let now = Duration::from_secs(1);
 /// quota.record_first_attempts(now, 2);
-/// let granted = (0..9).filter(|_| quota.try_repeat(now, 4)).count();
+/// let granted = (0..9).filter(|_| quota.try_retry(now, 4)).count();
 /// assert_eq!(granted, 2);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Quota {
-    bound: RepeatLimit,
+pub struct RetryQuota {
+    bound: RetryBound,
     steps: VecDeque<Step>,
 }
 
-impl Quota {
+impl RetryQuota {
     /// A quota under this bound.
     #[must_use]
-    pub fn new(bound: RepeatLimit) -> Self {
+    pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
             steps: VecDeque::new(),
@@ -64,7 +64,7 @@
 
     /// The operator has changed the bound. Repeats so far go on to count, for a whole window from
     /// now; first attempts so far do not, as the new bound may look back less far.
-    pub fn set_limit(&mut self, now: Duration, bound: RepeatLimit) {
+    pub fn set_limit(&mut self, now: Duration, bound: RetryBound) {
         if bound == self.bound {
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     /// Whether a repeat may be sent now by one of `processes`; if so, it is counted.
-    pub fn try_repeat(&mut self, now: Duration, processes: usize) -> bool {
+    pub fn try_retry(&mut self, now: Duration, processes: usize) -> bool {
         self.step(now);
         let firsts: u32 = self.steps.iter().map(|step| step.firsts).sum();
         let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
--- a/crates/decide/tests/common/repeats.rs
+++ b/crates/decide/tests/common/repeats.rs
@@ -1,6 +1,6 @@
 //! A fleet of processes in virtual time whose requests fail and are repeated.
 
-use decide::retry::window::RepeatLimit;
+use decide::retry::window::RetryBound;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -24,13 +24,13 @@
 /// What a process keeps its repeats by.
 pub trait Guard {
     /// A process starts; `is_first` where nothing ran before it.
-    fn start(bound: RepeatLimit, now: Duration, is_first: bool) -> Self;
+    fn start(bound: RetryBound, now: Duration, is_first: bool) -> Self;
     /// A request that came at `arrived` is sent for the first time.
     fn first(&mut self, now: Duration, arrived: Duration);
     /// Whether one of `processes` may send a repeat, `None` before they are known.
     fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool;
     /// The bound is another one.
-    fn set_limit(&mut self, now: Duration, bound: RepeatLimit);
+    fn set_limit(&mut self, now: Duration, bound: RetryBound);
 }
 
 /// What happens in a play.
@@ -90,7 +90,7 @@
     /// When repeats arrived.
     pub arrivals: Vec<Duration>,
     /// Each bound, and when the first process had it and the last repeat under it arrived.
-    pub bounds: Vec<(RepeatLimit, Duration, Duration)>,
+    pub bounds: Vec<(RetryBound, Duration, Duration)>,
     pub refused: usize,
 }
 
@@ -131,8 +131,8 @@
 struct Play<G> {
     rng: SmallRng,
     terms: Terms,
-    bound: RepeatLimit,
-    changed: Option<(Duration, RepeatLimit)>,
+    bound: RetryBound,
+    changed: Option<(Duration, RetryBound)>,
     phases: Vec<Phase>,
     /// From when to when each process has a row.
     rows: Vec<[Duration; 2]>,
@@ -167,7 +167,7 @@
     fn draw(seed: u64, terms: Terms) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = rng.random_range(4..=40_usize);
-        let bound = RepeatLimit {
+        let bound = RetryBound {
             ratio: rng.random_range(0.1..0.3),
             slack: rng.random_range(20.0..120.0),
             window: seconds(rng.random_range(4.0..10.0)),
@@ -232,7 +232,7 @@
 
     fn draw_bounds(&mut self) {
         let at = seconds(self.rng.random_range(8.0..35.0));
-        let changed = RepeatLimit {
+        let changed = RetryBound {
             ratio: self.bound.ratio * self.rng.random_range(0.5..2.0),
             slack: self.bound.slack * self.rng.random_range(0.5..2.0),
             ..self.bound
--- a/crates/decide/tests/repeat_bound.rs
+++ b/crates/decide/tests/repeat_bound.rs
@@ -4,18 +4,18 @@
 mod common;
 
 use common::repeats::{Guard, Seen, Terms, configured, play};
-use decide::retry::window::{Quota, RepeatLimit};
+use decide::retry::window::{RetryBound, RetryQuota};
 use std::time::Duration;
 
 /// Plays in CI; `REPEAT_PLAYS` asks for more.
 const PLAYS: u64 = 200;
 
 /// What a relay does.
-struct Shipped(Quota);
+struct Shipped(RetryQuota);
 
 impl Guard for Shipped {
-    fn start(bound: RepeatLimit, _now: Duration, _is_first: bool) -> Self {
-        Self(Quota::new(bound))
+    fn start(bound: RetryBound, _now: Duration, _is_first: bool) -> Self {
+        Self(RetryQuota::new(bound))
     }
 
     fn first(&mut self, now: Duration, _arrived: Duration) {
@@ -23,10 +23,10 @@
     }
 
     fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool {
-        self.0.try_repeat(now, configured(processes))
+        self.0.try_retry(now, configured(processes))
     }
 
-    fn set_limit(&mut self, now: Duration, bound: RepeatLimit) {
+    fn set_limit(&mut self, now: Duration, bound: RetryBound) {
         self.0.set_limit(now, bound);
     }
 }
@@ -42,7 +42,7 @@
 struct Rule {
     requests: Vec<Nanos>,
     arrivals: Vec<Nanos>,
-    bounds: Vec<(RepeatLimit, Nanos, Nanos)>,
+    bounds: Vec<(RetryBound, Nanos, Nanos)>,
     window: Nanos,
 }
 
--- a/crates/decide/tests/retry_storm.rs
+++ b/crates/decide/tests/retry_storm.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::retry::eject::EjectionPolicy;
-use decide::retry::window::{Quota, RepeatLimit};
+use decide::retry::window::{RetryBound, RetryQuota};
 use decide::retry::{Always, BudgetRatios, Budgeted, Failure, Retry};
 use decide::route::{Pool, Target};
 use std::time::Duration;
@@ -109,15 +109,15 @@
 /// count: with an empty window each change of the settings would grant the whole bound once more.
 #[test]
 fn bound_changed() {
-    let bound = |slack| RepeatLimit {
+    let bound = |slack| RetryBound {
         ratio: 0.0,
         slack,
         window: Duration::from_secs(10),
     };
-    let mut quota = Quota::new(bound(8.0));
-    let granted = |quota: &mut Quota, at| {
+    let mut quota = RetryQuota::new(bound(8.0));
+    let granted = |quota: &mut RetryQuota, at| {
         let now = Duration::from_secs(at);
-        (0..20).filter(|_| quota.try_repeat(now, 1)).count()
+        (0..20).filter(|_| quota.try_retry(now, 1)).count()
     };
     assert_eq!(granted(&mut quota, 1), 8);
     quota.set_limit(Duration::from_secs(2), bound(10.0));
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -17,7 +17,7 @@
 use crate::telemetry::Telemetry;
 use crate::warmup::Warmups;
 use decide::Map;
-use decide::retry::window::{Quota, RepeatLimit};
+use decide::retry::window::{RetryBound, RetryQuota};
 use decide::route::{Pool, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +42,7 @@
     /// Failure domain that it runs in.
     pub domain: DomainId,
     /// Bound on second attempts of the whole fleet, until it is changed.
-    pub repeats: RepeatLimit,
+    pub repeats: RetryBound,
     /// Processes that share this bound, as far as they do not know of one another.
     pub processes: usize,
     /// This process, as the others see it.
@@ -95,8 +95,8 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) limits: Mutex<Limits>,
     pools: Mutex<Map<ServiceId, Pool>>,
-    repeats: Mutex<RepeatLimit>,
-    quotas: Mutex<Map<ServiceId, Quota>>,
+    repeats: Mutex<RetryBound>,
+    quotas: Mutex<Map<ServiceId, RetryQuota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest time that a caller of each route has been ready to wait.
     patience: Mutex<Map<String, Duration>>,
@@ -349,11 +349,11 @@
     pub fn may_repeat(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
-        self.quota(service, |quota| quota.try_repeat(now, processes))
+        self.quota(service, |quota| quota.try_retry(now, processes))
     }
 
     /// The operator has changed the bound on second attempts.
-    pub fn bound_repeats(&self, bound: RepeatLimit) {
+    pub fn bound_repeats(&self, bound: RetryBound) {
         *lock(&self.repeats) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
@@ -367,12 +367,12 @@
         self.peers.count().unwrap_or(self.options.processes)
     }
 
-    fn quota<T>(&self, service: &ServiceId, work: impl FnOnce(&mut Quota) -> T) -> T {
+    fn quota<T>(&self, service: &ServiceId, work: impl FnOnce(&mut RetryQuota) -> T) -> T {
         let bound = *lock(&self.repeats);
         let mut quotas = lock(&self.quotas);
         let quota = quotas
             .entry(service.clone())
-            .or_insert_with(|| Quota::new(bound));
+            .or_insert_with(|| RetryQuota::new(bound));
         work(quota)
     }
 
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) mod ward;
 
 use bytes::Bytes;
-use decide::retry::window::RepeatLimit;
+use decide::retry::window::RetryBound;
 use parts::{Parts, parts};
 pub(crate) use plans::{plan, plan_with};
 use relay::downstream::{
@@ -409,7 +409,7 @@
 fn options(member: Member) -> Options {
     Options {
         domain: "a".into(),
-        repeats: RepeatLimit {
+        repeats: RetryBound {
             ratio: 0.2,
             slack: 40.0,
             window: Duration::from_secs(10),
