--- a/crates/decide/src/either.rs
+++ b/crates/decide/src/either.rs
@@ -1,4 +1,4 @@
-//! Choice between a naive decision and the one that ships.
+//! Choice between a naive baseline and the implementation that ships.
 
 /// One of two implementations of the same trait, chosen by a setting when a process starts.
 ///
@@ -15,11 +15,11 @@
 pub enum Either<N, S> {
     /// The baseline.
     Naive(N),
-    /// The decision that ships.
+    /// The implementation that ships.
     Shipped(S),
 }
 
-/// Calls the same method on whichever implementation was chosen.
+/// Evaluates the same expression for whichever implementation was chosen.
 macro_rules! either {
     ($choice:expr, $inner:ident => $call:expr) => {
         match $choice {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,21 +1,23 @@
-//! Decisions under load and faults: state in, choices out, no I/O and no clocks.
+//! Load-balancing, admission, retry and placement policies, free of I/O and clocks.
 //!
 //! Time is passed in as a [`Duration`](std::time::Duration) since the process started, randomness
-//! as an `&mut impl Rng`. Each decision is a small trait with a naive version and the one that
-//! ships; a setting selects one of the two through [`Either`].
+//! as an `&mut impl Rng`. Each policy is a small trait with a naive baseline and the implementation
+//! that ships; a setting selects one of the two through [`Either`].
 //!
-//! * [`route`]: which target a call goes to
-//! * [`admit`]: whether a request is accepted, and in which order calls start
-//! * [`limit`]: how many calls may be in flight at once
-//! * [`batch`]: which pieces of work share a call of a batching runner
-//! * [`budget`]: by when a stage must start so that the request meets its deadline
-//! * [`retry`]: retries, hedges and ejection of outliers
+//! * [`route`]: selection of the target for a call
+//! * [`admit`]: admission of requests, and the order in which calls start
+//! * [`limit`]: limits on the number of calls in flight
+//! * [`batch`]: forming batches of work items for runners that process several per call
+//! * [`budget`]: the latest start of each stage by which the request meets its deadline
+//! * [`retry`]: retries, hedges and outlier ejection
 //! * [`demand`]: estimates of service time by class
-//! * [`owner`]: which process does work that only one should do at a time
-//! * [`place`]: which models are loaded where
-//! * [`subset`]: which targets of a large pool a process keeps links to
-//! * [`wait`]: how long a call waits that no target has
-//! * [`warmup`]: how often each process may send to a runner that has just started
+//! * [`owner`]: the process that does work which only one should do at a time
+//! * [`place`]: assignment of models to engines
+//! * [`share`]: one process's share of a runner's low rate limit
+//! * [`smooth`]: exponentially weighted means and decay
+//! * [`subset`]: the targets of a large pool that a process keeps links to
+//! * [`wait`]: time limits for calls that have no target
+//! * [`warmup`]: the rate at which each process may send to a runner that has just started
 
 pub mod admit;
 pub mod batch;
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -1,24 +1,24 @@
-//! Which process does work that only one should do at a time.
+//! Selection of the process that does work which only one should do at a time.
 
 use crate::subset::rendezvous_hash;
 
-/// A process that may be chosen.
+/// A process that may own the work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate<'a> {
     /// Name of the process.
     pub id: &'a str,
-    /// How much work it can do compared to the others.
+    /// Capacity relative to the other candidates.
     pub weight: f64,
 }
 
-/// Greatest value of a hash, as a number.
-const HASHES: f64 = u64::MAX as f64;
+/// Largest hash value.
+const MAX_HASH: f64 = u64::MAX as f64;
 
-/// Chooses the owner of a piece of work by weighted rendezvous hashing.
+/// Chooses the owner of a unit of work by weighted rendezvous hashing.
 ///
-/// All processes that know the same candidates choose the same one, without a word between them;
-/// when a candidate comes or goes, only its own work moves. Two processes that know different
-/// candidates may choose different owners for a moment, so the work must bear two of them.
+/// All processes that know the same candidates choose the same one without communicating. When a
+/// candidate joins or leaves, only its own work moves. Processes that know different candidates
+/// may choose different owners for a moment, so the work must tolerate two owners.
 ///
 /// # Examples
 ///
@@ -34,7 +34,7 @@
 #[must_use]
 pub fn choose<'a>(work: &str, candidates: &[Candidate<'a>]) -> Option<&'a str> {
     let score = |candidate: &Candidate<'_>| {
-        let hash = (rendezvous_hash(work, candidate.id) as f64 + 1.0) / (HASHES + 2.0);
+        let hash = (rendezvous_hash(work, candidate.id) as f64 + 1.0) / (MAX_HASH + 2.0);
         -candidate.weight / hash.ln()
     };
     candidates
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -1,29 +1,30 @@
-//! One process's part of the few requests that a runner bears from all of them.
+//! One process's share of the low request rate that a runner accepts from all processes.
 //!
-//! A runner that asks for few requests looks idle to each of many processes. If each kept to the whole
-//! of what it asks for, together they would send it many times that; if each kept to an equal part,
-//! their first requests alone would be too many in a large fleet. So only a few may send, chosen by
-//! names alone, and each keeps a fixed gap between two requests, without a word between them.
+//! A runner that asks for few requests looks idle to each of many processes. If each process used
+//! the whole rate, together they would send many times as much; if each used an equal part, their
+//! first requests alone would be too many in a large fleet. Therefore only a few processes send.
+//! They are chosen by names alone, without communication, and each keeps a fixed interval between
+//! two requests.
 
 use crate::subset::rendezvous_hash;
 use std::time::Duration;
 
-/// Processes that may send to a runner that has named a limit. More would send too many at once after
-/// a while in which nobody sent; with fewer, one that is gone leaves a larger part unused.
-const PLACES: usize = 4;
+/// Processes that may send to a rate-limited runner. More would send too many requests at once after
+/// an idle period; with fewer, a process that is gone leaves a larger part of the rate unused.
+const MAX_SENDERS: usize = 4;
 
-/// One process's part of what a runner bears.
+/// One process's share of a runner's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateShare {
     /// Processes that may send.
     pub senders: usize,
-    /// Time between two requests of one process, at least.
+    /// Minimum time between two requests of one process.
     pub interval: Duration,
 }
 
 impl RateShare {
-    /// The part of each of so many processes where a runner asks for this mean time between the
-    /// requests of all.
+    /// The share of each of `processes` when a runner asks for this mean interval between the
+    /// requests of all processes together.
     ///
     /// # Examples
     ///
@@ -35,15 +36,15 @@
     /// assert_eq!((share.senders, share.interval), (4, Duration::from_secs(2)));
     /// ```
     #[must_use]
-    pub fn from_interval(spacing: Duration, processes: usize) -> Self {
-        let senders = processes.clamp(1, PLACES);
+    pub fn from_interval(mean_interval: Duration, processes: usize) -> Self {
+        let senders = processes.clamp(1, MAX_SENDERS);
         Self {
             senders,
-            interval: spacing.saturating_mul(senders as u32),
+            interval: mean_interval.saturating_mul(senders as u32),
         }
     }
 
-    /// Whether a process has a place, by its name and those of the others.
+    /// Whether the process `own` is among the senders, given the names of the other processes.
     #[must_use]
     pub fn may_send<'a>(
         &self,
--- a/crates/decide/src/smooth.rs
+++ b/crates/decide/src/smooth.rs
@@ -1,8 +1,8 @@
-//! Exponentially weighted means.
+//! Exponentially weighted means and exponential decay.
 
 use std::time::Duration;
 
-/// Mean of a stream of values that weighs the newest most.
+/// Exponentially weighted moving average of a stream of values.
 ///
 /// # Examples
 ///
@@ -20,7 +20,7 @@
 }
 
 impl Ewma {
-    /// A mean in which the newest value has this weight, above 0 and up to 1.
+    /// An average in which the newest value has this weight, above 0 and up to 1.
     #[must_use]
     pub fn new(weight: f64) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes in a value.
+    /// Adds a value.
     pub fn add(&mut self, value: f64) {
         self.value = Some(match self.value {
             Some(old) => old + self.weight * (value - old),
@@ -37,14 +37,14 @@
         });
     }
 
-    /// The mean, or `None` before the first value.
+    /// The average, or `None` before the first value.
     #[must_use]
     pub fn get(&self) -> Option<f64> {
         self.value
     }
 }
 
-/// Share of an old value that still counts after `age`, from 1 down to 0.
+/// Weight from 1 down to 0 that a value of this age keeps; it halves every `half_life`.
 ///
 /// # Examples
 ///
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -1,11 +1,11 @@
-//! Which targets of a large pool one process keeps links to.
+//! Selection of the targets of a large pool that one process keeps links to.
 //!
-//! A link costs keepalives whether or not it carries work, so that links from every process to
-//! every target do not fit a node's budget beyond some hundred targets. Each process takes a subset
-//! that depends on its name and the targets' names only: it needs no agreement, is the same after a
-//! restart, and changes by one target when one comes or goes.
+//! A link costs keepalives whether or not it carries work, so links from every process to every
+//! target exceed a node's budget beyond some hundred targets. Each process takes a subset that
+//! depends only on its own name and those of the targets: it needs no coordination, is the same
+//! after a restart, and changes by one target when a target joins or leaves.
 
-/// A target that may be chosen.
+/// A target that may be in the subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// Name of its VM.
@@ -14,15 +14,15 @@
     pub domain: &'a str,
 }
 
-/// Start value and factor of FNV-1a, which every build and process computes alike.
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0100_0000_01b3;
+/// Offset basis and prime of FNV-1a. Its result is the same in every build and process.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Chooses up to `size` candidates for the process `own`, spread over the failure domains: the loss
-/// of one domain must not take a process's whole subset.
+/// Chooses up to `size` candidates for the process `own`, spread over the failure domains so that
+/// the loss of one domain does not remove the whole subset.
 ///
-/// Within a domain the candidates are ranked by a hash of both names (rendezvous hashing), so that
-/// different processes choose different ones and each target is chosen about equally often.
+/// Within a domain the candidates are ordered by a hash of both names (rendezvous hashing), so that
+/// different processes choose different targets and each target is chosen about equally often.
 ///
 /// # Examples
 ///
@@ -36,35 +36,35 @@
 /// ```
 #[must_use]
 pub fn choose<'a>(own: &str, size: usize, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
-    let mut ranked: Vec<(u64, Candidate<'a>)> = candidates
+    let mut hashed: Vec<(u64, Candidate<'a>)> = candidates
         .iter()
         .map(|candidate| (rendezvous_hash(own, candidate.id), *candidate))
         .collect();
-    ranked.sort_unstable_by_key(|(rank, candidate)| (*rank, candidate.id));
-    let mut turns = crate::Map::default();
-    let mut by_turn: Vec<(usize, u64, Candidate<'a>)> = ranked
+    hashed.sort_unstable_by_key(|(hash, candidate)| (*hash, candidate.id));
+    let mut counts = crate::Map::default();
+    let mut by_position: Vec<(usize, u64, Candidate<'a>)> = hashed
         .into_iter()
-        .map(|(rank, candidate)| {
-            let turn: &mut usize = turns.entry(candidate.domain).or_default();
-            *turn += 1;
-            (*turn, rank, candidate)
+        .map(|(hash, candidate)| {
+            let position: &mut usize = counts.entry(candidate.domain).or_default();
+            *position += 1;
+            (*position, hash, candidate)
         })
         .collect();
-    by_turn.sort_unstable_by_key(|(turn, rank, _)| (*turn, *rank));
-    by_turn
+    by_position.sort_unstable_by_key(|(position, hash, _)| (*position, *hash));
+    by_position
         .into_iter()
         .take(size)
         .map(|(_, _, candidate)| candidate)
         .collect()
 }
 
-/// Hash of both names. FNV alone hardly changes its high bits with the last byte, which names that
-/// are numbered differ by; the final mix spreads them.
+/// Hash of both names. The last byte, in which numbered names differ, hardly changes the high bits
+/// of FNV alone; the final mixing step spreads it over all bits.
 #[must_use]
 pub fn rendezvous_hash(own: &str, id: &str) -> u64 {
     let bytes = own.bytes().chain([0]).chain(id.bytes());
-    let hash = bytes.fold(OFFSET, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    let hash = bytes.fold(FNV_OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
     let mixed = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/crates/decide/src/wait.rs
+++ b/crates/decide/src/wait.rs
@@ -1,26 +1,26 @@
-//! How long a call waits that no target has.
+//! Time limits for calls that have no target.
 //!
-//! An accepted call can lose every target that could run it. A new call of the same kind is refused at
-//! once then, and so must the waiting one be: its caller could go elsewhere, and nothing has run. Late
-//! is better than never only while something can still run the call.
+//! An accepted call can lose every target that could run it. New calls of the same kind are then
+//! refused at once, and the waiting call must be refused too: nothing has run, and its caller could
+//! go elsewhere. Waiting past the deadline is useful only while some target can still run the call.
 
 use std::time::Duration;
 
-/// Whether a call that no target has can get one.
+/// Whether a call without a target can get one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetAvailability {
-    /// Some target takes such calls.
+    /// Some target accepts such calls.
     Open,
     /// Some target is loading the model that the call needs.
     Loading,
-    /// Some target has still to say what it holds.
+    /// Some target has not reported its models yet.
     Unknown,
-    /// No target takes such calls, so that a new one would be refused.
+    /// No target accepts such calls, so a new one would be refused.
     Closed,
 }
 
 impl TargetAvailability {
-    /// Name in logs.
+    /// Name used in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -32,34 +32,34 @@
     }
 }
 
-/// Longest waits.
+/// Maximum waiting times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimits {
-    /// While the outlook is [`TargetAvailability::Closed`].
+    /// While the availability is [`TargetAvailability::Closed`].
     pub closed: Duration,
-    /// While it is [`TargetAvailability::Unknown`] or [`TargetAvailability::Closed`]: a target whose link comes and goes is
-    /// unknown again each time.
+    /// While the availability is [`TargetAvailability::Unknown`] or [`TargetAvailability::Closed`]: a
+    /// target whose link flaps is unknown again after each reconnect.
     pub unknown: Duration,
-    /// In all.
+    /// In total.
     pub total: Duration,
 }
 
-/// Whether the call waits on.
+/// Whether the call keeps waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitDecision {
-    /// It does, until this moment at most if nothing changes.
+    /// The call keeps waiting.
     Wait {
-        /// When to look again.
+        /// Time at which the wait ends if nothing changes.
         until: Duration,
     },
-    /// It has waited for as long as this bound allows.
+    /// The call has waited for as long as a limit allows.
     GiveUp {
-        /// The bound that was reached.
-        bound: Duration,
+        /// The limit that was reached.
+        limit: Duration,
     },
 }
 
-/// One call's wait. Moments are counted from the start of the process.
+/// Waiting time of one call. All times are measured from the start of the process.
 ///
 /// # Examples
 ///
@@ -67,65 +67,65 @@
 /// use decide::wait::{WaitLimits, TargetAvailability, WaitDecision, Wait};
 /// use std::time::Duration;
 ///
-/// let (bound, hour) = (Duration::from_millis(500), Duration::from_secs(3_600));
-/// let bounds = WaitLimits { closed: bound, unknown: 12 * bound, total: hour };
-/// let mut wait = Wait::new(bounds, Duration::ZERO);
+/// let (limit, hour) = (Duration::from_millis(500), Duration::from_secs(3_600));
+/// let limits = WaitLimits { closed: limit, unknown: 12 * limit, total: hour };
+/// let mut wait = Wait::new(limits, Duration::ZERO);
 /// assert_eq!(wait.observe(TargetAvailability::Open, Duration::ZERO), WaitDecision::Wait { until: hour });
-/// assert_eq!(wait.observe(TargetAvailability::Closed, bound), WaitDecision::Wait { until: 2 * bound });
-/// assert_eq!(wait.observe(TargetAvailability::Closed, 2 * bound), WaitDecision::GiveUp { bound });
+/// assert_eq!(wait.observe(TargetAvailability::Closed, limit), WaitDecision::Wait { until: 2 * limit });
+/// assert_eq!(wait.observe(TargetAvailability::Closed, 2 * limit), WaitDecision::GiveUp { limit });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Wait {
-    bounds: WaitLimits,
-    began: Duration,
-    /// Since when the outlook has been closed.
+    limits: WaitLimits,
+    started: Duration,
+    /// Time since which the availability has been closed.
     closed: Option<Duration>,
-    /// Since when it has been closed or unknown.
+    /// Time since which the availability has been closed or unknown.
     uncertain: Option<Duration>,
 }
 
 impl Wait {
-    /// A wait that begins now.
+    /// Starts a wait.
     #[must_use]
-    pub fn new(bounds: WaitLimits, now: Duration) -> Self {
+    pub fn new(limits: WaitLimits, now: Duration) -> Self {
         Self {
-            bounds,
-            began: now,
+            limits,
+            started: now,
             closed: None,
             uncertain: None,
         }
     }
 
-    /// How long it has lasted.
+    /// Time since the wait started.
     #[must_use]
     pub fn elapsed(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.began)
+        now.saturating_sub(self.started)
     }
 
-    /// Takes in the outlook as it is now.
-    pub fn observe(&mut self, outlook: TargetAvailability, now: Duration) -> WaitDecision {
-        self.uncertain = match outlook {
+    /// Updates the wait with the current availability and decides whether it goes on.
+    pub fn observe(&mut self, availability: TargetAvailability, now: Duration) -> WaitDecision {
+        self.uncertain = match availability {
             TargetAvailability::Open | TargetAvailability::Loading => None,
             TargetAvailability::Unknown | TargetAvailability::Closed => {
                 self.uncertain.or(Some(now))
             }
         };
-        self.closed = match outlook {
+        self.closed = match availability {
             TargetAvailability::Closed => self.closed.or(Some(now)),
             _ => None,
         };
-        let ends = [
-            (self.closed, self.bounds.closed),
-            (self.uncertain, self.bounds.unknown),
-            (Some(self.began), self.bounds.total),
+        let expiries = [
+            (self.closed, self.limits.closed),
+            (self.uncertain, self.limits.unknown),
+            (Some(self.started), self.limits.total),
         ];
-        let ends = ends
+        let expiries = expiries
             .into_iter()
-            .filter_map(|(since, bound)| Some((since? + bound, bound)));
-        let first = ends.min_by_key(|(end, _)| *end);
-        let (until, bound) = first.unwrap_or((now, self.bounds.total));
+            .filter_map(|(since, limit)| Some((since? + limit, limit)));
+        let earliest = expiries.min_by_key(|(expiry, _)| *expiry);
+        let (until, limit) = earliest.unwrap_or((now, self.limits.total));
         if until <= now {
-            return WaitDecision::GiveUp { bound };
+            return WaitDecision::GiveUp { limit };
         }
         WaitDecision::Wait { until }
     }
--- a/crates/decide/src/warmup.rs
+++ b/crates/decide/src/warmup.rs
@@ -1,34 +1,34 @@
-//! How often each process may send to a runner that has just started.
+//! Rate at which each process may send to a runner that has just started.
 //!
-//! Such a runner bears few requests a second for some seconds, and fails under more. To each of many
-//! processes it looks idle, and all of them would send to it at once. So only a few may, chosen by
-//! names alone, and each keeps a fixed gap between two requests: together they stay under the bound
-//! in any second, without a word between them.
+//! Such a runner handles few requests a second for some seconds, and fails under more. It looks
+//! idle to each of many processes, so all of them would send to it at once. Therefore only a few
+//! processes send, chosen by names alone, and each keeps a fixed interval between two requests.
+//! Together they stay under the limit in any second without communicating.
 
 pub use crate::share::RateShare;
 use std::time::Duration;
 
-/// Longest time from the decision to send a request until it is on its way: that of a connection.
-const DELAY: Duration = Duration::from_millis(300);
-/// Time over which requests are counted, with the delay of the first one.
-const WINDOW: Duration = Duration::from_millis(1_000).saturating_add(DELAY);
-/// Requests in a second that each process with a place can send, at least. More places would leave
-/// one in some seconds to each; with fewer, one that is gone leaves a larger part unused.
-const EACH: u32 = 2;
-/// What makes a gap longer than the part of the window that it divides.
-const MARGIN: Duration = Duration::from_millis(1);
+/// Longest time from the decision to send a request until it is sent, which includes connecting.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(300);
+/// Time over which requests are counted, plus the delay of the first one.
+const WINDOW: Duration = Duration::from_millis(1_000).saturating_add(MAX_SEND_DELAY);
+/// Minimum number of requests a second that each sender can send. With more senders, each would send
+/// once in several seconds; with fewer, a process that is gone leaves a larger part of the rate unused.
+const MIN_SENT_PER_SENDER: u32 = 2;
+/// Time by which an interval exceeds the fraction of the window that it is derived from.
+const INTERVAL_MARGIN: Duration = Duration::from_millis(1);
 
-/// What a runner bears that has just started.
+/// Request rate that a runner handles while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second on average.
+    /// Average requests a second.
     pub rate: f64,
-    /// Requests in any one second.
+    /// Maximum requests in any one second.
     pub max_per_second: u32,
 }
 
 impl RateShare {
-    /// The part of each of so many processes; `None` if the runner bears nothing.
+    /// The share of each of `processes`; `None` if the runner accepts no requests.
     ///
     /// # Examples
     ///
@@ -36,24 +36,24 @@
     /// use decide::warmup::{RateLimit, RateShare};
     /// use std::time::Duration;
     ///
-    /// let bound = RateLimit { rate: 8.0, max_per_second: 17 };
-    /// let share = RateShare::new(&bound, 27).unwrap();
+    /// let limit = RateLimit { rate: 8.0, max_per_second: 17 };
+    /// let share = RateShare::new(&limit, 27).unwrap();
     /// assert_eq!((share.senders, share.interval), (8, Duration::from_secs(1)));
     /// ```
     #[must_use]
-    pub fn new(bound: &RateLimit, processes: usize) -> Option<Self> {
-        if bound.max_per_second == 0 || bound.rate <= 0.0 {
+    pub fn new(limit: &RateLimit, processes: usize) -> Option<Self> {
+        if limit.max_per_second == 0 || limit.rate <= 0.0 {
             return None;
         }
-        let max_per_second = (bound.max_per_second / EACH).max(1);
+        let max_senders = (limit.max_per_second / MIN_SENT_PER_SENDER).max(1);
         let senders = u32::try_from(processes)
-            .unwrap_or(max_per_second)
-            .clamp(1, max_per_second);
-        let each = bound.max_per_second / senders;
-        let on_average = Duration::from_secs_f64(f64::from(senders) / bound.rate);
+            .unwrap_or(max_senders)
+            .clamp(1, max_senders);
+        let per_sender = limit.max_per_second / senders;
+        let mean_interval = Duration::from_secs_f64(f64::from(senders) / limit.rate);
         Some(Self {
             senders: senders as usize,
-            interval: on_average.max(WINDOW / each + MARGIN),
+            interval: mean_interval.max(WINDOW / per_sender + INTERVAL_MARGIN),
         })
     }
 }
