--- a/crates/decide/src/batch.rs
+++ b/crates/decide/src/batch.rs
@@ -1,9 +1,9 @@
-//! Which waiting pieces of work go into the next call of a batching runner.
+//! Selection of the waiting pieces of work that form the next call of a batching runner.
 //!
-//! A runner of a stage service works for a fixed time a call and a little more for each piece, so
-//! that a full call costs a piece a fraction of what a call of its own would cost. Pieces wait here
-//! while every runner has a call in progress and are bound to a runner only when it is free:
-//! whatever arrives in between shares the next call.
+//! A runner of a stage service needs a fixed time for each call and a little more for each piece,
+//! so a piece costs a fraction in a full call of what it costs in a call of its own. Pieces wait
+//! here while every runner has a call in progress, and are assigned to a runner only when it is
+//! free, so that all pieces that arrive in between share the next call.
 
 mod configured;
 mod forecast;
@@ -19,30 +19,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time, as a multiple of that of its work, by which a group goes behind others that are due as soon.
-/// In a burst not all can be on time, and more are if the small ones go first.
-const WORK: u32 = 6;
+/// Multiple of a group's work time that is added to its due time in the queue's order. In a burst
+/// not all groups can be on time, and more of them are if small ones go first.
+const SIZE_WEIGHT: u32 = 6;
 
-/// How much faster than expected a queue may turn out to be before a group in it is given up: some
-/// of the requests ahead will leave, and calls differ.
-const HOPE: f64 = 1.5;
+/// Factor by which a queue is assumed to be faster than expected before a group in it is dropped:
+/// some of the requests ahead are withdrawn, and calls differ in length.
+const MAX_QUEUE_SPEEDUP: f64 = 1.5;
 
-/// Names a group of pieces for as long as it waits.
+/// Identifies a group of pieces while it waits.
 pub type GroupId = u64;
 
-/// What one call of a runner holds and costs.
+/// Capacity and cost of one call to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Most pieces in a call.
+    /// Maximum number of pieces in a call.
     pub size: u32,
-    /// Time that each call takes besides its pieces.
+    /// Fixed time of each call.
     pub call: Duration,
-    /// Time that each piece adds, on average.
+    /// Average time that each piece adds.
     pub piece: Duration,
 }
 
 impl Shape {
-    /// Time of a call with so many pieces.
+    /// Time of a call with this many pieces.
     ///
     /// # Examples
     ///
@@ -66,7 +66,7 @@
         self.time(self.size)
     }
 
-    /// Shortest time in which a call ends.
+    /// Shortest time of a call.
     fn shortest(&self) -> Duration {
         self.time(1)
     }
@@ -75,87 +75,87 @@
 /// The pieces of one stage of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Name of the group.
+    /// Identifier of the group.
     pub group_id: GroupId,
-    /// Pieces that still wait.
+    /// Number of pieces that still wait.
     pub pieces: u32,
     /// Size of one result in bytes.
     pub result_bytes: u64,
-    /// Moment by which the pieces must be made for the request to be on time.
+    /// Time by which the pieces must be done for the request to be on time.
     pub due: Duration,
-    /// Moment after which the pieces are of no use at all.
+    /// Time after which the results are useless.
     pub expires_at: Duration,
-    /// How urgent the request is; 0 comes first.
+    /// Urgency of the request; 0 goes first.
     pub rank: u8,
-    /// Failure domain where the pieces are best made: near their inputs, or near where their
-    /// results will be fetched.
+    /// Preferred failure domain: close to the inputs, or to where the results will be fetched.
     pub domain: Option<Arc<str>>,
-    /// When the group came.
+    /// Time at which the group was queued.
     pub arrived_at: Duration,
-    /// How long the group waits for a runner of that domain as long as it is not late for that.
+    /// Longest wait for a runner of the preferred domain; shorter if the group would be late.
     pub max_domain_wait: Duration,
 }
 
 impl Group {
-    /// Whether a runner of this domain is as good as any.
+    /// Whether this domain is the preferred one, or none is preferred.
     fn is_near(&self, domain: &str) -> bool {
         self.domain.as_deref().is_none_or(|wanted| wanted == domain)
     }
 
-    /// From when on a runner of any domain may make the pieces.
+    /// Time from which runners of any domain may process the pieces.
     ///
-    /// A group that is late has nothing to lose by the wait; one that is not goes elsewhere before
-    /// it would be late.
-    fn anywhere_from(&self, shape: Shape, now: Duration) -> Duration {
-        let patient = self.arrived_at + self.max_domain_wait;
+    /// A group that is already late loses nothing by waiting. A group that is not late may go to
+    /// another domain before it would be late.
+    fn any_domain_from(&self, shape: Shape, now: Duration) -> Duration {
+        let wait_end = self.arrived_at + self.max_domain_wait;
         let before_due = |time: Duration| self.due.saturating_sub(time);
         let late = before_due(shape.time(self.pieces)) < now;
         if late {
-            return patient;
+            return wait_end;
         }
-        patient.min(before_due(shape.full()))
+        wait_end.min(before_due(shape.full()))
     }
 }
 
-/// Pieces of one group that go into a call.
+/// The pieces of one group that are part of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Portion {
-    /// The group.
+    /// Identifier of the group.
     pub group_id: GroupId,
-    /// How many of its waiting pieces.
+    /// Number of its waiting pieces that are taken.
     pub pieces: u32,
 }
 
-/// Chooses the pieces of the next call.
+/// A queue of groups from which the pieces of the next call are taken.
 pub trait BatchQueue {
     /// Adds a group.
     fn push(&mut self, group: Group);
-    /// Forgets a group whose request is gone.
+    /// Removes a group whose request is gone.
     fn withdraw(&mut self, group_id: GroupId);
-    /// Removes and gives the groups that are better given up: those that cannot be made by their
-    /// last moment, and those that are late while the runners are busy with more than a call's time
-    /// of others. What waits takes the runners `piece` for each piece.
+    /// Removes and returns the groups that are not worth keeping: those that cannot be done before
+    /// they expire, and late ones while more than a call's time of other work is queued before them.
+    /// The runners need `piece` for each waiting piece.
     ///
-    /// A late group goes behind all that can still be on time. As long as those come as fast as the
-    /// runners make them it would wait for its last moment, and its caller would learn then, with
-    /// no time left, what was plain seconds before. This holds also for requests whose first stages
-    /// are made: kept for the sake of that work, their results lapse while they wait, and have to be
-    /// made again.
+    /// A late group goes behind all that can still be on time. While those arrive as fast as the
+    /// runners process them, the late group would wait until it expires, and its caller would learn
+    /// only then, with no time left, what was clear seconds before. This also holds for requests
+    /// whose first stages are done: if they were kept, their results would expire while they wait
+    /// and have to be computed again.
     fn expire(&mut self, now: Duration, piece: Duration) -> Vec<GroupId>;
-    /// Takes the pieces of a call that starts now at a runner; none if there is no group as it needs.
-    fn take(&mut self, now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion>;
-    /// When the next group that waits for a runner of its domain may go anywhere.
+    /// Takes the pieces of a call that starts now at a runner; none if no group meets the
+    /// runner's requirement.
+    fn take(&mut self, now: Duration, runner: &FreeRunner<'_>) -> Vec<Portion>;
+    /// Time at which the next group that waits for its preferred domain may go to any domain.
     fn next_wakeup(&self, now: Duration) -> Option<Duration>;
-    /// Pieces that wait.
+    /// Number of waiting pieces.
     fn waiting_pieces(&self) -> u32;
-    /// Pieces that wait and would be taken before those of a new group of this rank.
+    /// Number of waiting pieces that go before those of a new group of this rank.
     fn pieces_ahead(&self, now: Duration, rank: u8) -> u32;
 }
 
-/// Fills calls with those that can still be on time first, by urgency and then by due time.
+/// Takes groups that can still be on time first, ordered by rank and then by due time.
 ///
-/// Under overload an order by due time alone spends each call on the request that is about to be
-/// late and makes all of them late; those that have lost their aim go behind those that have not.
+/// Under overload, ordering by due time alone spends each call on the request that is about to be
+/// late and thereby makes all of them late. Groups that are already late therefore go last.
 ///
 /// # Examples
 ///
@@ -165,7 +165,7 @@
 ///
 /// let second = Duration::from_secs(1);
 /// let shape = Shape { size: 4, call: second / 5, piece: second / 50 };
-/// let mut batch_queue = SlackQueue::new(shape);
+/// let mut queue = SlackQueue::new(shape);
 /// let group = Group {
 ///     group_id: 1,
 ///     pieces: 3,
@@ -177,10 +177,10 @@
 ///     arrived_at: Duration::ZERO,
 ///     max_domain_wait: Duration::ZERO,
 /// };
-/// batch_queue.push(group.clone());
-/// batch_queue.push(Group { group_id: 2, pieces: 1, due: second / 2, ..group });
-/// let offer = FreeRunner { room: 1_000, domain: "a", need: RequiredGroup::Any, free_times: &[] };
-/// let taken = batch_queue.take(Duration::ZERO, &offer);
+/// queue.push(group.clone());
+/// queue.push(Group { group_id: 2, pieces: 1, due: second / 2, ..group });
+/// let runner = FreeRunner { room: 1_000, domain: "a", required: RequiredGroup::Any, free_times: &[] };
+/// let taken = queue.take(Duration::ZERO, &runner);
 /// assert_eq!(taken[0], Portion { group_id: 2, pieces: 1 });
 /// assert_eq!(taken[1], Portion { group_id: 1, pieces: 3 });
 /// ```
@@ -192,13 +192,13 @@
 }
 
 impl SlackQueue {
-    /// An empty former for calls of this shape.
+    /// An empty queue for calls of this shape.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
         Self::with(shape, Rules::default())
     }
 
-    /// One that leaves out some of its rules.
+    /// An empty queue that applies only the enabled rules.
     #[must_use]
     pub fn with(shape: Shape, rules: Rules) -> Self {
         Self {
@@ -208,19 +208,23 @@
         }
     }
 
-    /// Takes over the shape that the configuration now gives.
-    pub fn reshape(&mut self, shape: Shape) {
+    /// Sets the shape after a change of the configuration.
+    pub fn set_shape(&mut self, shape: Shape) {
         self.shape = shape;
     }
 
-    /// Puts the groups into the order in which they are taken.
+    /// Sorts the groups into the order in which they are taken.
     fn sort(&mut self, now: Duration) {
         let end = now + self.shape.shortest();
-        let weight = if self.rules.small_first { WORK } else { 0 };
+        let weight = if self.rules.small_first {
+            SIZE_WEIGHT
+        } else {
+            0
+        };
         let work = self.shape.piece * weight;
-        let turn = |group: &Group| group.due + work * group.pieces;
+        let sort_time = |group: &Group| group.due + work * group.pieces;
         self.groups
-            .sort_by_key(|group| (group.due < end, group.rank, turn(group)));
+            .sort_by_key(|group| (group.due < end, group.rank, sort_time(group)));
     }
 }
 
@@ -235,39 +239,40 @@
 
     fn expire(&mut self, now: Duration, piece: Duration) -> Vec<GroupId> {
         if !self.rules.give_up {
-            return past(&mut self.groups, self.shape, now);
+            return remove_expired(&mut self.groups, self.shape, now);
         }
         self.sort(now);
         let (call, shortest) = (self.shape.call, self.shape.shortest());
         let mut ahead = 0;
-        let mut useless = Vec::new();
+        let mut expired = Vec::new();
         self.groups.retain(|group| {
             let wait = piece * ahead;
             let late = group.due < now + shortest;
-            let hopeless = now + wait.div_f64(HOPE) + shortest > group.expires_at;
+            let cannot_finish = now + wait.div_f64(MAX_QUEUE_SPEEDUP) + shortest > group.expires_at;
             let crowded_out = late && wait > call;
-            let keep = !hopeless && !crowded_out;
+            let keep = !cannot_finish && !crowded_out;
             if keep {
                 ahead += group.pieces;
             } else {
-                useless.push(group.group_id);
+                expired.push(group.group_id);
             }
             keep
         });
-        useless
+        expired
     }
 
-    fn take(&mut self, now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion> {
-        let near = |group: &Group| group.is_near(offer.domain);
-        if offer.need == RequiredGroup::Near && !self.groups.iter().any(near) {
+    fn take(&mut self, now: Duration, runner: &FreeRunner<'_>) -> Vec<Portion> {
+        let near = |group: &Group| group.is_near(runner.domain);
+        if runner.required == RequiredGroup::Near && !self.groups.iter().any(near) {
             return Vec::new();
         }
         self.sort(now);
-        let mut outlook = CallForecast::new(self.shape, offer.free_times);
-        let any = !self.rules.near;
-        let may = |group: &&Group| any || near(group) || !outlook.waits(group, now);
-        let groups = self.groups.iter().filter(may);
-        let portions = fill(groups, self.shape.size, offer.room, self.rules.whole);
+        let mut forecast = CallForecast::new(self.shape, runner.free_times);
+        let any_domain = !self.rules.near;
+        let eligible =
+            |group: &&Group| any_domain || near(group) || !forecast.should_wait(group, now);
+        let groups = self.groups.iter().filter(eligible);
+        let portions = fill(groups, self.shape.size, runner.room, self.rules.whole);
         for portion in &portions {
             if let Some(group) = self
                 .groups
@@ -282,11 +287,11 @@
     }
 
     fn next_wakeup(&self, now: Duration) -> Option<Duration> {
-        let moments = self
+        let times = self
             .groups
             .iter()
-            .map(|group| group.anywhere_from(self.shape, now));
-        moments.filter(|moment| *moment > now).min()
+            .map(|group| group.any_domain_from(self.shape, now));
+        times.filter(|time| *time > now).min()
     }
 
     fn waiting_pieces(&self) -> u32 {
@@ -301,19 +306,19 @@
     }
 }
 
-/// Portions of the groups in their order, as far as places and room go; with `whole`, a group that
-/// fits into a call of its own is not divided to fill the last places of one.
+/// Takes portions of the groups in order until the call has `size` pieces or the results fill `room`.
+/// With `whole`, a group that fits into a call of its own is not divided to fill up a call.
 ///
-/// A divided group depends on two calls and on the runners of both, its results lie in two places
-/// for the next stage, and those of the first call take up room until the second has ended. Calls are
-/// somewhat less full for it, which costs a stage that is asked for nearly all it can make.
+/// A divided group depends on two calls and on the runners of both, its results are stored in two
+/// places for the next stage, and those of the first call take up room until the second has ended. In
+/// return, calls are somewhat less full, which costs throughput when a stage is near its capacity.
 fn fill<'a>(
     groups: impl Iterator<Item = &'a Group>,
     size: u32,
     mut room: u64,
     whole: bool,
 ) -> Vec<Portion> {
-    let mut free = size;
+    let mut free_pieces = size;
     let mut portions = Vec::new();
     for group in groups {
         let fitting = room
@@ -321,36 +326,36 @@
             .unwrap_or(u64::from(size));
         let pieces = group
             .pieces
-            .min(free)
+            .min(free_pieces)
             .min(u32::try_from(fitting).unwrap_or(u32::MAX));
-        let divided = pieces < group.pieces && group.pieces <= size;
-        // One that finds no room at an empty call would find none at the next one either.
-        let later = whole && divided && !portions.is_empty();
-        if pieces > 0 && !later {
-            free -= pieces;
+        let is_divided = pieces < group.pieces && group.pieces <= size;
+        // A group for which an empty call lacks room would not fit into the next one either.
+        let postponed = whole && is_divided && !portions.is_empty();
+        if pieces > 0 && !postponed {
+            free_pieces -= pieces;
             room -= group.result_bytes * u64::from(pieces);
             portions.push(Portion {
                 group_id: group.group_id,
                 pieces,
             });
         }
-        if free == 0 {
+        if free_pieces == 0 {
             break;
         }
     }
     portions
 }
 
-/// Removes and gives the groups that a call which starts now makes too late.
-fn past(groups: &mut Vec<Group>, shape: Shape, now: Duration) -> Vec<GroupId> {
+/// Removes and returns the groups that would expire before a call that starts now ends.
+fn remove_expired(groups: &mut Vec<Group>, shape: Shape, now: Duration) -> Vec<GroupId> {
     let end = now + shape.shortest();
-    let useless = groups.iter().filter(|group| group.expires_at < end);
-    let useless = useless.map(|group| group.group_id).collect();
+    let expired = groups.iter().filter(|group| group.expires_at < end);
+    let expired = expired.map(|group| group.group_id).collect();
     groups.retain(|group| group.expires_at >= end);
-    useless
+    expired
 }
 
-/// One group a call, in order of arrival: the baseline.
+/// The baseline: one group per call, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct FifoQueue {
     shape: Shape,
@@ -358,7 +363,7 @@
 }
 
 impl FifoQueue {
-    /// An empty former for calls of this shape.
+    /// An empty queue for calls of this shape.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
         Self {
@@ -367,8 +372,8 @@
         }
     }
 
-    /// Takes over the shape that the configuration now gives.
-    pub fn reshape(&mut self, shape: Shape) {
+    /// Sets the shape after a change of the configuration.
+    pub fn set_shape(&mut self, shape: Shape) {
         self.shape = shape;
     }
 }
@@ -383,14 +388,19 @@
     }
 
     fn expire(&mut self, now: Duration, _piece: Duration) -> Vec<GroupId> {
-        past(&mut self.groups, self.shape, now)
+        remove_expired(&mut self.groups, self.shape, now)
     }
 
-    fn take(&mut self, _now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion> {
+    fn take(&mut self, _now: Duration, runner: &FreeRunner<'_>) -> Vec<Portion> {
         let Some(first) = self.groups.first_mut() else {
             return Vec::new();
         };
-        let portions = fill(std::iter::once(&*first), self.shape.size, offer.room, false);
+        let portions = fill(
+            std::iter::once(&*first),
+            self.shape.size,
+            runner.room,
+            false,
+        );
         first.pieces -= portions.first().map_or(0, |portion| portion.pieces);
         self.groups.retain(|group| group.pieces > 0);
         portions
--- a/crates/decide/src/batch/configured.rs
+++ b/crates/decide/src/batch/configured.rs
@@ -1,9 +1,9 @@
-//! The former that an operator has chosen, to compare what ships with naive twins.
+//! The batch queue that the settings select.
 
 use super::{BatchQueue, FifoQueue, FreeRunner, Group, GroupId, Portion, Rules, Shape, SlackQueue};
 use std::time::Duration;
 
-/// One of the formers.
+/// The shipped batch queue or the naive baseline.
 ///
 /// # Examples
 ///
@@ -16,39 +16,39 @@
 /// ```
 #[derive(Clone, Debug)]
 pub enum ConfiguredQueue {
-    /// Calls shared by slack.
-    SlackQueue(SlackQueue),
-    /// One group a call, without admission.
-    FifoQueue(FifoQueue),
+    /// Calls shared by several groups, ordered by slack.
+    Slack(SlackQueue),
+    /// One group per call, without admission control.
+    Fifo(FifoQueue),
 }
 
 impl ConfiguredQueue {
-    /// What ships, or the same with some rules left out.
+    /// The shipped queue with the enabled rules.
     #[must_use]
     pub fn with(shape: Shape, rules: Rules) -> Self {
-        Self::SlackQueue(SlackQueue::with(shape, rules))
+        Self::Slack(SlackQueue::with(shape, rules))
     }
 
     /// The baseline.
     #[must_use]
     pub fn naive(shape: Shape) -> Self {
-        Self::FifoQueue(FifoQueue::new(shape))
+        Self::Fifo(FifoQueue::new(shape))
     }
 
-    /// Shortest time in which a call ends.
+    /// Shortest time of a call.
     #[must_use]
     pub fn shortest(&self) -> Duration {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.shape.shortest(),
-            Self::FifoQueue(batch_queue) => batch_queue.shape.shortest(),
+            Self::Slack(queue) => queue.shape.shortest(),
+            Self::Fifo(queue) => queue.shape.shortest(),
         }
     }
 
-    /// Takes over the shape that the configuration now gives.
-    pub fn reshape(&mut self, shape: Shape) {
+    /// Sets the shape after a change of the configuration.
+    pub fn set_shape(&mut self, shape: Shape) {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.reshape(shape),
-            Self::FifoQueue(batch_queue) => batch_queue.reshape(shape),
+            Self::Slack(queue) => queue.set_shape(shape),
+            Self::Fifo(queue) => queue.set_shape(shape),
         }
     }
 }
@@ -56,50 +56,50 @@
 impl BatchQueue for ConfiguredQueue {
     fn push(&mut self, group: Group) {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.push(group),
-            Self::FifoQueue(batch_queue) => batch_queue.push(group),
+            Self::Slack(queue) => queue.push(group),
+            Self::Fifo(queue) => queue.push(group),
         }
     }
 
     fn withdraw(&mut self, group_id: GroupId) {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.withdraw(group_id),
-            Self::FifoQueue(batch_queue) => batch_queue.withdraw(group_id),
+            Self::Slack(queue) => queue.withdraw(group_id),
+            Self::Fifo(queue) => queue.withdraw(group_id),
         }
     }
 
     fn expire(&mut self, now: Duration, piece: Duration) -> Vec<GroupId> {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.expire(now, piece),
-            Self::FifoQueue(batch_queue) => batch_queue.expire(now, piece),
+            Self::Slack(queue) => queue.expire(now, piece),
+            Self::Fifo(queue) => queue.expire(now, piece),
         }
     }
 
-    fn take(&mut self, now: Duration, offer: &FreeRunner<'_>) -> Vec<Portion> {
+    fn take(&mut self, now: Duration, runner: &FreeRunner<'_>) -> Vec<Portion> {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.take(now, offer),
-            Self::FifoQueue(batch_queue) => batch_queue.take(now, offer),
+            Self::Slack(queue) => queue.take(now, runner),
+            Self::Fifo(queue) => queue.take(now, runner),
         }
     }
 
     fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.next_wakeup(now),
-            Self::FifoQueue(batch_queue) => batch_queue.next_wakeup(now),
+            Self::Slack(queue) => queue.next_wakeup(now),
+            Self::Fifo(queue) => queue.next_wakeup(now),
         }
     }
 
     fn waiting_pieces(&self) -> u32 {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.waiting_pieces(),
-            Self::FifoQueue(batch_queue) => batch_queue.waiting_pieces(),
+            Self::Slack(queue) => queue.waiting_pieces(),
+            Self::Fifo(queue) => queue.waiting_pieces(),
         }
     }
 
     fn pieces_ahead(&self, now: Duration, rank: u8) -> u32 {
         match self {
-            Self::SlackQueue(batch_queue) => batch_queue.pieces_ahead(now, rank),
-            Self::FifoQueue(batch_queue) => batch_queue.pieces_ahead(now, rank),
+            Self::Slack(queue) => queue.pieces_ahead(now, rank),
+            Self::Fifo(queue) => queue.pieces_ahead(now, rank),
         }
     }
 }
--- a/crates/decide/src/batch/forecast.rs
+++ b/crates/decide/src/batch/forecast.rs
@@ -1,47 +1,47 @@
-//! When the runners of each failure domain are free, and which groups wait for one of them.
+//! Forecast of when the runners of each failure domain are free, and which groups wait for them.
 
 use super::{Group, Shape};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Which groups a call must hold at least.
+/// Group that a call must contain at least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequiredGroup {
-    /// One that is best made in the runner's domain.
+    /// A group that prefers the runner's domain, or none.
     Near,
-    /// Any that may be made there.
+    /// Any group that may be processed in the runner's domain.
     Any,
 }
 
-/// When a runner is expected to take its next call.
+/// Time at which a runner is expected to take its next call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerFreeTime {
     /// Failure domain of the runner.
     pub domain: Arc<str>,
-    /// The moment; for a slow runner, later by the time that its call takes longer.
+    /// The time; for a slow runner, it includes the additional time that its call takes.
     pub at: Duration,
 }
 
-/// A runner that takes a call now.
+/// A runner that can take a call now.
 #[derive(Clone, Copy, Debug)]
 pub struct FreeRunner<'a> {
-    /// Bytes of results that it has room for.
+    /// Bytes of results that the runner has room for.
     pub room: u64,
     /// Its failure domain.
     pub domain: &'a str,
-    /// What the call must hold at least.
-    pub need: RequiredGroup,
-    /// When each runner of the service is expected to be free.
+    /// Group that the call must contain at least.
+    pub required: RequiredGroup,
+    /// Expected free time of each runner of the service.
     pub free_times: &'a [RunnerFreeTime],
 }
 
-/// The next calls of all runners, as they fill up with groups that wait for them.
+/// The next calls of all runners, which fill up with the groups that wait for them.
 ///
-/// A group that waits for a runner near its inputs for a fixed time has lost that time when the
-/// runner turns out to be busy for longer: in a service with one runner a domain and calls of 0.2
-/// to 0.4 s, that happened to two groups in three. What the calls in progress take is known, so that
-/// a group waits if its runner will be free in time, and goes elsewhere at once if not. That saves
-/// bytes between failure domains, and makes few requests late.
+/// A group that waits a fixed time for a runner close to its inputs has lost that time when the
+/// runner is busy for longer: in a service with one runner per domain and calls of 0.2 to 0.4 s,
+/// that happened to two groups in three. The end of the calls in progress is known, so a group waits
+/// only if its runner will be free in time, and goes to another domain at once if not. That saves
+/// traffic between failure domains, and makes few requests late.
 ///
 /// # Examples
 ///
@@ -52,7 +52,7 @@
 /// let ms = Duration::from_millis;
 /// let shape = Shape { size: 4, call: ms(200), piece: ms(10) };
 /// let free_times = [RunnerFreeTime { domain: "a".into(), at: ms(100) }];
-/// let mut outlook = CallForecast::new(shape, &free_times);
+/// let mut forecast = CallForecast::new(shape, &free_times);
 /// let group = Group {
 ///     group_id: 1,
 ///     pieces: 3,
@@ -64,60 +64,61 @@
 ///     arrived_at: ms(0),
 ///     max_domain_wait: ms(150),
 /// };
-/// assert!(outlook.waits(&group, ms(0)));
-/// // The next one fits into the call after that only, which is too late for it.
-/// assert!(!outlook.waits(&group, ms(0)));
+/// assert!(forecast.should_wait(&group, ms(0)));
+/// // The next group fits only into the following call, which is too late for it.
+/// assert!(!forecast.should_wait(&group, ms(0)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct CallForecast {
     shape: Shape,
-    calls: Vec<Next>,
+    calls: Vec<NextCall>,
 }
 
-/// The next call of a runner that is not full yet.
+/// The next call of a runner that still has capacity.
 #[derive(Clone, Debug)]
-struct Next {
+struct NextCall {
     domain: Arc<str>,
-    turn: Turn,
+    upcoming: UpcomingCall,
 }
 
-/// When a call starts, and the places that are left in it.
+/// Start of a call and the pieces that it still has capacity for.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct UpcomingCall {
     at: Duration,
-    places: u32,
+    free_pieces: u32,
 }
 
 impl CallForecast {
-    /// Calls of this shape at runners that are free at these moments.
+    /// A forecast for calls of this shape at runners that are free at these times.
     #[must_use]
     pub fn new(shape: Shape, free_times: &[RunnerFreeTime]) -> Self {
-        let next = |free: &RunnerFreeTime| Next {
+        let next = |free: &RunnerFreeTime| NextCall {
             domain: free.domain.clone(),
-            turn: Turn {
+            upcoming: UpcomingCall {
                 at: free.at,
-                places: shape.size,
+                free_pieces: shape.size,
             },
         };
         let calls = free_times.iter().map(next).collect();
         Self { shape, calls }
     }
 
-    /// Whether a group had better wait for a runner of its domain; if so, it has its place there.
-    pub fn waits(&mut self, group: &Group, now: Duration) -> bool {
+    /// Whether a group should wait for a runner of its preferred domain. If so, capacity is reserved
+    /// for it there.
+    pub fn should_wait(&mut self, group: &Group, now: Duration) -> bool {
         let Some(domain) = group.domain.as_deref() else {
             return false;
         };
-        let until = group.anywhere_from(self.shape, now);
+        let until = group.any_domain_from(self.shape, now);
         if until <= now {
             return false;
         }
         let shape = self.shape;
-        let near = self.calls.iter_mut().filter(|next| *next.domain == *domain);
-        let turns = near.map(|next| (next.turn.with(group.pieces, shape), next));
-        match turns.min_by_key(|(turn, _)| turn.at) {
-            Some((turn, next)) if turn.at <= until => {
-                next.turn = turn;
+        let local = self.calls.iter_mut().filter(|next| *next.domain == *domain);
+        let candidates = local.map(|next| (next.upcoming.with_pieces(group.pieces, shape), next));
+        match candidates.min_by_key(|(upcoming, _)| upcoming.at) {
+            Some((upcoming, next)) if upcoming.at <= until => {
+                next.upcoming = upcoming;
                 true
             }
             _ => false,
@@ -125,15 +126,18 @@
     }
 }
 
-impl Turn {
-    /// The call that takes so many more pieces: this one, or the one after it.
-    fn with(self, pieces: u32, shape: Shape) -> Self {
-        let Some(places) = self.places.checked_sub(pieces) else {
+impl UpcomingCall {
+    /// The call that takes this many more pieces: this one, or the following one.
+    fn with_pieces(self, pieces: u32, shape: Shape) -> Self {
+        let Some(free_pieces) = self.free_pieces.checked_sub(pieces) else {
             return Self {
                 at: self.at + shape.full(),
-                places: shape.size.saturating_sub(pieces),
+                free_pieces: shape.size.saturating_sub(pieces),
             };
         };
-        Self { places, ..self }
+        Self {
+            free_pieces,
+            ..self
+        }
     }
 }
--- a/crates/decide/src/batch/isolation.rs
+++ b/crates/decide/src/batch/isolation.rs
@@ -1,32 +1,33 @@
-//! Groups under which runners have ended, made apart from all others.
+//! Isolation of groups that were being processed when a runner exited.
 //!
-//! A call carries the pieces of many requests. When its runner ends, any of them may have ended it, and
-//! all are suspects. Put back among the others, the one that is to blame would end one runner after the
-//! other, and make suspects of whatever shared its calls. So suspects share calls with one another alone:
-//! half of those that were together when a runner ended, then each by itself. The innocent ones are made
-//! within two calls, which clears them, and the one to blame is alone when it ends its third runner.
+//! A call carries the pieces of many requests. When its runner exits, any of them may be the cause, and
+//! all are suspects. If they were queued with the others again, the faulty one would crash one runner
+//! after the other and make suspects of all groups in the same calls. Suspects therefore share calls
+//! with one another only: first half of those that were together when a runner exited, then each by
+//! itself. Harmless groups complete within two calls, which clears them, and the faulty one is alone
+//! when it crashes its third runner.
 
 use super::{Group, GroupId, Portion};
 use std::time::Duration;
 
-/// What a request asks for, as a hash: the same for each attempt of its caller.
+/// Hash of a request's content, which is the same for each attempt of its caller.
 pub type ContentHash = u64;
 
-/// Part of the time that a group has left for which it waits until enough runners are up.
-const PATIENCE_PART: u32 = 2;
+/// Divisor of a group's remaining time that gives how long it waits until enough runners are up.
+const RUNNER_WAIT_DIVISOR: u32 = 2;
 
-/// A group under which runners have ended.
+/// A group that was being processed when runners exited.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspect {
     /// The group.
     pub group: Group,
-    /// What its request asks for.
+    /// Content of its request.
     pub content: ContentHash,
-    /// Runners that have ended under it.
+    /// Number of runners that exited while they processed it.
     pub crashes: u32,
-    /// Most suspects in a call of which it is one.
+    /// Maximum number of suspects in a call that includes it.
     pub max_suspects: usize,
-    /// When it was set apart.
+    /// Time at which it was isolated.
     pub since: Duration,
 }
 
@@ -38,19 +39,19 @@
         self.max_suspects.max(1)
     }
 
-    /// Until when it waits for runners.
-    fn patient_until(&self) -> Duration {
-        let left = self.group.expires_at.saturating_sub(self.since);
-        self.since + left / PATIENCE_PART
+    /// Time until which it waits for runners.
+    fn waits_until(&self) -> Duration {
+        let remaining = self.group.expires_at.saturating_sub(self.since);
+        self.since + remaining / RUNNER_WAIT_DIVISOR
     }
 }
 
-/// What a runner takes in one call.
+/// Capacity of one call to a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct CallCapacity {
-    /// Pieces.
+    /// Number of pieces.
     pub pieces: u32,
-    /// Bytes of results that it has room for.
+    /// Bytes of results that the runner has room for.
     pub room: u64,
 }
 
@@ -95,18 +96,18 @@
 }
 
 impl Isolation {
-    /// Whether no suspect waits.
+    /// Whether no suspect is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Sets a group apart.
+    /// Isolates a group.
     pub fn push(&mut self, suspect: Suspect) {
         self.waiting.push(suspect);
     }
 
-    /// Whether a group is set apart.
+    /// Whether a group is isolated.
     #[must_use]
     pub fn contains(&self, group_id: GroupId) -> bool {
         self.waiting
@@ -114,14 +115,14 @@
             .any(|suspect| suspect.group.group_id == group_id)
     }
 
-    /// Forgets a group; gives it if it was set apart.
+    /// Removes a group and returns it if it was isolated.
     pub fn withdraw(&mut self, group_id: GroupId) -> Option<Suspect> {
         let mut waiting = self.waiting.iter();
         let position = waiting.position(|suspect| suspect.group.group_id == group_id)?;
         Some(self.waiting.swap_remove(position))
     }
 
-    /// More runners have ended under a group that is set apart.
+    /// Updates the number of runners that exited while they processed an isolated group.
     pub fn set_crashes(&mut self, group_id: GroupId, crashes: u32) {
         let mut waiting = self.waiting.iter_mut();
         if let Some(suspect) = waiting.find(|suspect| suspect.group.group_id == group_id) {
@@ -129,11 +130,11 @@
         }
     }
 
-    /// Takes the pieces of a call that starts now, at one of so many runners that are up. `may_run` tells
-    /// whether what is left of the service bears one more attempt after so many crashes.
+    /// Takes the pieces of a call that starts now at one of `runners` that are up. `may_run` tells, for a
+    /// number of crashes, whether the service has enough runners left for one more attempt.
     ///
-    /// One content is at one runner at a time, and at most half of the runners have suspects: the others'
-    /// pieces need runners too.
+    /// The same content runs on one runner at a time, and at most half of the runners process suspects, so
+    /// that the others are free for all other pieces.
     pub fn take(
         &mut self,
         runners: usize,
@@ -147,12 +148,12 @@
             .sort_by_key(|suspect| (suspect.group.rank, suspect.group.due));
         let mut call = Call::new(space);
         for suspect in &self.waiting {
-            let runs = self
+            let is_running = self
                 .calls
                 .iter()
                 .flatten()
                 .any(|one| *one == suspect.content);
-            if !runs && may_run(suspect.crashes) {
+            if !is_running && may_run(suspect.crashes) {
                 call.add(suspect);
             }
         }
@@ -177,7 +178,7 @@
         });
     }
 
-    /// A call with these contents has ended.
+    /// Records that a call with these contents has ended.
     pub fn ended(&mut self, contents: &[ContentHash]) {
         let mut calls = self.calls.iter();
         if let Some(position) = calls.position(|call| call == contents) {
@@ -185,25 +186,28 @@
         }
     }
 
-    /// Removes and gives the groups that a call of this time would make too late.
+    /// Removes and returns the groups that would expire before a call of this duration ends.
     pub fn expire(&mut self, now: Duration, shortest: Duration) -> Vec<GroupId> {
         self.remove_where(|suspect| now + shortest > suspect.group.expires_at)
     }
 
-    /// Removes and gives the groups that have waited long enough for runners to come back.
+    /// Removes and returns the groups that have waited too long for runners to come back.
     pub fn give_up(&mut self, now: Duration, may_run: impl Fn(u32) -> bool) -> Vec<GroupId> {
-        self.remove_where(|suspect| suspect.patient_until() <= now && !may_run(suspect.crashes))
+        self.remove_where(|suspect| suspect.waits_until() <= now && !may_run(suspect.crashes))
     }
 
-    fn remove_where(&mut self, is_over: impl Fn(&Suspect) -> bool) -> Vec<GroupId> {
-        let (over, left) = self.waiting.drain(..).partition(is_over);
-        self.waiting = left;
-        let over: Vec<Suspect> = over;
-        over.iter().map(|suspect| suspect.group.group_id).collect()
+    fn remove_where(&mut self, should_remove: impl Fn(&Suspect) -> bool) -> Vec<GroupId> {
+        let (removed, remaining) = self.waiting.drain(..).partition(should_remove);
+        self.waiting = remaining;
+        let removed: Vec<Suspect> = removed;
+        removed
+            .iter()
+            .map(|suspect| suspect.group.group_id)
+            .collect()
     }
 }
 
-/// The suspects of a call that is about to start.
+/// A call with suspects that is being assembled.
 struct Call {
     free: CallCapacity,
     max_suspects: usize,
--- a/crates/decide/src/batch/rules.rs
+++ b/crates/decide/src/batch/rules.rs
@@ -1,6 +1,6 @@
-//! Rules of a former that can be left out, to measure what each is worth.
+//! Rules of a batch queue that can be disabled to measure the effect of each.
 
-/// Which rules [`SlackQueue`](super::Slack) keeps.
+/// Rules that [`SlackQueue`](super::Slack) applies.
 ///
 /// # Examples
 ///
@@ -12,18 +12,18 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// Groups wait for a runner near their inputs, if it will be free in time.
+    /// Groups wait for a runner close to their inputs if it will be free in time.
     pub near: bool,
-    /// Groups are not divided to fill the last places of a call.
+    /// Groups are not divided to fill up a call.
     pub whole: bool,
-    /// Of groups that are due as soon, the small ones go first.
+    /// Small groups go before larger ones that are due at about the same time.
     pub small_first: bool,
-    /// Groups that are late are given up while others that are not keep the runners busy.
+    /// Late groups are dropped while groups that are still on time keep the runners busy.
     pub give_up: bool,
 }
 
 impl Default for Rules {
-    /// What ships.
+    /// All rules enabled, as shipped.
     fn default() -> Self {
         Self {
             near: true,
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,30 +1,30 @@
-//! By when a stage must start so that the request meets its deadline.
+//! Latest start times and priorities of stages, derived from the request's deadline.
 
 use crate::either::{Either, either};
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// When a stage should start, and how urgent that is.
+/// Latest start and priority of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageSchedule {
-    /// Latest moment, since the process started, at which the stage may start and the request
-    /// still meet its deadline.
+    /// Latest time, since the process started, at which the stage can start such that the request
+    /// still meets its deadline.
     pub latest_start: Duration,
-    /// Priority at the runner, 0 to 255; higher goes first.
+    /// Priority at the runner, from 0 to 255; higher values go first.
     pub priority: u8,
 }
 
 impl StageSchedule {
-    /// Time from `now` that the stage may still wait.
+    /// Time that the stage can still wait, as of `now`.
     #[must_use]
     pub fn slack(&self, now: Duration) -> Duration {
         self.latest_start.saturating_sub(now)
     }
 }
 
-/// Divides a request's time among the stages of its pipeline.
+/// Divides a request's time budget among the stages of its pipeline.
 pub trait Budget {
-    /// The slot of stage number `stage` for a request that came at `arrived` and is due at
+    /// The schedule of stage number `stage` for a request that arrived at `arrived` and is due at
     /// `deadline`, both since the process started.
     fn schedule(
         &self,
@@ -33,17 +33,17 @@
         arrived: Duration,
         deadline: Duration,
     ) -> StageSchedule;
-    /// Takes in a whole request: for each stage the time from its sending to its whole answer,
-    /// without waits in this process's queues.
+    /// Records a completed request: for each stage, the time from sending it to its complete
+    /// response, without waits in this process's queues.
     fn finished(&mut self, stages: &[Duration]);
 }
 
-/// The baseline: each stage has the whole time, and all are equally urgent.
+/// The baseline: each stage has the full time, and all have the same priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FullBudget;
 
-/// Priority of a call that is neither urgent nor late.
-pub const PLAIN: u8 = 128;
+/// Priority of a call of normal urgency.
+pub const DEFAULT_PRIORITY: u8 = 128;
 
 impl Budget for FullBudget {
     fn schedule(
@@ -55,30 +55,30 @@
     ) -> StageSchedule {
         StageSchedule {
             latest_start: deadline,
-            priority: PLAIN,
+            priority: DEFAULT_PRIORITY,
         }
     }
 
     fn finished(&mut self, _stages: &[Duration]) {}
 }
 
-/// Quantile of a stage's remaining time that its budget leaves room for.
+/// Quantile of a stage's remaining time that is reserved before the deadline.
 const QUANTILE: f64 = 0.9;
-/// Requests after which the window of remaining times starts anew. A long one remembers for many
-/// seconds how fast things were before half of the runners were lost.
+/// Requests after which the window of remaining times is reset. A long window would include, for
+/// many seconds, how fast requests were before half of the runners were lost.
 const WINDOW: u64 = 200;
-/// Requests after which the quantile is worked out anew.
-const REFRESH: u64 = 10;
-/// Requests of a window before it replaces the one before.
-const MIN_REQUESTS: u64 = 50;
-/// Longest remaining time told apart from longer ones, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
-/// Priority of a call that can no longer make its deadline: it yields.
-const LATE: u8 = 16;
-/// Priority of a call with all its time before it.
-const EARLY: u8 = 64;
-
-/// Splits the time by each stage's measured remaining-time distribution.
+/// Requests after which the quantile is recomputed.
+const REFRESH_INTERVAL: u64 = 10;
+/// Requests in a window before its quantile replaces that of the previous window.
+const MIN_WINDOW_REQUESTS: u64 = 50;
+/// Longest remaining time that the histogram distinguishes, in microseconds.
+const MAX_RECORDED_US: u64 = 600_000_000;
+/// Priority of a call that can no longer meet its deadline, so that it yields to others.
+const LATE_PRIORITY: u8 = 16;
+/// Priority of a call that has its full time left.
+const INITIAL_PRIORITY: u8 = 64;
+
+/// Splits the time budget by each stage's measured distribution of remaining times.
 ///
 /// # Examples
 ///
@@ -97,25 +97,25 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Split {
-    stages: Vec<Remaining>,
+    stages: Vec<RemainingTime>,
 }
 
 impl Split {
-    /// A split for a pipeline with this many stages that has measured nothing yet.
+    /// A split without measurements for a pipeline with this many stages.
     #[must_use]
     pub fn new(stages: usize) -> Self {
         Self {
-            stages: (0..stages).map(|_| Remaining::default()).collect(),
+            stages: (0..stages).map(|_| RemainingTime::default()).collect(),
         }
     }
 
-    /// Time from the start of a stage to the end of the request that nine of ten requests stay
-    /// within; zero before it has been measured.
+    /// 90th percentile of the time from the start of a stage to the end of the request; zero before
+    /// it has been measured.
     #[must_use]
     pub fn remaining(&self, stage: usize) -> Duration {
         self.stages
             .get(stage)
-            .map_or(Duration::ZERO, Remaining::get)
+            .map_or(Duration::ZERO, RemainingTime::get)
     }
 }
 
@@ -129,10 +129,10 @@
     ) -> StageSchedule {
         let latest_start = deadline.saturating_sub(self.remaining(stage));
         let slack = latest_start.saturating_sub(now);
-        let whole = deadline.saturating_sub(arrived);
+        let total = deadline.saturating_sub(arrived);
         StageSchedule {
             latest_start,
-            priority: priority(slack, whole),
+            priority: priority(slack, total),
         }
     }
 
@@ -146,45 +146,45 @@
     }
 }
 
-/// Rises from [`EARLY`] to 255 as the slack runs out, and falls to [`LATE`] once it has.
-fn priority(slack: Duration, whole: Duration) -> u8 {
+/// Rises from [`INITIAL_PRIORITY`] to 255 as the slack decreases; [`LATE_PRIORITY`] without slack.
+fn priority(slack: Duration, total: Duration) -> u8 {
     if slack.is_zero() {
-        return LATE;
+        return LATE_PRIORITY;
     }
-    let left = (slack.as_secs_f64() / whole.as_secs_f64()).min(1.0);
-    let span = f64::from(u8::MAX - EARLY);
-    u8::MAX - (left * span) as u8
+    let fraction_left = (slack.as_secs_f64() / total.as_secs_f64()).min(1.0);
+    let span = f64::from(u8::MAX - INITIAL_PRIORITY);
+    u8::MAX - (fraction_left * span) as u8
 }
 
-/// Remaining times of one stage: a window that fills up, and the quantile that is used.
+/// Remaining times of one stage: the window being filled, and the quantile in use.
 #[derive(Clone, Debug)]
-struct Remaining {
+struct RemainingTime {
     window: Histogram<u64>,
     current: Duration,
-    first: bool,
+    first_window: bool,
 }
 
-impl Default for Remaining {
+impl Default for RemainingTime {
     fn default() -> Self {
         Self {
-            window: Histogram::new_with_max(LONGEST_US, 2).expect("bounds are valid"),
+            window: Histogram::new_with_max(MAX_RECORDED_US, 2).expect("bounds are valid"),
             current: Duration::ZERO,
-            first: true,
+            first_window: true,
         }
     }
 }
 
-impl Remaining {
+impl RemainingTime {
     fn add(&mut self, remaining: Duration) {
-        let micros = u64::try_from(remaining.as_micros()).unwrap_or(LONGEST_US);
+        let micros = u64::try_from(remaining.as_micros()).unwrap_or(MAX_RECORDED_US);
         self.window.saturating_record(micros);
-        let enough = self.first || self.window.len() >= MIN_REQUESTS;
-        if enough && self.window.len() % REFRESH == 0 {
+        let has_enough = self.first_window || self.window.len() >= MIN_WINDOW_REQUESTS;
+        if has_enough && self.window.len() % REFRESH_INTERVAL == 0 {
             let micros = self.window.value_at_quantile(QUANTILE);
             self.current = Duration::from_micros(micros);
         }
         if self.window.len() >= WINDOW {
-            self.first = false;
+            self.first_window = false;
             self.window.reset();
         }
     }
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -1,35 +1,35 @@
-//! How many calls may be in flight at once.
+//! Limits on the number of calls in flight.
 
 use crate::either::{Either, either};
 use crate::smooth::Ewma;
 use std::time::Duration;
 
-/// One answered call, as its sender saw it.
+/// Measurements of one answered call, taken by its sender.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Time from sending the call to its whole answer.
+    /// Time from sending the call to its complete response.
     pub elapsed: Duration,
-    /// Calls that waited beside the runner when it answered.
+    /// Calls that were queued at the runner when it answered.
     pub queued: u32,
-    /// Calls that the runner is given at once at most; zero if it did not say.
+    /// Maximum number of calls that the runner is given at once; zero if it was not reported.
     pub slots: u32,
-    /// Calls in flight when it was sent, itself included.
+    /// Calls in flight when the call was sent, including itself.
     pub in_flight: u32,
 }
 
-/// A limit on calls in flight.
+/// A limit on the number of calls in flight.
 pub trait Limit {
-    /// Calls that may be in flight now.
+    /// Number of calls that may be in flight now.
     fn limit(&self) -> u32;
-    /// Takes in an answered call.
+    /// Records an answered call.
     fn answered(&mut self, sample: Sample);
-    /// Takes in a call that the other side refused because it was full.
+    /// Records a call that the target refused because it was full.
     fn refused(&mut self);
-    /// Sets the bounds within which the limit moves, as targets come and go.
-    fn resize(&mut self, least: u32, most: u32);
+    /// Sets the bounds of the limit, which change as targets join and leave.
+    fn resize(&mut self, min: u32, max: u32);
 }
 
-/// A limit that never moves by itself: the baseline.
+/// A limit that never adapts: the baseline.
 #[derive(Clone, Debug)]
 pub struct Fixed {
     limit: u32,
@@ -52,59 +52,59 @@
 
     fn refused(&mut self) {}
 
-    fn resize(&mut self, _least: u32, most: u32) {
-        self.limit = most;
+    fn resize(&mut self, _min: u32, max: u32) {
+        self.limit = max;
     }
 }
 
-/// Weight of one sample in the short-term mean of the stretch.
-const SHORT_WEIGHT: f64 = 0.1;
-/// Stretch (elapsed over undisturbed time) that is taken as no queueing at all.
+/// Weight of one sample in the short-term mean of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.1;
+/// Slowdown (elapsed time divided by baseline latency) up to which no queueing is assumed.
 const TOLERANCE: f64 = 1.1;
-/// Calls beyond what waits for nothing, as a multiple of the limit's square root. More would wait
-/// beside the runners, where no workspace has its share.
+/// Calls allowed beyond the point where queueing begins, as a multiple of the limit's square root.
+/// More would queue at the runners, where workspaces do not get their fair shares.
 const HEADROOM: f64 = 0.5;
-/// Share by which the limit moves towards its goal with one sample.
-const STEP: f64 = 0.05;
-/// Share of the limit that is left after a refusal.
-const BACKOFF: f64 = 0.95;
-/// Share by which the remembered undisturbed time rises with each slower sample while few calls are
-/// in flight, so that a lasting change of the work is learnt within some hundred calls.
-const FLOOR_RISE: f64 = 0.005;
-/// The same while the limit is in use. Such samples contain the queueing that the limit is there to
-/// prevent; learnt as fast, each would raise the limit, and that the next sample.
-const BUSY_FLOOR_RISE: f64 = 0.000_05;
-
-/// A limit that follows the gradient of latency: it grows while calls take no longer than
-/// undisturbed ones, and shrinks in proportion once they queue.
+/// Fraction of the distance to its goal by which one sample moves the limit.
+const GOAL_WEIGHT: f64 = 0.05;
+/// Factor applied to the limit after a refusal.
+const REFUSAL_BACKOFF: f64 = 0.95;
+/// Fraction of the difference by which each slower sample raises the baseline latency while few calls
+/// are in flight, so that a lasting change of the workload is learnt within some hundred calls.
+const BASELINE_RISE: f64 = 0.005;
+/// The same fraction while the limit is in use. Such samples include the queueing that the limit is
+/// to prevent; learnt as fast, each would raise the limit and thereby the next sample.
+const BUSY_BASELINE_RISE: f64 = 0.000_05;
+
+/// A limit that follows the latency gradient: it grows while calls take no longer than the baseline
+/// latency, and shrinks in proportion once they queue.
 ///
-/// Until calls have queued for the first time it grows by one with each answer: an entry that has just
-/// started would leave runners idle while it climbs.
+/// Until calls queue for the first time, the limit grows by one with each response: an entry process
+/// that has just started would otherwise leave runners idle while the limit rises.
 ///
-/// Where the other side tells how many calls wait there, that is the stretch: an engine that batches
-/// takes longer for each call while more run, without any of them waiting, so that its times say
-/// little. Where it does not, the undisturbed time is a slowly rising minimum of the elapsed times.
+/// If the target reports its queue length, the slowdown is derived from it: an engine that batches
+/// takes longer for each call while more run, without any of them waiting, so its latencies say
+/// little. Otherwise the baseline latency is a slowly rising minimum of the elapsed times.
 #[derive(Clone, Debug)]
 pub struct Gradient {
     limit: f64,
-    least: f64,
-    most: f64,
-    stretch: Ewma,
-    floor: Option<f64>,
-    starting: bool,
+    min: f64,
+    max: f64,
+    slowdown: Ewma,
+    baseline_s: Option<f64>,
+    slow_start: bool,
 }
 
 impl Gradient {
-    /// A limit that starts at `start` and stays within the bounds.
+    /// A limit that starts at `start` and stays between `min` and `max`.
     #[must_use]
-    pub fn new(start: u32, least: u32, most: u32) -> Self {
+    pub fn new(start: u32, min: u32, max: u32) -> Self {
         Self {
             limit: f64::from(start),
-            least: f64::from(least),
-            most: f64::from(most),
-            stretch: Ewma::new(SHORT_WEIGHT),
-            floor: None,
-            starting: true,
+            min: f64::from(min),
+            max: f64::from(max),
+            slowdown: Ewma::new(SLOWDOWN_WEIGHT),
+            baseline_s: None,
+            slow_start: true,
         }
     }
 
@@ -112,26 +112,26 @@
         f64::from(sample.in_flight) * 2.0 >= self.limit
     }
 
-    /// Time that a call takes, as a multiple of what it would take without waiting.
-    fn stretch(&mut self, sample: &Sample) -> f64 {
+    /// Latency of a call as a multiple of its latency without queueing.
+    fn slowdown(&mut self, sample: &Sample) -> f64 {
         if sample.slots > 0 {
             return 1.0 + f64::from(sample.queued) / f64::from(sample.slots);
         }
-        let undisturbed = self.undisturbed(sample).max(f64::MIN_POSITIVE);
-        sample.elapsed.as_secs_f64() / undisturbed
+        let baseline = self.baseline(sample).max(f64::MIN_POSITIVE);
+        sample.elapsed.as_secs_f64() / baseline
     }
 
-    fn undisturbed(&mut self, sample: &Sample) -> f64 {
+    fn baseline(&mut self, sample: &Sample) -> f64 {
         let elapsed = sample.elapsed.as_secs_f64();
-        let floor = self.floor.unwrap_or(elapsed);
+        let baseline_s = self.baseline_s.unwrap_or(elapsed);
         let rise = if self.in_use(sample) {
-            BUSY_FLOOR_RISE
+            BUSY_BASELINE_RISE
         } else {
-            FLOOR_RISE
+            BASELINE_RISE
         };
-        let floor = (floor + rise * (elapsed - floor)).min(elapsed);
-        self.floor = Some(floor);
-        floor
+        let baseline_s = (baseline_s + rise * (elapsed - baseline_s)).min(elapsed);
+        self.baseline_s = Some(baseline_s);
+        baseline_s
     }
 }
 
@@ -141,30 +141,30 @@
     }
 
     fn answered(&mut self, sample: Sample) {
-        let stretch = self.stretch(&sample);
-        self.stretch.add(stretch);
-        let gradient = (TOLERANCE / self.stretch.get().unwrap_or(1.0)).clamp(0.5, 1.0);
+        let slowdown = self.slowdown(&sample);
+        self.slowdown.add(slowdown);
+        let gradient = (TOLERANCE / self.slowdown.get().unwrap_or(1.0)).clamp(0.5, 1.0);
         if gradient >= 1.0 && !self.in_use(&sample) {
             return;
         }
-        self.starting &= gradient >= 1.0;
-        if self.starting {
-            self.limit = (self.limit + 1.0).min(self.most);
+        self.slow_start &= gradient >= 1.0;
+        if self.slow_start {
+            self.limit = (self.limit + 1.0).min(self.max);
             return;
         }
         let goal = self.limit * gradient + HEADROOM * self.limit.sqrt();
-        let next = self.limit + STEP * (goal - self.limit);
-        self.limit = next.clamp(self.least, self.most);
+        let next = self.limit + GOAL_WEIGHT * (goal - self.limit);
+        self.limit = next.clamp(self.min, self.max);
     }
 
     fn refused(&mut self) {
-        self.limit = (self.limit * BACKOFF).max(self.least);
+        self.limit = (self.limit * REFUSAL_BACKOFF).max(self.min);
     }
 
-    fn resize(&mut self, least: u32, most: u32) {
-        self.least = f64::from(least);
-        self.most = f64::from(most);
-        self.limit = self.limit.clamp(self.least, self.most);
+    fn resize(&mut self, min: u32, max: u32) {
+        self.min = f64::from(min);
+        self.max = f64::from(max);
+        self.limit = self.limit.clamp(self.min, self.max);
     }
 }
 
@@ -181,7 +181,7 @@
         either!(self, inner => inner.refused());
     }
 
-    fn resize(&mut self, least: u32, most: u32) {
-        either!(self, inner => inner.resize(least, most));
+    fn resize(&mut self, min: u32, max: u32) {
+        either!(self, inner => inner.resize(min, max));
     }
 }
--- a/crates/decide/tests/common/stage.rs
+++ b/crates/decide/tests/common/stage.rs
@@ -79,7 +79,7 @@
 }
 
 /// Plays a load; inputs lie at a runner's domain with the same chance for each runner.
-pub fn play(batch_queue: &mut impl BatchQueue, load: &Load, seed: u64) -> Outcome {
+pub fn play(queue: &mut impl BatchQueue, load: &Load, seed: u64) -> Outcome {
     let mut world = World {
         load,
         now: Duration::ZERO,
@@ -89,11 +89,11 @@
         outcome: Outcome::default(),
     };
     while world.now < load.end {
-        world.arrive(batch_queue);
+        world.arrive(queue);
         world.land();
-        world.give_up(batch_queue);
-        for need in [RequiredGroup::Near, RequiredGroup::Any] {
-            (0..load.domains.len()).for_each(|index| world.launch(batch_queue, index, need));
+        world.give_up(queue);
+        for required in [RequiredGroup::Near, RequiredGroup::Any] {
+            (0..load.domains.len()).for_each(|index| world.launch(queue, index, required));
         }
         world.now += STEP;
     }
@@ -110,7 +110,7 @@
 }
 
 impl World<'_> {
-    fn arrive(&mut self, batch_queue: &mut impl BatchQueue) {
+    fn arrive(&mut self, queue: &mut impl BatchQueue) {
         let load = self.load;
         if !self.rng.random_bool(load.rate * STEP.as_secs_f64()) {
             return;
@@ -119,7 +119,7 @@
         let pieces = self.rng.random_range(load.pieces.0..=load.pieces.1);
         let domain = load.domains[self.rng.random_range(0..load.domains.len())];
         let group_id = u64::from(self.outcome.asked);
-        batch_queue.push(Group {
+        queue.push(Group {
             group_id,
             pieces,
             result_bytes: 1,
@@ -172,17 +172,17 @@
         }
     }
 
-    fn give_up(&mut self, batch_queue: &mut impl BatchQueue) {
+    fn give_up(&mut self, queue: &mut impl BatchQueue) {
         let runners = self.load.domains.len() as u32;
         let shape = self.load.shape;
         let full = shape.call + shape.piece * shape.size;
-        for group_id in batch_queue.expire(self.now, full / (shape.size * runners)) {
+        for group_id in queue.expire(self.now, full / (shape.size * runners)) {
             self.open.retain(|open| open.group_id != group_id);
             self.give_back(group_id, self.now);
         }
     }
 
-    fn launch(&mut self, batch_queue: &mut impl BatchQueue, index: usize, need: RequiredGroup) {
+    fn launch(&mut self, queue: &mut impl BatchQueue, index: usize, required: RequiredGroup) {
         let now = self.now;
         let runner = &mut self.runners[index];
         if runner.call.is_some() {
@@ -196,10 +196,10 @@
         let offer = FreeRunner {
             room,
             domain,
-            need,
+            required,
             free_times: &self.free_times(),
         };
-        let portions = batch_queue.take(now, &offer);
+        let portions = queue.take(now, &offer);
         if portions.is_empty() {
             return;
         }
--- a/crates/decide/tests/near_inputs.rs
+++ b/crates/decide/tests/near_inputs.rs
@@ -60,8 +60,8 @@
 fn hurries_elsewhere() {
     let ms = Duration::from_millis;
     for (free_in, waits) in [(ms(150), true), (ms(450), false)] {
-        let mut batch_queue = SlackQueue::new(SHAPE);
-        batch_queue.push(Group {
+        let mut queue = SlackQueue::new(SHAPE);
+        queue.push(Group {
             group_id: 1,
             pieces: 10,
             result_bytes: 1,
@@ -79,10 +79,10 @@
         let offer = FreeRunner {
             room: 1_000,
             domain: "b",
-            need: RequiredGroup::Any,
+            required: RequiredGroup::Any,
             free_times: &[free("a", free_in), free("b", Duration::ZERO)],
         };
-        let taken = batch_queue.take(Duration::ZERO, &offer);
+        let taken = queue.take(Duration::ZERO, &offer);
         assert_eq!(taken.is_empty(), waits, "near runner free in {free_in:?}");
     }
 }
--- a/crates/decide/tests/stage_burst.rs
+++ b/crates/decide/tests/stage_burst.rs
@@ -24,7 +24,7 @@
 const OFFER: FreeRunner<'_> = FreeRunner {
     room: 1_000,
     domain: "a",
-    need: RequiredGroup::Any,
+    required: RequiredGroup::Any,
     free_times: &[],
 };
 
@@ -47,7 +47,7 @@
     if burst { 38.0 } else { 15.0 }
 }
 
-fn play(batch_queue: &mut impl BatchQueue, seed: u64) -> Outcome {
+fn play(queue: &mut impl BatchQueue, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut runners: Vec<Option<Call>> = (0..RUNNERS).map(|_| None).collect();
     let mut open: Vec<(u64, Duration, u32)> = Vec::new();
@@ -60,14 +60,14 @@
             outcome.asked += 1;
             let (group_id, pieces) = (u64::from(outcome.asked), rng.random_range(2..4));
             open.push((group_id, now, pieces));
-            batch_queue.push(group(group_id, pieces, now));
+            queue.push(group(group_id, pieces, now));
         }
         for runner in &mut runners {
             if let Some(call) = runner.take_if(|call| call.end <= now) {
                 land(&call, now, &mut open, &mut outcome);
             }
         }
-        for group_id in batch_queue.expire(now, piece) {
+        for group_id in queue.expire(now, piece) {
             let began = open
                 .iter()
                 .find(|(open, ..)| *open == group_id)
@@ -76,7 +76,7 @@
             open.retain(|(open, ..)| *open != group_id);
         }
         for runner in runners.iter_mut().filter(|runner| runner.is_none()) {
-            let taken = batch_queue.take(now, &OFFER);
+            let taken = queue.take(now, &OFFER);
             let pieces: u32 = taken.iter().map(|portion| portion.pieces).sum();
             if pieces > 0 {
                 let groups = taken
@@ -152,13 +152,13 @@
         due: Duration::from_millis(due_ms),
         ..group(group_id, pieces, Duration::ZERO)
     };
-    let mut batch_queue = SlackQueue::new(SHAPE);
+    let mut queue = SlackQueue::new(SHAPE);
     for group in [at(1, 7, 2_000), at(2, 2, 2_000), at(3, 8, 900)] {
-        batch_queue.push(group);
+        queue.push(group);
     }
     let mut order = Vec::new();
-    while batch_queue.waiting_pieces() > 0 {
-        let taken = batch_queue.take(Duration::ZERO, &OFFER);
+    while queue.waiting_pieces() > 0 {
+        let taken = queue.take(Duration::ZERO, &OFFER);
         order.extend(taken.iter().map(|portion| portion.group_id));
     }
     order.dedup();
--- a/crates/decide/tests/whole_groups.rs
+++ b/crates/decide/tests/whole_groups.rs
@@ -74,18 +74,18 @@
         max_domain_wait: Duration::ZERO,
     };
     for (pieces, room, taken) in [(40, 1_000, 28), (6, 40, 4)] {
-        let mut batch_queue = SlackQueue::new(SHAPE);
-        batch_queue.push(group(pieces));
+        let mut queue = SlackQueue::new(SHAPE);
+        queue.push(group(pieces));
         let offer = FreeRunner {
             room,
             domain: "a",
-            need: RequiredGroup::Any,
+            required: RequiredGroup::Any,
             free_times: &[],
         };
         let portion = Portion {
             group_id: 1,
             pieces: taken,
         };
-        assert_eq!(batch_queue.take(Duration::ZERO, &offer), [portion]);
+        assert_eq!(queue.take(Duration::ZERO, &offer), [portion]);
     }
 }
--- a/crates/relay/src/batch/form.rs
+++ b/crates/relay/src/batch/form.rs
@@ -59,14 +59,15 @@
         let free_times: Vec<RunnerFreeTime> = self.places.iter().map(free).collect();
         let batch_queue = self.batch_queue.as_mut()?;
         let tries = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
-        let mut tries = tries.flat_map(|need| places.iter().map(move |&index| (index, need)));
-        tries.find_map(|(index, need)| {
+        let mut tries =
+            tries.flat_map(|required| places.iter().map(move |&index| (index, required)));
+        tries.find_map(|(index, required)| {
             let place = &mut self.places[index];
             let room = place.room(batches, now);
             let offer = FreeRunner {
                 room: room.free,
                 domain: &place.runner.domain,
-                need,
+                required,
                 free_times: &free_times,
             };
             let portions = batch_queue.take(at, &offer);
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -180,7 +180,7 @@
         let policy = relay.options.policy;
         let batch_queue = || batch_queue(policy, batches.shape);
         let batch_queue = self.batch_queue.get_or_insert_with(batch_queue);
-        batch_queue.reshape(batches.shape);
+        batch_queue.set_shape(batches.shape);
         batch_queue.push(group);
         self.waiting.insert(group_id, waiting);
     }
