--- a/crates/decide/src/batch/rules.rs
+++ b/crates/decide/src/batch/rules.rs
@@ -1,6 +1,6 @@
 //! Rules of a batch queue that can be disabled to measure the effect of each.
 
-/// Rules that [`SlackQueue`](super::Slack) applies.
+/// Rules that [`SlackQueue`](super::SlackQueue) applies.
 ///
 /// # Examples
 ///
--- a/crates/decide/src/route/affinity.rs
+++ b/crates/decide/src/route/affinity.rs
@@ -1,50 +1,51 @@
-//! The same few targets for calls that share a prompt prefix, as far as load allows.
+//! Routing of calls that share a prompt prefix to the same few targets, as far as load allows.
 //!
-//! A runner that has read a prefix need not read it again. Which runner has what in its cache is
-//! known late and in part at best; but processes that all send the same prefix to the same runner
-//! need not know. The names of prefix and runner alone say which that is.
+//! A runner that has processed a prefix need not process it again. The contents of the runners'
+//! caches are known late and incompletely at best. Processes that all send the same prefix to the
+//! same runner need not know them: that runner follows from the names of prefix and runner alone.
 
 use super::{Block, Call, Pool, Router, Target, TargetId};
 use crate::subset::rendezvous_hash;
 use rand::Rng;
 
-/// Seconds that an engine takes to read a token of a prompt: one that reads 25 in a millisecond.
-/// Only the balance of waiting against reading again depends on it.
-const TOKEN: f64 = 40e-6;
-/// How much worse it is to read tokens that another runner holds than to wait as long. Reading
-/// again holds up all calls of the runner and evicts what others need.
-const AGAIN: f64 = 4.0;
-/// Part of the targets that calls with the same first part are kept to. The first part is shared by
-/// many prefixes, and each target that serves one of them reads it once.
-const GROUP_PART: usize = 3;
-/// Targets that calls with the same first part are kept to, at least.
-const GROUP_LEAST: usize = 3;
-/// Seconds by which the next target in the order of a prefix must be better. Processes that spill
-/// over should agree where to.
-const NEXT: f64 = 0.001;
-/// Round trip in seconds that a call to another failure domain costs.
-const CROSSING: f64 = 0.002;
+/// Seconds that an engine takes to read a token of a prompt, at 25 tokens a millisecond. It only
+/// affects the balance between waiting and reading a prefix again.
+const SECONDS_PER_TOKEN: f64 = 40e-6;
+/// Cost of reading tokens that another runner has cached, relative to waiting for the same time.
+/// Reading them again delays all calls of the runner and evicts what other calls need.
+const REREAD_WEIGHT: f64 = 4.0;
+/// Divisor of the number of targets that gives the size of the group that calls with the same first
+/// part are routed to. Many prefixes share the first part, and each target that serves one of them
+/// reads it once.
+const GROUP_DIVISOR: usize = 3;
+/// Minimum size of that group.
+const MIN_GROUP_SIZE: usize = 3;
+/// Cost in seconds of each position in a prefix's target order, so that processes whose preferred
+/// target is overloaded spill over to the same next one.
+const ORDER_COST: f64 = 0.001;
+/// Round-trip time in seconds of a call to another failure domain.
+const CROSS_DOMAIN_RTT: f64 = 0.002;
 
-/// Part of a prompt that other calls share.
+/// Part of a prompt that is shared with other calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash of this part and all before it.
+    /// Hash of this part and all parts before it.
     pub block: Block,
-    /// Its tokens.
+    /// Number of tokens in this part.
     pub tokens: u32,
 }
 
-/// Seconds that an engine takes to read this many tokens.
+/// Time in seconds that an engine takes to read this many tokens.
 #[must_use]
 pub fn read_seconds(tokens: u32) -> f64 {
-    f64::from(tokens) * TOKEN
+    f64::from(tokens) * SECONDS_PER_TOKEN
 }
 
-/// Sends a call where it is expected to begin first: what waits there to be read, what it must read
-/// itself, and what it costs to have a shared part read by one more runner.
+/// Selects the target with the lowest cost: the prompts queued there, the tokens that the call must
+/// read itself, and the cost of reading a shared part on one more runner.
 ///
-/// A decision costs time in proportion to the targets, so that it is for the subset of a pool that
-/// one process sends to.
+/// A decision takes time proportional to the number of targets, so it suits the subset of a pool
+/// that one process sends to.
 ///
 /// # Examples
 ///
@@ -77,8 +78,7 @@
 }
 
 impl<'a> PrefixAffinity<'a> {
-    /// A router for a call with these shared parts, in one of `processes` that see about the same
-    /// calls.
+    /// A router for a call with these shared parts, in one of `processes` that get similar traffic.
     #[must_use]
     pub fn new(processes: usize, parts: &'a [PromptPart]) -> Self {
         Self {
@@ -87,44 +87,47 @@
         }
     }
 
-    /// Seconds until the call would begin at a target, and what else speaks against it.
+    /// Expected time in seconds until the call would begin at a target, plus the cross-domain cost.
     fn cost(&self, pool: &Pool, call: &Call<'_>, target: &Target) -> f64 {
-        let own = target.call_load().wait();
-        let queue = match pool.peer_load(target, call.now) {
-            Some(others) => own + others.wait(),
-            None => own * self.processes,
+        let own_wait = target.call_load().expected_delay();
+        let queue_wait = match pool.peer_load(target, call.now) {
+            Some(outside) => own_wait + outside.expected_delay(),
+            None => own_wait * self.processes,
         };
-        let away = if *target.domain == *call.domain {
+        let domain_cost = if *target.domain == *call.domain {
             0.0
         } else {
-            CROSSING
+            CROSS_DOMAIN_RTT
         };
         if self.parts.is_empty() {
-            return queue + away + pool.expected(target, call);
+            return queue_wait + domain_cost + pool.expected_response_time(target, call);
         }
         let means = pool.means();
-        let slowness = target.service(call.now, means) / means.service;
-        queue * slowness + away
+        let slowdown = target.service_time(call.now, means) / means.service_time;
+        queue_wait * slowdown + domain_cost
     }
 
-    /// What it costs to have shared parts read again, for each target by its place.
-    fn again(&self, targets: &[&Target]) -> Vec<f64> {
+    /// Cost of reading the shared parts again, by the target's index.
+    fn reread_costs(&self, targets: &[&Target]) -> Vec<f64> {
         let Some((first, rest)) = self.parts.split_first() else {
             return vec![0.0; targets.len()];
         };
-        let rest: u32 = rest.iter().map(|part| part.tokens).sum();
-        let whole = self.parts.last().map_or(first.block, |part| part.block);
-        let mut order: Vec<usize> = (0..targets.len()).collect();
-        sort(&mut order, targets, first.block);
-        let size = (order.len() / GROUP_PART).max(GROUP_LEAST).min(order.len());
-        let (group, others) = order.split_at_mut(size);
-        sort(group, targets, whole);
+        let rest_tokens: u32 = rest.iter().map(|part| part.tokens).sum();
+        let full_prefix = self.parts.last().map_or(first.block, |part| part.block);
+        let mut indices: Vec<usize> = (0..targets.len()).collect();
+        sort_by_hash(&mut indices, targets, first.block);
+        let size = (indices.len() / GROUP_DIVISOR)
+            .max(MIN_GROUP_SIZE)
+            .min(indices.len());
+        let (group, outside) = indices.split_at_mut(size);
+        sort_by_hash(group, targets, full_prefix);
         let mut costs = vec![0.0; targets.len()];
-        for (place, &index) in group.iter().enumerate().skip(1) {
-            costs[index] = AGAIN * read_seconds(rest) + NEXT * place as f64;
+        for (position, &index) in group.iter().enumerate().skip(1) {
+            costs[index] = REREAD_WEIGHT * read_seconds(rest_tokens) + ORDER_COST * position as f64;
         }
-        for &mut index in others {
-            costs[index] = AGAIN * read_seconds(rest + first.tokens) + NEXT * size as f64;
+        for &mut index in outside {
+            costs[index] =
+                REREAD_WEIGHT * read_seconds(rest_tokens + first.tokens) + ORDER_COST * size as f64;
         }
         costs
     }
@@ -137,17 +140,22 @@
             .iter()
             .filter(|target| !call.tried.contains(&target.id))
             .collect();
-        let again = self.again(&targets);
+        let reread_costs = self.reread_costs(&targets);
         let offset = rng.random_range(0..targets.len().max(1));
         (0..targets.len())
             .map(|step| (offset + step) % targets.len())
-            .map(|index| (self.cost(pool, call, targets[index]) + again[index], index))
+            .map(|index| {
+                (
+                    self.cost(pool, call, targets[index]) + reread_costs[index],
+                    index,
+                )
+            })
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
             .map(|(_, index)| targets[index].id.clone())
     }
 }
 
-fn sort(places: &mut [usize], targets: &[&Target], block: Block) {
+fn sort_by_hash(indices: &mut [usize], targets: &[&Target], block: Block) {
     let name = format!("{block:x}");
-    places.sort_by_cached_key(|&place| rendezvous_hash(&name, &targets[place].id));
+    indices.sort_by_cached_key(|&position| rendezvous_hash(&name, &targets[position].id));
 }
--- a/crates/decide/src/route/call_load.rs
+++ b/crates/decide/src/route/call_load.rs
@@ -1,13 +1,13 @@
-//! The calls that processes have at a target, as they tell one another.
+//! Load that the calls of a process put on a target, as processes report it to one another.
 
 use serde::{Deserialize, Serialize};
 use std::ops::AddAssign;
 
-/// Seconds that a call adds to each other one at its engine, by making its steps longer: about
+/// Seconds by which a call delays each other call at its engine, because steps take longer: about
 /// 0.12 ms a step with a context of 9,000 tokens, for some fifty steps.
-const CROWDING: f64 = 0.008;
+const SECONDS_PER_CALL: f64 = 0.008;
 
-/// Calls that a process has at a target.
+/// Load of a process's calls on a target.
 ///
 /// # Examples
 ///
@@ -17,21 +17,21 @@
 /// let mut all = CallLoad { calls: 2, reading: 0.1 };
 /// all += CallLoad { calls: 1, reading: 0.3 };
 /// assert_eq!(all.calls, 3);
-/// assert!((all.wait() - 0.424).abs() < 1e-9);
+/// assert!((all.expected_delay() - 0.424).abs() < 1e-9);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CallLoad {
-    /// Calls that are not over.
+    /// Number of unfinished calls.
     pub calls: u32,
-    /// Seconds that the prompts take to read of those whose answers have not begun.
+    /// Time in seconds to read the prompts of the calls whose responses have not begun.
     pub reading: f64,
 }
 
 impl CallLoad {
-    /// Seconds for which they hold up a new call.
+    /// Time in seconds by which the calls delay a new one.
     #[must_use]
-    pub fn wait(&self) -> f64 {
-        self.reading + f64::from(self.calls) * CROWDING
+    pub fn expected_delay(&self) -> f64 {
+        self.reading + f64::from(self.calls) * SECONDS_PER_CALL
     }
 
     /// Whether there are no calls.
--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -1,12 +1,12 @@
-//! Which target a call goes to.
+//! Selection of the target for a call.
 //!
-//! * [`affinity`]: the same few targets for calls that share a prompt prefix
-//! * [`call_load`]: the calls that processes have at a target, as they tell one another
-//! * [`pool`]: what is known of a service's targets
-//! * [`target`]: what is known of one target
-//! * [`prefix`]: which targets are believed to have which prompt prefixes in cache
-//! * [`robin`]: the baseline, each target in turn
-//! * [`sampled`]: the best of a few sampled candidates by expected finish
+//! * [`affinity`]: routes calls that share a prompt prefix to the same few targets
+//! * [`call_load`]: load of a process's calls on a target, as processes report it to one another
+//! * [`pool`]: the state of a service's targets
+//! * [`target`]: the state of one target
+//! * [`prefix`]: an approximate index of the prompt prefixes in the targets' caches
+//! * [`robin`]: the baseline, round-robin
+//! * [`sampled`]: the best of a few sampled candidates by expected response time
 
 pub mod affinity;
 pub mod call_load;
@@ -31,24 +31,24 @@
 /// Hash of a prompt prefix up to and including one block.
 pub type Block = u64;
 
-/// What a router needs to know of the call that it routes.
+/// Properties of a call that a router needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// The moment of the decision, since the process started.
+    /// Time of the decision, since the process started.
     pub now: Duration,
-    /// Failure domain of the process that decides.
+    /// Failure domain of the process that sends the call.
     pub domain: &'a str,
-    /// Hashes of the prompt's prefix blocks, longest last.
+    /// Hashes of the prompt's prefix blocks, longest prefix last.
     pub prefix: &'a [Block],
-    /// Targets that this stage of the request has been sent to before.
+    /// Targets to which this stage of the request has been sent before.
     pub tried: &'a [TargetId],
-    /// Time that the stage may still wait and make its deadline.
+    /// Time that the stage can still wait and meet its deadline.
     pub slack: Duration,
 }
 
 /// Chooses a target for a call.
 pub trait Router {
-    /// A target that takes new work and was not tried for this stage, or `None` if there is none.
+    /// A target that accepts new work and was not tried for this stage, or `None` if there is none.
     fn pick(&mut self, pool: &Pool, call: &Call<'_>, rng: &mut impl Rng) -> Option<TargetId>;
 }
 
--- a/crates/decide/src/route/pool.rs
+++ b/crates/decide/src/route/pool.rs
@@ -1,4 +1,4 @@
-//! What is known of a service's targets.
+//! The state of a service's targets.
 
 use super::prefix::CacheIndex;
 use super::target::{LoadReport, PoolMeans, ResponseStats, Target, TargetId};
@@ -9,25 +9,25 @@
 use crate::smooth::Ewma;
 use std::time::Duration;
 
-/// Service time in seconds that is assumed before the first answer.
-const FIRST_SERVICE: f64 = 0.05;
-/// Weight of one answer in the pool's means.
+/// Service time in seconds that is assumed before the first response.
+const INITIAL_SERVICE_TIME: f64 = 0.05;
+/// Weight of one response in the pool's means.
 const POOL_WEIGHT: f64 = 0.05;
-/// Share of the service time that a whole prefix in cache is assumed to save before it is known.
-const FIRST_SAVING: f64 = 0.5;
-/// Largest share of the service time that a prefix in cache can be learnt to save.
-const MOST_SAVING: f64 = 0.9;
+/// Fraction of the service time that a fully cached prefix is assumed to save before it is measured.
+const INITIAL_SAVING: f64 = 0.5;
+/// Upper bound of the fraction of the service time that a cached prefix is estimated to save.
+const MAX_SAVING: f64 = 0.9;
 
-/// Age up to which the word of other processes on their calls is believed. A prompt of thousands of
-/// tokens is read in some tenths of a second.
-const TOLD: Duration = Duration::from_millis(600);
-/// Time after the last prompt for which a service counts as one that is sent prompts.
-const PROMPTED: Duration = Duration::from_secs(2);
+/// Age up to which the loads reported by other processes are used. A prompt of thousands of tokens is
+/// read in some tenths of a second.
+const PEER_LOADS_MAX_AGE: Duration = Duration::from_millis(600);
+/// Time after the last prompt for which a service counts as one that receives prompts.
+const PROMPT_WINDOW: Duration = Duration::from_secs(2);
 
 /// The targets of one service, as one process sees them.
 ///
-/// Those that take new work stand first in the vector, so that a router can draw from them
-/// without a look at the others.
+/// Targets that accept new work come first in the vector, so that a router can sample from them
+/// without checking the others.
 ///
 /// # Examples
 ///
@@ -46,16 +46,16 @@
     index: Map<TargetId, usize>,
     live: usize,
     capacity: u32,
-    due: Option<Duration>,
-    others: f64,
-    service: Ewma,
-    cold: Ewma,
-    warm: Ewma,
+    next_readmission: Option<Duration>,
+    other_calls: f64,
+    service_time: Ewma,
+    cold_time: Ewma,
+    warm_time: Ewma,
     cache_index: CacheIndex,
     trust: Trust,
-    /// When a prompt was last sent, and when other processes last told of their calls.
-    prompted: Option<Duration>,
-    told: Option<Duration>,
+    /// Times at which a prompt was last sent and at which other processes last reported their loads.
+    last_prompt: Option<Duration>,
+    peer_loads_updated: Option<Duration>,
     ejection: EjectionPolicy,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Pool {
-    /// An empty pool that ejects outliers as told.
+    /// An empty pool with this ejection policy.
     #[must_use]
     pub fn new(ejection: EjectionPolicy) -> Self {
         Self {
@@ -74,47 +74,47 @@
             index: Map::default(),
             live: 0,
             capacity: 0,
-            due: None,
-            others: 0.0,
-            service: Ewma::new(POOL_WEIGHT),
-            cold: Ewma::new(POOL_WEIGHT),
-            warm: Ewma::new(POOL_WEIGHT),
+            next_readmission: None,
+            other_calls: 0.0,
+            service_time: Ewma::new(POOL_WEIGHT),
+            cold_time: Ewma::new(POOL_WEIGHT),
+            warm_time: Ewma::new(POOL_WEIGHT),
             cache_index: CacheIndex::default(),
             trust: Trust::default(),
-            prompted: None,
-            told: None,
+            last_prompt: None,
+            peer_loads_updated: None,
             ejection,
         }
     }
 
-    /// Adds a target; one of that name keeps what is known of it.
+    /// Adds a target. An existing target of the same name keeps its state.
     pub fn insert(&mut self, target: Target) {
         if self.index.contains_key(&target.id) {
             return;
         }
-        let place = self.targets.len();
-        self.index.insert(target.id.clone(), place);
+        let position = self.targets.len();
+        self.index.insert(target.id.clone(), position);
         self.targets.push(target);
-        self.enlist(place);
+        self.activate(position);
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove(&mut self, id: &str) -> Option<Target> {
-        let place = *self.index.get(id)?;
-        let place = self.delist(place);
+        let position = *self.index.get(id)?;
+        let position = self.deactivate(position);
         let last = self.targets.len() - 1;
-        self.swap(place, last);
+        self.swap(position, last);
         let target = self.targets.pop()?;
         self.index.remove(id);
-        self.others -= target.others;
-        self.readmit_last();
+        self.other_calls -= target.other_calls;
+        self.readmit_if_none_live();
         Some(target)
     }
 
     /// The target of that name.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Target> {
-        self.index.get(id).map(|&place| &self.targets[place])
+        self.index.get(id).map(|&position| &self.targets[position])
     }
 
     /// All targets.
@@ -123,19 +123,19 @@
         &self.targets
     }
 
-    /// The targets that take new work.
+    /// The targets that accept new work.
     #[must_use]
     pub fn live(&self) -> &[Target] {
         &self.targets[..self.live]
     }
 
-    /// Calls that the runners of all targets that take new work are given at once at most.
+    /// Maximum number of concurrent calls at all targets that accept new work.
     #[must_use]
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// A call was sent to the target.
+    /// Records that a call was sent to the target.
     pub fn sent(&mut self, id: &str, now: Duration) {
         self.readmit(now);
         let means = self.means();
@@ -145,22 +145,23 @@
         }
     }
 
-    /// A call that was sent has a prompt that takes this many seconds to read.
+    /// Records that a sent call has a prompt that takes this many seconds to read.
     pub fn prompt_sent(&mut self, id: &str, now: Duration, seconds: f64) {
-        self.prompted = Some(now);
+        self.last_prompt = Some(now);
         if let Some(target) = self.get_mut(id) {
             target.reading += seconds;
         }
     }
 
-    /// Whether prompts are sent to the targets these days.
+    /// Whether prompts have been sent to the targets recently.
     #[must_use]
     pub fn has_recent_prompts(&self, now: Duration) -> bool {
         let age = |then: Duration| now.saturating_sub(then);
-        self.prompted.is_some_and(|then| age(then) < PROMPTED)
+        self.last_prompt
+            .is_some_and(|then| age(then) < PROMPT_WINDOW)
     }
 
-    /// The calls that this process has at the targets.
+    /// Loads of this process's calls on the targets.
     #[must_use]
     pub fn call_loads(&self) -> Vec<(TargetId, CallLoad)> {
         let loads = self.targets.iter();
@@ -170,9 +171,9 @@
             .collect()
     }
 
-    /// Other processes have told of all calls that they have at the targets.
+    /// Replaces the loads of other processes' calls on all targets.
     pub fn update_peer_loads(&mut self, now: Duration, loads: Vec<(TargetId, CallLoad)>) {
-        self.told = Some(now);
+        self.peer_loads_updated = Some(now);
         for target in &mut self.targets {
             target.peer_load = CallLoad::default();
         }
@@ -183,162 +184,165 @@
         }
     }
 
-    /// Calls of other processes at a target, unless they have not told for a while.
+    /// Load of other processes' calls on a target, unless their report is too old.
     #[must_use]
     pub fn peer_load(&self, target: &Target, now: Duration) -> Option<CallLoad> {
-        (self.peer_loads_age(now)? < TOLD).then_some(target.peer_load)
+        (self.peer_loads_age(now)? < PEER_LOADS_MAX_AGE).then_some(target.peer_load)
     }
 
-    /// Age of what other processes have told of their calls.
+    /// Age of the last report of other processes' loads.
     #[must_use]
     pub fn peer_loads_age(&self, now: Duration) -> Option<Duration> {
-        Some(now.saturating_sub(self.told?))
+        Some(now.saturating_sub(self.peer_loads_updated?))
     }
 
-    /// A prompt has been read, or is not read any more.
+    /// Records that a prompt has been read, or will not be read any more.
     pub fn prompt_read(&mut self, id: &str, seconds: f64) {
         if let Some(target) = self.get_mut(id) {
             target.reading = (target.reading - seconds).max(0.0);
         }
     }
 
-    /// A sent call was refused, revoked or cancelled, which says nothing about the target's health.
+    /// Records that a sent call was refused, revoked or cancelled, which does not affect the target's
+    /// health.
     pub fn returned(&mut self, id: &str) {
         if let Some(target) = self.get_mut(id) {
             target.in_flight = target.in_flight.saturating_sub(1);
         }
     }
 
-    /// A sent call was answered whole.
-    pub fn answered(&mut self, id: &str, now: Duration, answer: &ResponseStats<'_>) {
+    /// Records the complete response to a sent call.
+    pub fn answered(&mut self, id: &str, now: Duration, stats: &ResponseStats<'_>) {
         self.returned(id);
         self.readmit(now);
-        self.learn_saving(answer);
-        let Some(&place) = self.index.get(id) else {
+        self.update_saving(stats);
+        let Some(&position) = self.index.get(id) else {
             return;
         };
         let means = self.means();
-        let believed = self.cache_index.overlap(id, answer.prefix, now);
-        let target = &mut self.targets[place];
-        self.trust.learn(target.predicted, answer, means);
-        let service = target.learn_service(now, answer.elapsed, means);
-        target.learn_hits(believed, answer.hits);
+        let believed = self.cache_index.overlap(id, stats.prefix, now);
+        let target = &mut self.targets[position];
+        self.trust.update(target.predicted, stats, means);
+        let service_time = target.update_service_time(now, stats.elapsed, means);
+        target.update_hit_rate(believed, stats.hits);
         target.health.succeeded();
-        self.cache_index.stored(&target.id, answer.prefix, now);
-        self.service.add(service);
+        self.cache_index.stored(&target.id, stats.prefix, now);
+        self.service_time.add(service_time);
     }
 
-    /// A sent call failed, or its answer was lost; too many of these eject the target.
+    /// Records that a sent call failed or its response was lost. Too many failures eject the target.
     pub fn failed(&mut self, id: &str, now: Duration) {
         self.returned(id);
         self.readmit(now);
-        let Some(&place) = self.index.get(id) else {
+        let Some(&position) = self.index.get(id) else {
             return;
         };
         let (live, all) = (self.live, self.targets.len());
-        let target = &mut self.targets[place];
+        let target = &mut self.targets[position];
         if target.leaving || target.health.ejected() {
             return;
         }
         if let Some(until) = target.health.failed(&self.ejection, now, live, all) {
-            self.due = Some(self.due.map_or(until, |due| due.min(until)));
-            self.delist(place);
+            self.next_readmission =
+                Some(self.next_readmission.map_or(until, |time| time.min(until)));
+            self.deactivate(position);
         }
     }
 
-    /// The target's agent told its load, on an answer or on its own.
+    /// Records a load report of the target's agent, sent with a response or by itself.
     pub fn reported(&mut self, id: &str, now: Duration, report: LoadReport) {
-        let Some(&place) = self.index.get(id) else {
+        let Some(&position) = self.index.get(id) else {
             return;
         };
-        let target = &mut self.targets[place];
-        let before = target.others;
+        let target = &mut self.targets[position];
+        let before = target.other_calls;
         let limit = target.limit;
-        target.learn_load(now, report);
-        self.others += target.others - before;
-        if place < self.live {
+        target.update_load(now, report);
+        self.other_calls += target.other_calls - before;
+        if position < self.live {
             self.capacity = self.capacity - limit + target.limit;
         }
     }
 
-    /// Runners are given this many calls at once as far as no agent has said otherwise.
+    /// Sets the concurrency limit of all targets whose agents have not reported one.
     pub fn assume_limit(&mut self, limit: u32) {
         let limit = limit.max(1);
-        for (place, target) in self.targets.iter_mut().enumerate() {
+        for (position, target) in self.targets.iter_mut().enumerate() {
             if target.reported.is_none() {
                 let before = std::mem::replace(&mut target.limit, limit);
-                if place < self.live {
+                if position < self.live {
                     self.capacity = self.capacity - before + limit;
                 }
             }
         }
     }
 
-    /// The target is leaving and gets no new work; no older news puts it back.
+    /// Marks the target as leaving: it gets no new work, and no older update reverts this.
     pub fn leave(&mut self, id: &str) {
-        let Some(&place) = self.index.get(id) else {
+        let Some(&position) = self.index.get(id) else {
             return;
         };
-        self.targets[place].leaving = true;
-        self.delist(place);
-        self.readmit_last();
+        self.targets[position].leaving = true;
+        self.deactivate(position);
+        self.readmit_if_none_live();
     }
 
-    /// The target's engine said that it has stored these blocks.
+    /// Records that the target's engine reported these blocks as stored.
     pub fn stored(&mut self, id: &str, now: Duration, blocks: &[Block]) {
-        if let Some(&place) = self.index.get(id) {
-            let id = self.targets[place].id.clone();
+        if let Some(&position) = self.index.get(id) {
+            let id = self.targets[position].id.clone();
             self.cache_index.stored(&id, blocks, now);
         }
     }
 
-    /// The target's engine said that it has dropped this block.
+    /// Records that the target's engine reported this block as evicted.
     pub fn evicted(&mut self, id: &str, block: Block) {
         self.cache_index.evicted(id, block);
     }
 
-    /// Puts targets whose ejection is over back to work, on probation.
+    /// Readmits the targets whose ejection has expired, on probation.
     ///
-    /// To be called before each choice: where an ejected target is the only one that a call can go to,
-    /// no other call comes by that would end the ejection.
+    /// Must be called before each selection: if an ejected target is the only one that a call can go
+    /// to, no other call would end the ejection.
     pub fn readmit(&mut self, now: Duration) {
-        if self.due.is_some_and(|due| due <= now) {
+        if self.next_readmission.is_some_and(|time| time <= now) {
             self.readmit_due(now);
         }
     }
 
-    /// Puts all ejected targets back to work if no other one is left: one that fails is better than
-    /// none.
-    fn readmit_last(&mut self) {
-        if self.live == 0 && self.due.is_some() {
+    /// Readmits all ejected targets if no other one is left: a failing target is better than none.
+    fn readmit_if_none_live(&mut self) {
+        if self.live == 0 && self.next_readmission.is_some() {
             self.readmit_due(Duration::MAX);
         }
     }
 
     fn readmit_due(&mut self, now: Duration) {
-        for place in self.live..self.targets.len() {
-            let target = &mut self.targets[place];
+        for position in self.live..self.targets.len() {
+            let target = &mut self.targets[position];
             if !target.leaving && target.health.due(now) {
                 target.health.readmit();
-                self.enlist(place);
+                self.activate(position);
             }
         }
         let out = &self.targets[self.live..];
-        self.due = out.iter().filter_map(|target| target.health.until()).min();
+        self.next_readmission = out.iter().filter_map(|target| target.health.until()).min();
     }
 
-    /// Which prefixes the targets are believed to have in cache.
+    /// Index of the prefixes that the targets probably have cached.
     #[must_use]
     pub fn cache_index(&self) -> &CacheIndex {
         &self.cache_index
     }
 
-    /// Expected time in seconds until the target would answer the call.
+    /// Expected time in seconds until the target would answer the call, taking cached prefixes into
+    /// account.
     #[must_use]
-    pub fn expected(&self, target: &Target, call: &Call<'_>) -> f64 {
+    pub fn expected_response_time(&self, target: &Target, call: &Call<'_>) -> f64 {
         let means = self.means();
-        let finish = target.finish(call.now, means);
-        finish - target.service(call.now, means) * self.saving() * self.overlap(target, call)
+        let expected_finish = target.expected_finish(call.now, means);
+        expected_finish
+            - target.service_time(call.now, means) * self.saving() * self.overlap(target, call)
     }
 
     /// Means over the pool.
@@ -346,61 +350,65 @@
     pub fn means(&self) -> PoolMeans {
         let count = self.targets.len().max(1) as f64;
         PoolMeans {
-            service: self.service.get().unwrap_or(FIRST_SERVICE),
-            others: (self.others / count).max(0.0),
+            service_time: self.service_time.get().unwrap_or(INITIAL_SERVICE_TIME),
+            other_calls: (self.other_calls / count).max(0.0),
             trust: self.trust.get(),
         }
     }
 
-    /// Share of the call's prefix that the target is believed to hold, from 0 to 1.
+    /// Fraction of the call's prefix that the target probably has cached, from 0 to 1.
     fn overlap(&self, target: &Target, call: &Call<'_>) -> f64 {
         if call.prefix.is_empty() {
             return 0.0;
         }
         let held = self.cache_index.overlap(&target.id, call.prefix, call.now);
-        target.credit() * held as f64 / call.prefix.len() as f64
+        target.hit_rate() * held as f64 / call.prefix.len() as f64
     }
 
     fn saving(&self) -> f64 {
-        match (self.warm.get(), self.cold.get()) {
-            (Some(warm), Some(cold)) if cold > 0.0 => (1.0 - warm / cold).clamp(0.0, MOST_SAVING),
-            _ => FIRST_SAVING,
+        match (self.warm_time.get(), self.cold_time.get()) {
+            (Some(warm_time), Some(cold_time)) if cold_time > 0.0 => {
+                (1.0 - warm_time / cold_time).clamp(0.0, MAX_SAVING)
+            }
+            _ => INITIAL_SAVING,
         }
     }
 
-    fn learn_saving(&mut self, answer: &ResponseStats<'_>) {
-        if answer.prefix.is_empty() {
+    fn update_saving(&mut self, stats: &ResponseStats<'_>) {
+        if stats.prefix.is_empty() {
             return;
         }
-        let half_held = answer.hits as usize * 2 >= answer.prefix.len();
-        let mean = if half_held {
-            &mut self.warm
+        let mostly_cached = stats.hits as usize * 2 >= stats.prefix.len();
+        let mean = if mostly_cached {
+            &mut self.warm_time
         } else {
-            &mut self.cold
+            &mut self.cold_time
         };
-        mean.add(answer.busy.as_secs_f64());
+        mean.add(stats.busy.as_secs_f64());
     }
 
     fn get_mut(&mut self, id: &str) -> Option<&mut Target> {
-        self.index.get(id).map(|&place| &mut self.targets[place])
+        self.index
+            .get(id)
+            .map(|&position| &mut self.targets[position])
     }
 
-    fn enlist(&mut self, place: usize) {
-        if place >= self.live {
-            self.capacity += self.targets[place].limit;
-            self.swap(place, self.live);
+    fn activate(&mut self, position: usize) {
+        if position >= self.live {
+            self.capacity += self.targets[position].limit;
+            self.swap(position, self.live);
             self.live += 1;
         }
     }
 
-    /// Moves a target behind those that take new work and gives its new place.
-    fn delist(&mut self, place: usize) -> usize {
-        if place >= self.live {
-            return place;
+    /// Moves a target behind those that accept new work and returns its new position.
+    fn deactivate(&mut self, position: usize) -> usize {
+        if position >= self.live {
+            return position;
         }
-        self.capacity -= self.targets[place].limit;
+        self.capacity -= self.targets[position].limit;
         self.live -= 1;
-        self.swap(place, self.live);
+        self.swap(position, self.live);
         self.live
     }
 
@@ -409,9 +417,9 @@
             return;
         }
         self.targets.swap(one, other);
-        for place in [one, other] {
-            let id = self.targets[place].id.clone();
-            self.index.insert(id, place);
+        for position in [one, other] {
+            let id = self.targets[position].id.clone();
+            self.index.insert(id, position);
         }
     }
 }
--- a/crates/decide/src/route/prefix.rs
+++ b/crates/decide/src/route/prefix.rs
@@ -1,18 +1,18 @@
-//! Which targets are believed to have which prompt prefixes in cache.
+//! Approximate index of the prompt prefixes in the targets' caches.
 //!
-//! Cache events come late and with gaps, so that none of this is knowledge: a belief ends with
-//! its time, and each answer's own hit count corrects it.
+//! Cache events arrive late and with gaps, so the index may be wrong: entries expire, and the hit
+//! count of each response corrects the estimates.
 
 use super::{Block, TargetId};
 use crate::Map;
 use std::time::Duration;
 
-/// Targets remembered for one block; more would only spread copies of the same prefix.
-const HOLDERS: usize = 4;
-/// Blocks remembered before the older half is forgotten.
-const BLOCKS: usize = 1 << 16;
-/// Age at which a belief is given up.
-const LIFE: Duration = Duration::from_secs(120);
+/// Maximum number of targets per block; more would only spread copies of the same prefix.
+const MAX_HOLDERS: usize = 4;
+/// Maximum number of blocks; the older half is dropped when it is reached.
+const MAX_BLOCKS: usize = 1 << 16;
+/// Age at which an entry expires.
+const ENTRY_TTL: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
 struct Holder {
@@ -22,7 +22,7 @@
 
 type Holders = Vec<Holder>;
 
-/// Beliefs about all targets of a pool.
+/// Index of the prefix blocks that the targets of a pool probably have cached.
 ///
 /// # Examples
 ///
@@ -36,76 +36,76 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
-    young: Map<Block, Holders>,
+    recent: Map<Block, Holders>,
     old: Map<Block, Holders>,
 }
 
 impl CacheIndex {
-    /// The target has just been seen to hold these blocks.
+    /// Records that the target has these blocks cached.
     pub fn stored(&mut self, target: &TargetId, blocks: &[Block], now: Duration) {
         for &block in blocks {
-            self.store(target, block, now);
+            self.insert(target, block, now);
         }
     }
 
-    /// The target no longer holds the block.
+    /// Records that the target no longer has the block cached.
     pub fn evicted(&mut self, target: &str, block: Block) {
-        for half in [&mut self.young, &mut self.old] {
-            if let Some(holders) = half.get_mut(&block) {
+        for generation in [&mut self.recent, &mut self.old] {
+            if let Some(holders) = generation.get_mut(&block) {
                 holders.retain(|holder| &*holder.target != target);
             }
         }
     }
 
-    /// How many leading blocks of the prefix the target is believed to hold.
+    /// Number of leading blocks of the prefix that the target probably has cached.
     #[must_use]
     pub fn overlap(&self, target: &str, prefix: &[Block], now: Duration) -> usize {
         let held = |block: &Block| {
             self.holders(*block)
-                .any(|holder| &*holder.target == target && believed(holder, now))
+                .any(|holder| &*holder.target == target && is_fresh(holder, now))
         };
         prefix.partition_point(held)
     }
 
-    /// Targets believed to hold the longest known part of the prefix.
+    /// Targets that probably have the longest known part of the prefix cached.
     pub fn holding<'a>(
         &'a self,
         prefix: &[Block],
         now: Duration,
     ) -> impl Iterator<Item = &'a TargetId> {
-        let known = |block: &Block| self.holders(*block).any(|holder| believed(holder, now));
+        let known = |block: &Block| self.holders(*block).any(|holder| is_fresh(holder, now));
         let length = prefix.partition_point(known);
         let longest = length.checked_sub(1).map(|last| prefix[last]);
         longest
             .into_iter()
             .flat_map(move |block| self.holders(block))
-            .filter(move |holder| believed(holder, now))
+            .filter(move |holder| is_fresh(holder, now))
             .map(|holder| &holder.target)
     }
 
     fn holders(&self, block: Block) -> impl Iterator<Item = &Holder> {
-        let find = |half: &'_ Map<Block, Holders>| half.contains_key(&block);
-        let half = if find(&self.young) {
-            &self.young
+        let find = |generation: &'_ Map<Block, Holders>| generation.contains_key(&block);
+        let generation = if find(&self.recent) {
+            &self.recent
         } else {
             &self.old
         };
-        half.get(&block).into_iter().flatten()
+        generation.get(&block).into_iter().flatten()
     }
 
-    fn store(&mut self, target: &TargetId, block: Block, now: Duration) {
+    fn insert(&mut self, target: &TargetId, block: Block, now: Duration) {
         self.make_room();
         let old = self.old.remove(&block);
         let holders = self
-            .young
+            .recent
             .entry(block)
             .or_insert_with(|| old.unwrap_or_default());
         if let Some(holder) = holders.iter_mut().find(|holder| holder.target == *target) {
             holder.seen = now;
             return;
         }
-        if holders.len() == HOLDERS {
-            let oldest = (0..HOLDERS).min_by_key(|&index| holders[index].seen);
+        if holders.len() == MAX_HOLDERS {
+            let oldest = (0..MAX_HOLDERS).min_by_key(|&index| holders[index].seen);
             holders.swap_remove(oldest.unwrap_or(0));
         }
         holders.push(Holder {
@@ -114,15 +114,15 @@
         });
     }
 
-    /// Forgets the blocks not seen since the last half filled up; memory would grow with every
-    /// prompt ever seen otherwise.
+    /// Drops the blocks not seen since the previous generation filled up. Otherwise memory would grow
+    /// with every new prompt.
     fn make_room(&mut self) {
-        if self.young.len() >= BLOCKS / 2 {
-            self.old = std::mem::take(&mut self.young);
+        if self.recent.len() >= MAX_BLOCKS / 2 {
+            self.old = std::mem::take(&mut self.recent);
         }
     }
 }
 
-fn believed(holder: &Holder, now: Duration) -> bool {
-    now.saturating_sub(holder.seen) < LIFE
+fn is_fresh(holder: &Holder, now: Duration) -> bool {
+    now.saturating_sub(holder.seen) < ENTRY_TTL
 }
--- a/crates/decide/src/route/sampled.rs
+++ b/crates/decide/src/route/sampled.rs
@@ -1,25 +1,25 @@
-//! The best of a few sampled candidates by expected finish.
+//! The best of a few sampled candidates by expected response time.
 
 use super::{Call, Pool, Router, Target, TargetId};
 use rand::Rng;
 
-/// Candidates drawn at random. Two already avoid the longest queues; the third makes it likely
-/// that one of the caller's own failure domain is among them.
-const SAMPLE: usize = 3;
-/// Draws before the sample is taken as it is, where draws hit targets that were tried.
-const DRAWS: usize = 8;
-/// Candidates taken from those believed to hold the call's prefix.
-const HOLDERS: usize = 2;
-/// Round trip in seconds that a call to another failure domain costs.
-const CROSSING: f64 = 0.002;
-/// Share of the slack that staying in the own failure domain may cost.
+/// Number of random candidates. Two already avoid the longest queues; a third makes it likely that
+/// one of them is in the caller's own failure domain.
+const SAMPLE_SIZE: usize = 3;
+/// Maximum number of draws, since draws of targets that were already tried are discarded.
+const MAX_DRAWS: usize = 8;
+/// Maximum number of candidates that probably have the call's prefix cached.
+const MAX_HOLDERS: usize = 2;
+/// Round-trip time in seconds of a call to another failure domain.
+const CROSS_DOMAIN_RTT: f64 = 0.002;
+/// Fraction of the slack that staying in the own failure domain may cost.
 const SLACK_SHARE: f64 = 0.02;
-/// Share of the service time that staying in the own failure domain may cost.
+/// Fraction of the service time that staying in the own failure domain may cost.
 const SERVICE_SHARE: f64 = 0.1;
 
-/// Draws a few candidates and takes the one that is expected to answer first.
+/// Samples a few candidates and selects the one that is expected to answer first.
 ///
-/// The cost of a decision grows with the sample, not with the number of targets.
+/// The cost of a decision grows with the sample size, not with the number of targets.
 ///
 /// # Examples
 ///
@@ -48,10 +48,11 @@
 
 impl Router for Sampled {
     fn pick(&mut self, pool: &Pool, call: &Call<'_>, rng: &mut impl Rng) -> Option<TargetId> {
-        let margin = margin(pool, call);
+        let domain_margin = domain_margin(pool, call);
         let cost = |target: &Target| {
-            let away = *target.domain != *call.domain;
-            pool.expected(target, call) + if away { margin } else { 0.0 }
+            let cross_domain = *target.domain != *call.domain;
+            pool.expected_response_time(target, call)
+                + if cross_domain { domain_margin } else { 0.0 }
         };
         let drawn = draw(pool, call, rng);
         let holders = holders(pool, call);
@@ -67,27 +68,31 @@
     }
 }
 
-/// What a target in another failure domain must be better by, in seconds: the way there, and
-/// beyond it no more than the deadline can bear.
-fn margin(pool: &Pool, call: &Call<'_>) -> f64 {
-    let bearable = call.slack.as_secs_f64() * SLACK_SHARE;
-    CROSSING + bearable.min(pool.means().service * SERVICE_SHARE)
+/// Time in seconds by which a target in another failure domain must be better: the round trip, plus
+/// a margin that is small compared to the slack and to the service time.
+fn domain_margin(pool: &Pool, call: &Call<'_>) -> f64 {
+    let allowed = call.slack.as_secs_f64() * SLACK_SHARE;
+    CROSS_DOMAIN_RTT + allowed.min(pool.means().service_time * SERVICE_SHARE)
 }
 
-fn draw<'a>(pool: &'a Pool, call: &Call<'_>, rng: &mut impl Rng) -> [Option<&'a Target>; SAMPLE] {
+fn draw<'a>(
+    pool: &'a Pool,
+    call: &Call<'_>,
+    rng: &mut impl Rng,
+) -> [Option<&'a Target>; SAMPLE_SIZE] {
     let live = pool.live();
-    let mut sample = [None; SAMPLE];
+    let mut sample = [None; SAMPLE_SIZE];
     if live.is_empty() {
         return sample;
     }
     let mut filled = 0;
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_DRAWS {
         let target = &live[rng.random_range(0..live.len())];
         if !call.tried.contains(&target.id) {
             sample[filled] = Some(target);
             filled += 1;
         }
-        if filled == SAMPLE {
+        if filled == SAMPLE_SIZE {
             break;
         }
     }
@@ -100,10 +105,10 @@
         .filter(|id| !call.tried.contains(id))
         .filter_map(|id| pool.get(id))
         .filter(|target| !target.leaving() && !target.ejected())
-        .take(HOLDERS)
+        .take(MAX_HOLDERS)
 }
 
-/// Few targets are left untried, and the draws missed them all: looks at each in turn.
+/// Checks each target in turn, since random draws can miss the few that were not tried yet.
 fn first_untried<'a>(pool: &'a Pool, call: &Call<'_>, rng: &mut impl Rng) -> Option<&'a Target> {
     let live = pool.live();
     let start = rng.random_range(0..live.len().max(1));
--- a/crates/decide/src/route/trust.rs
+++ b/crates/decide/src/route/trust.rs
@@ -1,23 +1,23 @@
-//! How far load reports can be trusted.
+//! Confidence in load reports.
 
 use super::target::{PoolMeans, Prediction, ResponseStats};
 use crate::smooth::Ewma;
 
-/// Weight of one answer in the mean square errors.
-const WEIGHT: f64 = 0.02;
-/// Largest trust, however well reports have explained waits. At this trust even reports two seconds
-/// old start no herd; more of it gains nothing where they are fresh.
-const MOST: f64 = 0.25;
-/// Mean square error below which the two ways of guessing do not differ.
-const NOTHING: f64 = 1e-3;
+/// Weight of one response in the mean square errors.
+const ERROR_WEIGHT: f64 = 0.02;
+/// Upper bound of the trust, however well reports explain waits. At this value even reports that are
+/// two seconds old cause no herding; a higher value gains nothing when reports are fresh.
+const MAX_TRUST: f64 = 0.25;
+/// Mean square error below which the two predictions are taken to be equally good.
+const MIN_ERROR: f64 = 1e-3;
 
-/// Trust in the load reports of a pool: the share of the variance of measured waits that they
-/// explain beyond what the mean of the pool does.
+/// Trust in the load reports of a pool: the fraction of the variance of measured waits that they
+/// explain beyond what the mean of the pool explains.
 ///
-/// Reports may be seconds old when they arrive, and nothing in them says so. Entries that believe
-/// such reports all send to the target that was idle long ago; its queue grows until the next
-/// reports turn all of them elsewhere. The waits that calls then meet contradict the reports, which
-/// shows here.
+/// Reports may be seconds old when they arrive, and do not contain their age. Entry processes that
+/// trust such reports all send to a target that was idle long ago; its queue grows until the next
+/// reports direct all of them to another target. The waits of these calls contradict the reports,
+/// which lowers the trust.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trust {
     by_report: Ewma,
@@ -27,31 +27,31 @@
 impl Default for Trust {
     fn default() -> Self {
         Self {
-            by_report: Ewma::new(WEIGHT),
-            by_mean: Ewma::new(WEIGHT),
+            by_report: Ewma::new(ERROR_WEIGHT),
+            by_mean: Ewma::new(ERROR_WEIGHT),
         }
     }
 }
 
 impl Trust {
-    /// From 0 to [`MOST`].
+    /// The trust, from 0 to [`MAX_TRUST`].
     pub(super) fn get(&self) -> f64 {
         let explained = match (self.by_report.get(), self.by_mean.get()) {
-            (Some(report), Some(mean)) if mean > NOTHING => 1.0 - report / mean,
-            (Some(report), Some(_)) if report > NOTHING => 0.0,
+            (Some(report), Some(mean)) if mean > MIN_ERROR => 1.0 - report / mean,
+            (Some(report), Some(_)) if report > MIN_ERROR => 0.0,
             _ => 1.0,
         };
-        MOST * explained.clamp(0.0, 1.0)
+        MAX_TRUST * explained.clamp(0.0, 1.0)
     }
 
-    /// Compares what was predicted when a call was sent with the wait that its answer shows.
-    pub(super) fn learn(
+    /// Compares the waits that were predicted when a call was sent with the wait that was measured.
+    pub(super) fn update(
         &mut self,
         predicted: Prediction,
-        answer: &ResponseStats<'_>,
+        stats: &ResponseStats<'_>,
         means: PoolMeans,
     ) {
-        let wait = (answer.elapsed.as_secs_f64() / means.service - 1.0).max(0.0);
+        let wait = (stats.elapsed.as_secs_f64() / means.service_time - 1.0).max(0.0);
         self.by_report.add((predicted.by_report - wait).powi(2));
         self.by_mean.add((predicted.by_mean - wait).powi(2));
     }
