--- a/crates/decide/src/admit/fair.rs
+++ b/crates/decide/src/admit/fair.rs
@@ -1,8 +1,8 @@
-//! A queue that gives each workspace its share and orders each share by slack.
+//! A queue that shares capacity fairly among workspaces and orders each workspace's calls by slack.
 //!
-//! Start-time fair queueing: each workspace has a virtual time that advances by the cost of what it
-//! has started divided by its share, and the one that is furthest behind goes next. Among those
-//! nearly equally far behind, the most urgent call goes first.
+//! Start-time fair queueing: each workspace has a virtual time that advances by the cost of the
+//! calls it has started divided by its share, and the workspace with the lowest virtual time goes
+//! next. Among workspaces with nearly the same virtual time, the most urgent call goes first.
 
 use super::Call;
 use crate::{Map, WorkspaceId};
@@ -10,31 +10,31 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Cost divided by share, in nanoseconds of a runner's work.
-type Virtual = u64;
+/// Virtual time: cost divided by share, in nanoseconds of a runner's work.
+type VirtualTime = u64;
 
-/// Workspaces looked at for the most urgent call.
-const CANDIDATES: usize = 4;
-/// Workspaces remembered before idle ones are forgotten.
-const REMEMBERED: usize = 16_384;
+/// Maximum number of workspaces considered for the most urgent call.
+const MAX_CANDIDATES: usize = 4;
+/// Number of workspaces at which idle ones are dropped.
+const MAX_FLOWS: usize = 16_384;
 
-/// A call that waits; the most urgent one is the greatest.
+/// A waiting call. The most urgent call compares as the greatest.
 #[derive(Clone, Debug)]
 struct Waiting<T> {
     latest_start: Duration,
-    number: u64,
+    sequence: u64,
     item: T,
 }
 
 impl<T> Waiting<T> {
-    fn order(&self) -> Reverse<(Duration, u64)> {
-        Reverse((self.latest_start, self.number))
+    fn priority(&self) -> Reverse<(Duration, u64)> {
+        Reverse((self.latest_start, self.sequence))
     }
 }
 
 impl<T> PartialEq for Waiting<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -48,7 +48,7 @@
 
 impl<T> Ord for Waiting<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.order().cmp(&other.order())
+        self.priority().cmp(&other.priority())
     }
 }
 
@@ -56,26 +56,26 @@
 struct Flow<T> {
     workspace: WorkspaceId,
     share: u64,
-    tag: Virtual,
+    virtual_time: VirtualTime,
     calls: BinaryHeap<Waiting<T>>,
 }
 
-/// Calls that wait, by workspace.
+/// Waiting calls by workspace.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     index: Map<WorkspaceId, usize>,
     flows: Vec<Flow<T>>,
-    active: BinaryHeap<Reverse<(Virtual, usize)>>,
+    active: BinaryHeap<Reverse<(VirtualTime, usize)>>,
     active_share: u64,
-    clock: Virtual,
+    system_virtual_time: VirtualTime,
     lookahead: u64,
-    number: u64,
+    sequence: u64,
     queued: usize,
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue in which a workspace may run ahead of its share by `lookahead` calls for the
-    /// sake of an urgent one.
+    /// An empty queue in which a workspace may exceed its share by `lookahead` calls if one of its
+    /// calls is urgent.
     #[must_use]
     pub fn new(lookahead: u64) -> Self {
         Self {
@@ -83,67 +83,70 @@
             flows: Vec::new(),
             active: BinaryHeap::new(),
             active_share: 0,
-            clock: 0,
+            system_virtual_time: 0,
             lookahead,
-            number: 0,
+            sequence: 0,
             queued: 0,
         }
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.queued
     }
 
-    /// Whether no call waits.
+    /// Whether no call is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.queued == 0
     }
 
-    /// Calls of the workspace that wait.
+    /// Number of waiting calls of the workspace.
     #[must_use]
     pub fn queued(&self, workspace: &str) -> usize {
-        let flow = self.index.get(workspace).map(|&place| &self.flows[place]);
+        let flow = self
+            .index
+            .get(workspace)
+            .map(|&position| &self.flows[position]);
         flow.map_or(0, |flow| flow.calls.len())
     }
 
-    /// Sum of the shares of the workspaces that have calls waiting.
+    /// Sum of the shares of the workspaces that have waiting calls.
     #[must_use]
     pub fn active_share(&self) -> u64 {
         self.active_share
     }
 
-    /// Puts a call into its workspace's queue.
+    /// Adds a call to its workspace's queue.
     pub fn push(&mut self, call: Call<T>) {
-        let place = self.flow(&call.workspace, call.share);
-        let clock = self.clock;
-        let flow = &mut self.flows[place];
+        let position = self.flow(&call.workspace, call.share);
+        let system_virtual_time = self.system_virtual_time;
+        let flow = &mut self.flows[position];
         if flow.calls.is_empty() {
-            flow.tag = flow.tag.max(clock);
-            self.active.push(Reverse((flow.tag, place)));
+            flow.virtual_time = flow.virtual_time.max(system_virtual_time);
+            self.active.push(Reverse((flow.virtual_time, position)));
             self.active_share += flow.share;
         }
         flow.calls.push(Waiting {
             latest_start: call.latest_start,
-            number: self.number,
+            sequence: self.sequence,
             item: call.item,
         });
-        self.number += 1;
+        self.sequence += 1;
         self.queued += 1;
     }
 
-    /// Takes out the call whose turn it is; to be charged if it starts. `cost` is that of a usual
-    /// call.
+    /// Removes and returns the next call, which must be charged if it starts. `cost` is the cost of an
+    /// average call.
     pub fn pop(&mut self, cost: Duration) -> Option<Call<T>> {
-        let place = self.choose(cost)?;
-        let flow = &mut self.flows[place];
+        let position = self.select(cost)?;
+        let flow = &mut self.flows[position];
         let waiting = flow.calls.pop()?;
         let share = flow.share;
         self.queued -= 1;
         let workspace = flow.workspace.clone();
-        self.reinstate(place);
+        self.reactivate(position);
         Some(Call {
             workspace,
             share: u32::try_from(share).unwrap_or(u32::MAX),
@@ -154,138 +157,140 @@
 
     /// Charges a workspace for a call that starts.
     pub fn charge(&mut self, workspace: &WorkspaceId, share: u32, cost: Duration) {
-        let place = self.flow(workspace, share);
-        let flow = &self.flows[place];
-        let start = flow.tag.max(self.clock);
+        let position = self.flow(workspace, share);
+        let flow = &self.flows[position];
+        let start = flow.virtual_time.max(self.system_virtual_time);
         let end = start + virtual_cost(cost, flow.share);
         if self.queued == 0 {
-            self.clock = start;
+            self.system_virtual_time = start;
         }
-        self.retag(place, end);
+        self.set_virtual_time(position, end);
     }
 
-    /// Corrects what a workspace was charged once the true cost is known.
+    /// Corrects a workspace's charge once the actual cost is known.
     pub fn correct(&mut self, workspace: &str, charged: Duration, cost: Duration) {
-        let Some(&place) = self.index.get(workspace) else {
+        let Some(&position) = self.index.get(workspace) else {
             return;
         };
-        let flow = &self.flows[place];
+        let flow = &self.flows[position];
         let more = virtual_cost(cost, flow.share);
         let less = virtual_cost(charged, flow.share);
-        self.retag(place, (flow.tag + more).saturating_sub(less));
+        self.set_virtual_time(position, (flow.virtual_time + more).saturating_sub(less));
     }
 
-    /// Of the workspaces nearly furthest behind, takes the one with the most urgent call off the
-    /// active ones.
-    fn choose(&mut self, cost: Duration) -> Option<usize> {
-        let first = self.settle()?;
-        self.clock = self.clock.max(first);
-        let mut seen = [0; CANDIDATES];
+    /// Removes, from the active workspaces with nearly the lowest virtual time, the one with the most
+    /// urgent call.
+    fn select(&mut self, cost: Duration) -> Option<usize> {
+        let earliest = self.drop_stale()?;
+        self.system_virtual_time = self.system_virtual_time.max(earliest);
+        let mut candidates = [0; MAX_CANDIDATES];
         let mut count = 0;
-        while count < CANDIDATES {
-            let Some(place) = self.take_near(first, cost) else {
+        while count < MAX_CANDIDATES {
+            let Some(position) = self.take_within_lookahead(earliest, cost) else {
                 break;
             };
-            if !seen[..count].contains(&place) {
-                seen[count] = place;
+            if !candidates[..count].contains(&position) {
+                candidates[count] = position;
                 count += 1;
             }
         }
-        let candidates = &seen[..count];
-        let urgent = |&&place: &&usize| self.flows[place].calls.peek().map(Waiting::order);
-        let chosen = *candidates.iter().max_by_key(urgent)?;
-        for &place in candidates.iter().filter(|&&place| place != chosen) {
-            self.active.push(Reverse((self.flows[place].tag, place)));
+        let candidates = &candidates[..count];
+        let urgency =
+            |&&position: &&usize| self.flows[position].calls.peek().map(Waiting::priority);
+        let selected = *candidates.iter().max_by_key(urgency)?;
+        for &position in candidates.iter().filter(|&&position| position != selected) {
+            self.active
+                .push(Reverse((self.flows[position].virtual_time, position)));
         }
-        Some(chosen)
+        Some(selected)
     }
 
-    /// Takes off the first active workspace if it is no more than the lookahead ahead of `first`.
-    fn take_near(&mut self, first: Virtual, cost: Duration) -> Option<usize> {
-        let tag = self.settle()?;
-        let Reverse((_, place)) = *self.active.peek()?;
-        let ahead = virtual_cost(cost, self.flows[place].share) * self.lookahead;
-        if tag > first + ahead {
+    /// Removes the first active workspace if its virtual time is at most the lookahead after `earliest`.
+    fn take_within_lookahead(&mut self, earliest: VirtualTime, cost: Duration) -> Option<usize> {
+        let virtual_time = self.drop_stale()?;
+        let Reverse((_, position)) = *self.active.peek()?;
+        let ahead = virtual_cost(cost, self.flows[position].share) * self.lookahead;
+        if virtual_time > earliest + ahead {
             return None;
         }
         self.active.pop();
-        Some(place)
+        Some(position)
     }
 
-    /// Drops outdated entries until the first active one is right, and gives its tag.
-    fn settle(&mut self) -> Option<Virtual> {
+    /// Drops stale entries from the front of the heap and returns the first valid virtual time.
+    fn drop_stale(&mut self) -> Option<VirtualTime> {
         loop {
-            let &Reverse((tag, place)) = self.active.peek()?;
-            let flow = &self.flows[place];
-            if flow.tag == tag && !flow.calls.is_empty() {
-                return Some(tag);
+            let &Reverse((virtual_time, position)) = self.active.peek()?;
+            let flow = &self.flows[position];
+            if flow.virtual_time == virtual_time && !flow.calls.is_empty() {
+                return Some(virtual_time);
             }
             self.active.pop();
         }
     }
 
-    /// Moves a workspace's tag; its old entry among the active ones is outdated from then on.
-    fn retag(&mut self, place: usize, tag: Virtual) {
-        let flow = &mut self.flows[place];
-        let moved = flow.tag != tag;
-        flow.tag = tag;
-        if moved && !flow.calls.is_empty() {
-            self.active.push(Reverse((tag, place)));
+    /// Sets a workspace's virtual time, which makes its existing heap entry stale.
+    fn set_virtual_time(&mut self, position: usize, virtual_time: VirtualTime) {
+        let flow = &mut self.flows[position];
+        let changed = flow.virtual_time != virtual_time;
+        flow.virtual_time = virtual_time;
+        if changed && !flow.calls.is_empty() {
+            self.active.push(Reverse((virtual_time, position)));
         }
     }
 
-    fn reinstate(&mut self, place: usize) {
-        let flow = &self.flows[place];
+    fn reactivate(&mut self, position: usize) {
+        let flow = &self.flows[position];
         if flow.calls.is_empty() {
             self.active_share -= flow.share;
         } else {
-            self.active.push(Reverse((flow.tag, place)));
+            self.active.push(Reverse((flow.virtual_time, position)));
         }
     }
 
     fn flow(&mut self, workspace: &WorkspaceId, share: u32) -> usize {
         let share = u64::from(share.max(1));
-        if let Some(&place) = self.index.get(workspace) {
-            self.set_share(place, share);
-            return place;
+        if let Some(&position) = self.index.get(workspace) {
+            self.set_share(position, share);
+            return position;
         }
-        if self.flows.len() >= REMEMBERED {
+        if self.flows.len() >= MAX_FLOWS {
             self.forget_idle();
         }
-        let place = self.flows.len();
+        let position = self.flows.len();
         self.flows.push(Flow {
             workspace: workspace.clone(),
             share,
-            tag: self.clock,
+            virtual_time: self.system_virtual_time,
             calls: BinaryHeap::new(),
         });
-        self.index.insert(workspace.clone(), place);
-        place
+        self.index.insert(workspace.clone(), position);
+        position
     }
 
-    fn set_share(&mut self, place: usize, share: u64) {
-        let flow = &mut self.flows[place];
+    fn set_share(&mut self, position: usize, share: u64) {
+        let flow = &mut self.flows[position];
         if !flow.calls.is_empty() {
             self.active_share = self.active_share - flow.share + share;
         }
         flow.share = share;
     }
 
-    /// Drops workspaces that have nothing waiting; one that comes back starts level with the rest.
-    /// Names come from callers, so that the map would grow without bound otherwise.
+    /// Drops workspaces without waiting calls; one that returns starts at the current virtual time.
+    /// Names come from callers, so the map would grow without bound otherwise.
     fn forget_idle(&mut self) {
         self.flows.retain(|flow| !flow.calls.is_empty());
         let entries = self.flows.iter().enumerate();
         self.index = entries
             .clone()
-            .map(|(place, flow)| (flow.workspace.clone(), place))
+            .map(|(position, flow)| (flow.workspace.clone(), position))
             .collect();
         self.active = entries
-            .map(|(place, flow)| Reverse((flow.tag, place)))
+            .map(|(position, flow)| Reverse((flow.virtual_time, position)))
             .collect();
     }
 }
 
-fn virtual_cost(cost: Duration, share: u64) -> Virtual {
+fn virtual_cost(cost: Duration, share: u64) -> VirtualTime {
     u64::try_from(cost.as_nanos()).unwrap_or(u64::MAX) / share
 }
--- a/crates/decide/src/admit/mod.rs
+++ b/crates/decide/src/admit/mod.rs
@@ -1,8 +1,8 @@
-//! Whether a request is accepted, and in which order calls start.
+//! Admission of requests, and the order in which calls start.
 //!
-//! * [`fair`]: a queue that gives each workspace its share and orders each share by slack
-//! * [`predictive`]: bounded, fair, by slack; refuses by predicted waiting time
-//! * [`unbounded`]: the baseline, first in first out without bound
+//! * [`fair`]: a fair queue over workspaces, ordered by slack within each workspace
+//! * [`predictive`]: a bounded fair queue that refuses requests by predicted waiting time
+//! * [`unbounded`]: the baseline, an unbounded FIFO queue
 
 pub mod fair;
 pub mod predictive;
@@ -16,23 +16,23 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A call that asks to start.
+/// A call that is ready to start.
 #[derive(Clone, Debug)]
 pub struct Call<T> {
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Share of the pool that the workspace has, relative to others.
+    /// The workspace's share of the pool, relative to other workspaces.
     pub share: u32,
-    /// Latest moment, since the process started, at which the call may start and its request still
-    /// meet its deadline.
+    /// Latest time, since the process started, at which the call can start such that its request still
+    /// meets its deadline.
     pub latest_start: Duration,
-    /// What the caller of this module gets back when it is the call's turn.
+    /// Value that is returned to the caller when the call may start.
     pub item: T,
 }
 
 impl<T> Call<T> {
-    /// What admission needs to know of the call.
-    pub fn ask(&self) -> AdmissionRequest<'_> {
+    /// The admission request of this call.
+    pub fn request(&self) -> AdmissionRequest<'_> {
         AdmissionRequest {
             workspace: &self.workspace,
             share: self.share,
@@ -41,51 +41,51 @@
     }
 }
 
-/// What admission needs to know of a request that is not accepted yet.
+/// Properties of a request that admission is decided on.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
     /// Workspace of the caller.
     pub workspace: &'a str,
-    /// Share of the pool that the workspace has, relative to others.
+    /// The workspace's share of the pool, relative to other workspaces.
     pub share: u32,
-    /// Latest moment, since the process started, at which its call to this pool may start.
+    /// Latest time, since the process started, at which its call to this pool may start.
     pub latest_start: Duration,
 }
 
-/// What becomes of a new request.
+/// Admission decision on a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision<T> {
-    /// Start the call now; it counts as started.
+    /// The call may start now, and counts as started.
     Start(T),
-    /// Accepted; [`Admission::next`] will give it out.
+    /// The request is accepted; [`Admission::next`] will return the call.
     Queued,
-    /// Not accepted, because of overload.
+    /// The request is refused because of overload.
     Refused {
-        /// What was offered.
+        /// The value of the refused call.
         item: T,
-        /// When the caller should come back; differs from caller to caller.
+        /// Time after which the caller should retry, randomised to spread the callers.
         retry_after: Duration,
     },
 }
 
-/// Admission to one pool and the queue before it.
+/// Admission to one pool, and the queue in front of it.
 ///
-/// The caller starts what [`offer`](Self::offer), [`push`](Self::push) and [`next`](Self::next)
-/// give out, reports each start's end by [`finished`](Self::finished), and then asks for the
-/// `next` until there is none.
+/// The caller starts the calls that [`offer`](Self::offer), [`push`](Self::push) and
+/// [`next`](Self::next) return, reports the end of each by [`finished`](Self::finished), and then
+/// calls `next` until it returns `None`.
 pub trait Admission<T> {
-    /// Whether the pool is too far behind for one more request of the workspace, and when to come
-    /// back if so. To be asked for the pool of each later stage before a request is accepted, as it
-    /// will not be refused there.
+    /// The time after which to retry if the pool is overloaded for one more request of the workspace.
+    /// Must be checked for the pool of each later stage before a request is accepted, since requests
+    /// are not refused at later stages.
     fn overload(
         &mut self,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<Duration>;
-    /// Offers the first call of a new request, which may be refused; `limit` is the number of calls
-    /// that may be in flight.
+    /// Offers the first call of a new request, which may be refused. `limit` is the maximum number of
+    /// calls in flight.
     fn offer(
         &mut self,
         call: Call<T>,
@@ -93,29 +93,29 @@
         now: Duration,
         rng: &mut impl Rng,
     ) -> AdmissionDecision<T>;
-    /// Queues a call of a request that was accepted before: never refused. Gives it back if it may
-    /// start now.
+    /// Queues a call of a request that was accepted before, which is never refused. Returns the next
+    /// call if one may start now.
     fn push(&mut self, call: Call<T>, limit: u32, now: Duration) -> Option<T>;
-    /// The call whose turn it is, if fewer than `limit` are in flight; it counts as started.
+    /// Returns the next call if fewer than `limit` are in flight; it counts as started.
     fn next(&mut self, limit: u32, now: Duration) -> Option<T>;
-    /// A started call is over. `busy` is the time the runner worked for it, zero if it did not
-    /// run; `elapsed` is the time since it started, `None` if it did not run.
+    /// Records the end of a started call. `busy` is the time that the runner worked on it, zero if
+    /// it did not run; `elapsed` is the time since it started, `None` if it did not run.
     fn finished(&mut self, workspace: &str, busy: Duration, elapsed: Option<Duration>);
-    /// Calls that wait.
+    /// Number of waiting calls.
     fn queued(&self) -> usize;
-    /// Calls that have started and are not over.
+    /// Number of started calls that have not finished.
     fn in_flight(&self) -> u32;
 }
 
 impl<T, N: Admission<T>, S: Admission<T>> Admission<T> for Either<N, S> {
     fn overload(
         &mut self,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        either!(self, inner => inner.overload(ask, limit, now, rng))
+        either!(self, inner => inner.overload(request, limit, now, rng))
     }
 
     fn offer(
--- a/crates/decide/src/admit/predictive.rs
+++ b/crates/decide/src/admit/predictive.rs
@@ -1,4 +1,4 @@
-//! Bounded and fair admission by predicted waiting time.
+//! Bounded fair admission by predicted waiting time.
 
 use super::fair::FairQueue;
 use super::{Admission, AdmissionDecision, AdmissionRequest, Call};
@@ -6,33 +6,33 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Cost of a call before any has been measured.
-const FIRST_COST: Duration = Duration::from_millis(20);
+/// Cost of a call that is assumed before any has been measured.
+const INITIAL_COST: Duration = Duration::from_millis(20);
 /// Weight of one call in the smoothed cost and elapsed time.
 const COST_WEIGHT: f64 = 0.05;
 /// Weight of one request in the smoothed slack.
 const SLACK_WEIGHT: f64 = 0.02;
-/// Share of the usual slack that a workspace's queue may be predicted to take.
-const PATIENCE: f64 = 0.8;
-/// Calls that each workspace may always queue, however slow the pool is.
-const ALWAYS_QUEUED: usize = 4;
-/// One in so many starts goes to a call past its deadline while others wait, so that late work is
-/// late but never lost.
-const LATE_TURN: u32 = 10;
-/// Shortest time after which a refused caller is asked back.
-const SOONEST: Duration = Duration::from_millis(200);
-/// Longest time after which a refused caller is asked back.
-const LATEST: Duration = Duration::from_secs(30);
-/// Share of the pool's throughput that returning callers are expected to find.
-const RETURN_SHARE: f64 = 0.5;
-
-/// What a deployment sets.
+/// Fraction of the average slack that a workspace's predicted waiting time may take.
+const MAX_SLACK_FRACTION: f64 = 0.8;
+/// Number of calls that each workspace may always queue, however slow the pool is.
+const MIN_QUEUED: usize = 4;
+/// Every how many starts a late call goes before calls that are on time, so that late calls do not
+/// starve.
+const LATE_INTERVAL: u32 = 10;
+/// Shortest time after which a refused caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Longest time after which a refused caller should retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Fraction of the pool's throughput that is assumed to be available for returning callers.
+const RETURN_FRACTION: f64 = 0.5;
+
+/// Settings of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Calls that may wait in all.
+    /// Maximum number of waiting calls in total.
     pub queue: usize,
-    /// Weight of attainment against cost, from 0 to 1; it sets how far a workspace may run ahead
-    /// of its share for the sake of an urgent call.
+    /// Weight of attainment against cost, from 0 to 1. It sets how far a workspace may exceed its share
+    /// if one of its calls is urgent.
     pub attainment: f64,
 }
 
@@ -45,24 +45,24 @@
     }
 }
 
-/// Accepts what its workspace's share of the pool is predicted to start in good time; the rest is
-/// refused at once, with a time to come back that spreads the callers.
+/// Accepts requests whose workspace's share of the pool is predicted to start them in time. Other
+/// requests are refused at once, with retry times that spread the callers.
 ///
-/// Only new requests are refused, and only because their workspace's queue has grown longer than
-/// the usual slack: a short deadline alone is no reason. A call that has missed its deadline yields
-/// to those that can still make theirs, but keeps a share of the starts.
+/// Only new requests are refused, and only if their workspace's queue is longer than the average
+/// slack allows; a short deadline alone is no reason. A call that can no longer meet its deadline
+/// yields to those that can, but late calls keep a fraction of the starts.
 #[derive(Clone, Debug)]
 pub struct Predictive<T> {
-    bounds: AdmissionConfig,
+    config: AdmissionConfig,
     waiting: FairQueue<T>,
     late: FairQueue<T>,
     in_flight: u32,
-    turn: u32,
+    starts: u32,
     cost: Ewma,
     elapsed: Ewma,
     slack: Ewma,
-    refused: f64,
-    drained: Duration,
+    refused_backlog: f64,
+    backlog_updated: Duration,
 }
 
 impl<T> Default for Predictive<T> {
@@ -74,38 +74,38 @@
 impl<T> Predictive<T> {
     /// Admission to an idle pool.
     #[must_use]
-    pub fn new(bounds: AdmissionConfig) -> Self {
-        let lookahead = 4 + (8.0 * bounds.attainment.clamp(0.0, 1.0)) as u64;
+    pub fn new(config: AdmissionConfig) -> Self {
+        let lookahead = 4 + (8.0 * config.attainment.clamp(0.0, 1.0)) as u64;
         Self {
-            bounds,
+            config,
             waiting: FairQueue::new(lookahead),
             late: FairQueue::new(lookahead),
             in_flight: 0,
-            turn: 0,
+            starts: 0,
             cost: Ewma::new(COST_WEIGHT),
             elapsed: Ewma::new(COST_WEIGHT),
             slack: Ewma::new(SLACK_WEIGHT),
-            refused: 0.0,
-            drained: Duration::ZERO,
+            refused_backlog: 0.0,
+            backlog_updated: Duration::ZERO,
         }
     }
 
-    /// Time that one more call of the workspace is predicted to wait if all others with calls
-    /// waiting use their shares.
+    /// Predicted waiting time of one more call of the workspace if all other workspaces with waiting
+    /// calls use their shares.
     #[must_use]
-    pub fn wait(&self, workspace: &str, share: u32, limit: u32) -> Duration {
+    pub fn expected_wait(&self, workspace: &str, share: u32, limit: u32) -> Duration {
         let ahead = self.queued_by(workspace);
-        let own = u64::from(share.max(1));
-        let newcomer = if ahead == 0 { own } else { 0 };
-        let shares = (self.waiting.active_share() + newcomer).max(own);
-        let rate = self.throughput(limit) * own as f64 / shares as f64;
+        let own_share = u64::from(share.max(1));
+        let added_share = if ahead == 0 { own_share } else { 0 };
+        let shares = (self.waiting.active_share() + added_share).max(own_share);
+        let rate = self.throughput(limit) * own_share as f64 / shares as f64;
         let seconds = (ahead + 1) as f64 / rate.max(f64::MIN_POSITIVE);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Calls that the pool ends in a second while `limit` are in flight, by Little's law.
+    /// Calls a second that the pool completes while `limit` are in flight, by Little's law.
     fn throughput(&self, limit: u32) -> f64 {
-        let elapsed = self.elapsed.get().unwrap_or(FIRST_COST.as_secs_f64());
+        let elapsed = self.elapsed.get().unwrap_or(INITIAL_COST.as_secs_f64());
         f64::from(limit.max(1)) / elapsed.max(f64::MIN_POSITIVE)
     }
 
@@ -114,7 +114,9 @@
     }
 
     fn cost(&self) -> Duration {
-        self.cost.get().map_or(FIRST_COST, Duration::from_secs_f64)
+        self.cost
+            .get()
+            .map_or(INITIAL_COST, Duration::from_secs_f64)
     }
 
     fn start(&mut self, call: Call<T>) -> T {
@@ -124,26 +126,29 @@
         call.item
     }
 
-    /// When the pool is predicted to have caught up with those refused before, spread by half.
+    /// Predicted time until the pool can serve the callers refused before, randomised by half.
     fn retry_after(
         &mut self,
-        wait: Duration,
+        expected_wait: Duration,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Duration {
-        let rate = self.throughput(limit) * RETURN_SHARE;
-        let idle = now.saturating_sub(self.drained).as_secs_f64();
-        self.drained = now;
-        self.refused = (self.refused - idle * rate).max(0.0) + 1.0;
-        let behind = Duration::try_from_secs_f64(self.refused / rate).unwrap_or(LATEST);
-        let after = behind.max(wait).clamp(SOONEST, LATEST);
+        let rate = self.throughput(limit) * RETURN_FRACTION;
+        let since_update = now.saturating_sub(self.backlog_updated).as_secs_f64();
+        self.backlog_updated = now;
+        self.refused_backlog = (self.refused_backlog - since_update * rate).max(0.0) + 1.0;
+        let backlog_time =
+            Duration::try_from_secs_f64(self.refused_backlog / rate).unwrap_or(MAX_RETRY_AFTER);
+        let after = backlog_time
+            .max(expected_wait)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         after.mul_f64(rng.random_range(0.5..1.5))
     }
 
-    /// Moves calls that can no longer meet their deadlines out of the way and takes the first that
-    /// can.
-    fn pop_in_time(&mut self, now: Duration) -> Option<Call<T>> {
+    /// Moves calls that can no longer meet their deadlines to the late queue and takes the first call
+    /// that can.
+    fn pop_on_time(&mut self, now: Duration) -> Option<Call<T>> {
         let cost = self.cost();
         loop {
             let call = self.waiting.pop(cost)?;
@@ -161,35 +166,35 @@
     }
 
     fn pop(&mut self, now: Duration) -> Option<Call<T>> {
-        self.turn = (self.turn + 1) % LATE_TURN;
-        if self.turn == 0 {
-            return self.pop_late().or_else(|| self.pop_in_time(now));
+        self.starts = (self.starts + 1) % LATE_INTERVAL;
+        if self.starts == 0 {
+            return self.pop_late().or_else(|| self.pop_on_time(now));
         }
-        self.pop_in_time(now).or_else(|| self.pop_late())
+        self.pop_on_time(now).or_else(|| self.pop_late())
     }
 }
 
 impl<T> Admission<T> for Predictive<T> {
     fn overload(
         &mut self,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         limit: u32,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        let slack = ask.latest_start.saturating_sub(now);
+        let slack = request.latest_start.saturating_sub(now);
         self.slack.add(slack.as_secs_f64());
-        let ahead = self.queued_by(ask.workspace);
-        if ahead < ALWAYS_QUEUED {
+        let ahead = self.queued_by(request.workspace);
+        if ahead < MIN_QUEUED {
             return None;
         }
-        let wait = self.wait(ask.workspace, ask.share, limit);
-        let patience = self.slack.get().unwrap_or(0.0) * PATIENCE;
-        let room = self.bounds.queue.saturating_sub(self.queued());
-        if wait.as_secs_f64() <= patience && ahead < room {
+        let expected_wait = self.expected_wait(request.workspace, request.share, limit);
+        let max_wait = self.slack.get().unwrap_or(0.0) * MAX_SLACK_FRACTION;
+        let room = self.config.queue.saturating_sub(self.queued());
+        if expected_wait.as_secs_f64() <= max_wait && ahead < room {
             return None;
         }
-        Some(self.retry_after(wait, limit, now, rng))
+        Some(self.retry_after(expected_wait, limit, now, rng))
     }
 
     fn offer(
@@ -199,7 +204,7 @@
         now: Duration,
         rng: &mut impl Rng,
     ) -> AdmissionDecision<T> {
-        if let Some(retry_after) = self.overload(&call.ask(), limit, now, rng) {
+        if let Some(retry_after) = self.overload(&call.request(), limit, now, rng) {
             let item = call.item;
             return AdmissionDecision::Refused { item, retry_after };
         }
--- a/crates/decide/src/admit/unbounded.rs
+++ b/crates/decide/src/admit/unbounded.rs
@@ -1,11 +1,11 @@
-//! The baseline: first in, first out, without bound.
+//! The baseline: an unbounded FIFO queue.
 
 use super::{Admission, AdmissionDecision, AdmissionRequest, Call};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Accepts everything and starts it in the order in which it came.
+/// Accepts all calls and starts them in order of arrival.
 #[derive(Clone, Debug)]
 pub struct Unbounded<T> {
     queue: VecDeque<T>,
@@ -24,7 +24,7 @@
 impl<T> Admission<T> for Unbounded<T> {
     fn overload(
         &mut self,
-        _ask: &AdmissionRequest<'_>,
+        _request: &AdmissionRequest<'_>,
         _limit: u32,
         _now: Duration,
         _rng: &mut impl Rng,
--- a/crates/decide/src/demand/mean.rs
+++ b/crates/decide/src/demand/mean.rs
@@ -4,17 +4,17 @@
 use crate::smooth::Ewma;
 use std::time::Duration;
 
-/// Weight of one answer that had the least error on recorded demand.
+/// Weight of one response; this value had the lowest error on recorded demand.
 const DEFAULT_WEIGHT: f64 = 0.02;
 
-/// Mean busy time of each class, the newest answers weighing most.
+/// Exponentially weighted mean of each class's busy time.
 #[derive(Clone, Debug)]
 pub struct EwmaEstimator {
     classes: Vec<Ewma>,
 }
 
 impl EwmaEstimator {
-    /// The estimator that is used unless another is wanted, for so many classes.
+    /// The default estimator for this many classes.
     ///
     /// # Examples
     ///
@@ -31,7 +31,7 @@
         Self::new(classes, DEFAULT_WEIGHT)
     }
 
-    /// An estimator for so many classes, in which one answer has this weight, above 0 and up to 1.
+    /// An estimator for this many classes in which one response has this weight, above 0 and up to 1.
     #[must_use]
     pub fn new(classes: usize, weight: f64) -> Self {
         Self {
--- a/crates/decide/src/demand/mod.rs
+++ b/crates/decide/src/demand/mod.rs
@@ -1,6 +1,6 @@
 //! Estimates of service time by class.
 //!
-//! * [`kalman`]: a Kalman filter over the busy time that all classes used together
+//! * [`kalman`]: a Kalman filter over the total busy time of all classes
 //! * [`mean`]: an exponentially weighted mean of each class
 //! * [`quantile`]: a quantile sketch of each class
 
@@ -15,16 +15,16 @@
 use crate::either::{Either, either};
 use std::time::Duration;
 
-/// Position of a class in the estimator, from zero.
+/// Index of a class in the estimator.
 pub type Class = usize;
 
 /// Estimates how long a runner is busy with one call of a class.
 pub trait ServiceTimeEstimator {
-    /// A call of the class was answered after the runner was busy for this time.
+    /// Records a call of the class that kept the runner busy for this time.
     fn answered(&mut self, class: Class, busy: Duration);
-    /// A monitoring window of fixed length has ended.
+    /// Ends a monitoring window of fixed length.
     fn close(&mut self);
-    /// Estimated busy time of one call of the class; zero before anything was learnt.
+    /// Estimated busy time of one call of the class; zero before the first measurement.
     fn estimate(&self, class: Class) -> Duration;
 }
 
--- a/crates/decide/src/demand/quantile.rs
+++ b/crates/decide/src/demand/quantile.rs
@@ -4,12 +4,12 @@
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Longest busy time told apart from longer ones, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
-/// Answers in the window below which the last full window is used instead.
-const MIN_ANSWERS: u64 = 20;
+/// Longest busy time that the histogram distinguishes, in microseconds.
+const MAX_RECORDED_US: u64 = 600_000_000;
+/// Minimum number of responses in the current window; with fewer, the last full window is used.
+const MIN_RESPONSES: u64 = 20;
 
-/// A quantile of each class's busy times over the current and the last window.
+/// A quantile of each class's busy times over the current or the last window.
 #[derive(Clone, Debug)]
 pub struct QuantileEstimator {
     quantile: f64,
@@ -24,12 +24,12 @@
 }
 
 impl QuantileEstimator {
-    /// An estimator for so many classes that gives this quantile, from 0 to 1, of windows of
-    /// `size` answers.
+    /// An estimator for this many classes that returns this quantile, from 0 to 1, of windows of
+    /// `size` responses.
     #[must_use]
     pub fn new(classes: usize, quantile: f64, size: u64) -> Self {
         let windows = Windows {
-            current: Histogram::new_with_max(LONGEST_US, 2).expect("bounds are valid"),
+            current: Histogram::new_with_max(MAX_RECORDED_US, 2).expect("bounds are valid"),
             last: Duration::ZERO,
         };
         Self {
@@ -49,7 +49,7 @@
 impl ServiceTimeEstimator for QuantileEstimator {
     fn answered(&mut self, class: Class, busy: Duration) {
         let windows = &mut self.classes[class];
-        let micros = u64::try_from(busy.as_micros()).unwrap_or(LONGEST_US);
+        let micros = u64::try_from(busy.as_micros()).unwrap_or(MAX_RECORDED_US);
         windows.current.saturating_record(micros);
         if windows.current.len() >= self.size {
             windows.last = windows.get(self.quantile);
@@ -61,8 +61,8 @@
 
     fn estimate(&self, class: Class) -> Duration {
         let windows = &self.classes[class];
-        let enough = windows.current.len() >= MIN_ANSWERS || windows.last.is_zero();
-        if enough {
+        let has_enough = windows.current.len() >= MIN_RESPONSES || windows.last.is_zero();
+        if has_enough {
             return windows.get(self.quantile);
         }
         windows.last
--- a/crates/decide/src/retry/always.rs
+++ b/crates/decide/src/retry/always.rs
@@ -3,16 +3,16 @@
 use super::{Failure, Retry};
 use std::time::Duration;
 
-/// Attempts of one stage after which the baseline gives up as well.
-const ATTEMPTS: u16 = 8;
+/// Maximum number of attempts of one stage.
+const MAX_ATTEMPTS: u16 = 8;
 
-/// Retries every failed attempt at once.
+/// Retries every failed attempt immediately.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Always;
 
 impl Retry for Always {
     fn retry(&mut self, _now: Duration, _failure: Failure, attempt: u16) -> bool {
-        attempt + 1 < ATTEMPTS
+        attempt + 1 < MAX_ATTEMPTS
     }
 
     fn backoff(&self, _attempt: u16, _rng: &mut impl rand::Rng) -> Duration {
--- a/crates/decide/src/retry/budgeted.rs
+++ b/crates/decide/src/retry/budgeted.rs
@@ -1,41 +1,41 @@
-//! Retries and hedges from a budget that is a small share of recent successes.
+//! Retries and hedges from a budget that is a small fraction of recent successes.
 
 use super::{Failure, Retry};
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Attempts of one stage after which it is given up.
-const ATTEMPTS: u16 = 4;
-/// First wait before a retry.
-const FIRST_WAIT: Duration = Duration::from_millis(5);
-/// Retries a second that are allowed however few successes there are.
-const TRICKLE: f64 = 2.0;
-/// Retries that may be saved up. A fifth of the runners that die at once lose what they had in
-/// flight, which must all be tried again.
-const BURST: f64 = 100.0;
-/// Hedges that may be saved up.
-const HEDGE_BURST: f64 = 10.0;
-/// Quantile of a stage's time after which it is hedged.
+/// Maximum number of attempts of one stage.
+const MAX_ATTEMPTS: u16 = 4;
+/// Base of the exponential backoff.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+/// Retries a second that are allowed regardless of the number of successes.
+const MIN_RETRIES_PER_SECOND: f64 = 2.0;
+/// Maximum retry budget. When a fifth of the runners crash at once, all their calls in flight must be
+/// retried.
+const MAX_SAVED_RETRIES: f64 = 100.0;
+/// Maximum hedge budget.
+const MAX_SAVED_HEDGES: f64 = 10.0;
+/// Quantile of a stage's response times after which it is hedged.
 const HEDGE_QUANTILE: f64 = 0.95;
-/// Answers before the quantile is trusted.
-const HEDGE_MIN_ANSWERS: u64 = 50;
-/// Answers after which the window of times starts anew.
+/// Responses in a window before its quantile is used.
+const HEDGE_MIN_RESPONSES: u64 = 50;
+/// Responses after which the window of response times is reset.
 const WINDOW: u64 = 2_000;
-/// Longest time that the window tells apart from longer ones, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Longest response time that the histogram distinguishes, in microseconds.
+const MAX_RECORDED_US: u64 = 600_000_000;
 
-/// Shares of recent successes that may be spent on second attempts.
+/// Retries and hedges allowed per recent success.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRatios {
-    /// Retries for each success.
+    /// Retries per success.
     pub retries: f64,
-    /// Hedges for each success.
+    /// Hedges per success.
     pub hedges: f64,
 }
 
 impl BudgetRatios {
-    /// Shares for a deployment that weighs attainment this much against cost, from 0 to 1: hedges
-    /// are pure cost while nothing straggles, so that a cost-weighted deployment sends fewer.
+    /// Ratios for a deployment that gives attainment this weight against cost, from 0 to 1. Hedges
+    /// are pure cost while no target straggles, so a cost-weighted deployment sends fewer.
     ///
     /// # Examples
     ///
@@ -54,35 +54,35 @@
     }
 }
 
-/// Pays for each second attempt from what successes have brought in.
+/// A budget that successes add to and that each retry or hedge is taken from.
 #[derive(Clone, Debug)]
 pub struct Budgeted {
-    share: BudgetRatios,
+    ratios: BudgetRatios,
     retries: f64,
     hedges: f64,
     refilled: Duration,
     current: Histogram<u64>,
-    last: Option<Duration>,
+    last_quantile: Option<Duration>,
 }
 
 impl Budgeted {
-    /// A budget with these shares.
+    /// A budget with these ratios.
     #[must_use]
-    pub fn new(share: BudgetRatios) -> Self {
+    pub fn new(ratios: BudgetRatios) -> Self {
         Self {
-            share,
-            retries: BURST,
+            ratios,
+            retries: MAX_SAVED_RETRIES,
             hedges: 0.0,
             refilled: Duration::ZERO,
-            current: Histogram::new_with_max(LONGEST_US, 2).expect("bounds are valid"),
-            last: None,
+            current: Histogram::new_with_max(MAX_RECORDED_US, 2).expect("bounds are valid"),
+            last_quantile: None,
         }
     }
 
     fn refill(&mut self, now: Duration) {
-        let idle = now.saturating_sub(self.refilled).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
-        self.retries = (self.retries + TRICKLE * idle).min(BURST);
+        self.retries = (self.retries + MIN_RETRIES_PER_SECOND * elapsed).min(MAX_SAVED_RETRIES);
     }
 
     fn quantile(&self) -> Duration {
@@ -92,7 +92,7 @@
 
 impl Retry for Budgeted {
     fn retry(&mut self, now: Duration, failure: Failure, attempt: u16) -> bool {
-        if attempt + 1 >= ATTEMPTS {
+        if attempt + 1 >= MAX_ATTEMPTS {
             return false;
         }
         if failure == Failure::NotRun {
@@ -110,18 +110,18 @@
         if attempt == 0 {
             return Duration::ZERO;
         }
-        let most = FIRST_WAIT * 2_u32.pow(u32::from(attempt.min(ATTEMPTS)));
-        most.mul_f64(rng.random_range(0.5..1.0))
+        let max_wait = INITIAL_BACKOFF * 2_u32.pow(u32::from(attempt.min(MAX_ATTEMPTS)));
+        max_wait.mul_f64(rng.random_range(0.5..1.0))
     }
 
     fn hedge_after(&self) -> Option<Duration> {
-        if self.share.hedges <= 0.0 {
+        if self.ratios.hedges <= 0.0 {
             return None;
         }
-        if self.current.len() >= HEDGE_MIN_ANSWERS {
+        if self.current.len() >= HEDGE_MIN_RESPONSES {
             return Some(self.quantile());
         }
-        self.last
+        self.last_quantile
     }
 
     fn hedge(&mut self, _now: Duration) -> bool {
@@ -133,12 +133,12 @@
     }
 
     fn succeeded(&mut self, _now: Duration, elapsed: Duration) {
-        self.retries = (self.retries + self.share.retries).min(BURST);
-        self.hedges = (self.hedges + self.share.hedges).min(HEDGE_BURST);
-        let micros = u64::try_from(elapsed.as_micros()).unwrap_or(LONGEST_US);
+        self.retries = (self.retries + self.ratios.retries).min(MAX_SAVED_RETRIES);
+        self.hedges = (self.hedges + self.ratios.hedges).min(MAX_SAVED_HEDGES);
+        let micros = u64::try_from(elapsed.as_micros()).unwrap_or(MAX_RECORDED_US);
         self.current.saturating_record(micros);
         if self.current.len() >= WINDOW {
-            self.last = Some(self.quantile());
+            self.last_quantile = Some(self.quantile());
             self.current.reset();
         }
     }
--- a/crates/decide/src/retry/eject.rs
+++ b/crates/decide/src/retry/eject.rs
@@ -1,18 +1,18 @@
-//! Targets that fail too often get no new work for a while.
+//! Outlier ejection: targets that fail too often get no new work for a while.
 
 use std::time::Duration;
 
-/// When targets are ejected, for how long, and how many at once.
+/// When targets are ejected, for how long, and how many at the same time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionPolicy {
-    /// Failures in a row that eject a target.
+    /// Consecutive failures that eject a target.
     pub failures: u32,
-    /// First time out; doubles with each ejection that follows soon.
+    /// Duration of the first ejection; doubles with each ejection that follows before a success.
     pub first: Duration,
-    /// Longest time out.
+    /// Maximum duration of an ejection.
     pub longest: Duration,
-    /// Largest share of a pool that may be out at once, from 0 to 1. Where many fail, the cause is
-    /// rarely the targets, and the rest could not carry the load.
+    /// Maximum fraction of a pool that may be ejected at the same time, from 0 to 1. When many targets
+    /// fail, the cause is rarely in the targets, and the remaining ones could not carry the load.
     pub cap: f64,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl EjectionPolicy {
-    /// Never ejects: the baseline.
+    /// The baseline, which never ejects a target.
     #[must_use]
     pub fn never() -> Self {
         Self {
@@ -38,15 +38,15 @@
     }
 
     fn allows(&self, live: usize, all: usize) -> bool {
-        let out = all - live + 1;
-        out as f64 <= self.cap * all as f64
+        let ejected = all - live + 1;
+        ejected as f64 <= self.cap * all as f64
     }
 }
 
-/// Ejections after which the time out doubles no further, so that it cannot overflow.
-const MOST_DOUBLINGS: u32 = 16;
+/// Number of ejections after which the duration stops doubling, so that it cannot overflow.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Record of one target's failures.
+/// Recent failures and ejections of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: u32,
@@ -55,19 +55,19 @@
 }
 
 impl Health {
-    /// Whether the target is out.
+    /// Whether the target is ejected.
     #[must_use]
     pub fn ejected(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Whether the time out is over.
+    /// Whether the ejection has expired.
     #[must_use]
     pub fn due(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| until <= now)
     }
 
-    /// An answer clears the record.
+    /// Clears the failures after a response.
     pub fn succeeded(&mut self) {
         *self = Self {
             until: self.until,
@@ -75,32 +75,32 @@
         };
     }
 
-    /// Until when the target is out, if it is.
+    /// Time until which the target is ejected, if it is.
     #[must_use]
     pub fn until(&self) -> Option<Duration> {
         self.until
     }
 
-    /// Counts a failure; gives the end of the time out if this one ejects the target. `live` of
-    /// `all` targets of the pool take new work.
+    /// Counts a failure and returns the end of the ejection if it ejects the target. `live` of `all`
+    /// targets of the pool accept new work.
     pub fn failed(
         &mut self,
-        rule: &EjectionPolicy,
+        policy: &EjectionPolicy,
         now: Duration,
         live: usize,
         all: usize,
     ) -> Option<Duration> {
         self.failures += 1;
-        if self.failures < rule.failures || !rule.allows(live, all) {
+        if self.failures < policy.failures || !policy.allows(live, all) {
             return None;
         }
-        let out = rule.first * 2_u32.pow(self.ejections.min(MOST_DOUBLINGS));
-        self.until = Some(now + out.min(rule.longest));
+        let duration = policy.first * 2_u32.pow(self.ejections.min(MAX_DOUBLINGS));
+        self.until = Some(now + duration.min(policy.longest));
         self.ejections += 1;
         self.until
     }
 
-    /// Lets the target back on probation: one more failure ejects it again, for longer.
+    /// Readmits the target on probation: one more failure ejects it again, for longer.
     pub fn readmit(&mut self) {
         self.until = None;
         self.failures = self.failures.saturating_sub(1);
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -1,9 +1,9 @@
-//! Retries, hedges and ejection of outliers.
+//! Retries, hedges and outlier ejection.
 //!
 //! * [`always`]: the baseline, retry on every error
-//! * [`budgeted`]: retries and hedges from a budget that is a small share of recent successes
-//! * [`eject`]: targets that fail too often get no new work for a while
-//! * [`window`]: the repeats that a whole fleet may send to one service
+//! * [`budgeted`]: retries and hedges from a budget that is a small fraction of recent successes
+//! * [`eject`]: outlier ejection, targets that fail too often get no new work for a while
+//! * [`window`]: a bound on the retries that a whole fleet may send to one service
 
 pub mod always;
 pub mod budgeted;
@@ -16,29 +16,29 @@
 use crate::either::{Either, either};
 use std::time::Duration;
 
-/// How an attempt ended that brought no answer.
+/// Reason why an attempt brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No runner started it, so that another try costs the runners nothing extra.
+    /// No runner started it, so another attempt costs the runners nothing extra.
     NotRun,
-    /// A runner answered with an error, or its answer was lost.
+    /// A runner answered with an error, or its response was lost.
     Ran,
 }
 
-/// Decides on second attempts of a stage. Calls that may not be repeated are never asked about
-/// after they were granted.
+/// Decides on retries and hedges of a stage. It is never asked about a non-repeatable call that a
+/// runner was allowed to start.
 pub trait Retry {
-    /// Whether a stage whose attempt number `attempt` failed may be tried again now; if so, the
-    /// retry is paid for.
+    /// Whether a stage whose attempt number `attempt` failed may be retried now. If so, the retry is
+    /// taken from the budget.
     fn retry(&mut self, now: Duration, failure: Failure, attempt: u16) -> bool;
-    /// How long to wait before that retry.
+    /// Time to wait before that retry.
     fn backoff(&self, attempt: u16, rng: &mut impl rand::Rng) -> Duration;
-    /// How long after sending a repeatable stage a second copy may be sent elsewhere, or `None`
+    /// Time after sending a repeatable stage at which a hedge may be sent to another target, or `None`
     /// for never.
     fn hedge_after(&self) -> Option<Duration>;
-    /// Whether a hedge may be sent now; if so, it is paid for.
+    /// Whether a hedge may be sent now. If so, it is taken from the budget.
     fn hedge(&mut self, now: Duration) -> bool;
-    /// A first attempt was answered whole after this time.
+    /// Records that a first attempt received its complete response after this time.
     fn succeeded(&mut self, now: Duration, elapsed: Duration);
 }
 
--- a/crates/decide/src/retry/window.rs
+++ b/crates/decide/src/retry/window.rs
@@ -1,37 +1,37 @@
-//! Second attempts that a fleet of processes may send to one service, counted over a window.
+//! Bound on the retries that a fleet of processes may send to one service within a window.
 //!
-//! A runner that fails makes every caller try again at the same moment, and the repeats of many
-//! processes add up at the runners that are left. The operator therefore bounds the repeats of the
-//! whole fleet in any window: a share of the first attempts plus a fixed number. Each process keeps
-//! to the share of the first attempts that it sent itself and to its part of the fixed number; the
-//! parts add up to the bound without a word between the processes.
+//! A failing runner makes every caller retry at the same time, and the retries of many processes
+//! add up at the remaining runners. The operator therefore bounds the retries of the whole fleet in
+//! any window to a ratio of the first attempts plus a fixed number. Each process applies the ratio
+//! to the first attempts that it sent itself and takes its part of the fixed number. The parts add
+//! up to the bound without communication between the processes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Steps that a window is counted in. The oldest step is dropped as a whole, so that the count
-/// covers up to one step more than the window, never less.
-const STEPS: u32 = 20;
+/// Number of buckets in a window. The oldest bucket is dropped as a whole, so the count covers up to
+/// one bucket more than the window, never less.
+const BUCKETS: u32 = 20;
 
-/// The bound that an operator has set.
+/// Bound on the retries of the whole fleet, set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBound {
-    /// Repeats for each first attempt.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Repeats besides, over the whole fleet.
+    /// Additional retries of the whole fleet.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Step {
+struct Bucket {
     number: u64,
-    firsts: u32,
-    repeats: u32,
+    first_attempts: u32,
+    retries: u32,
 }
 
-/// One process's repeats to one service.
+/// One process's retries to one service.
 ///
 /// # Examples
 ///
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryQuota {
     bound: RetryBound,
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryQuota {
@@ -58,56 +58,68 @@
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
-            steps: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// The operator has changed the bound. Repeats so far go on to count, for a whole window from
-    /// now; first attempts so far do not, as the new bound may look back less far.
-    pub fn set_limit(&mut self, now: Duration, bound: RetryBound) {
+    /// Replaces the bound after a change of the settings. Earlier retries still count for a full window
+    /// from now. Earlier first attempts do not, since the new bound may have a shorter window.
+    pub fn set_bound(&mut self, now: Duration, bound: RetryBound) {
         if bound == self.bound {
             return;
         }
-        let repeats = self.steps.iter().map(|step| step.repeats).sum();
+        let retries = self.buckets.iter().map(|bucket| bucket.retries).sum();
         *self = Self::new(bound);
-        self.step(now).repeats = repeats;
+        self.bucket(now).retries = retries;
     }
 
-    /// First attempts were sent.
+    /// Records first attempts that were sent.
     pub fn record_first_attempts(&mut self, now: Duration, count: u32) {
-        self.step(now).firsts += count;
+        self.bucket(now).first_attempts += count;
     }
 
-    /// Whether a repeat may be sent now by one of `processes`; if so, it is counted.
+    /// Whether one of `processes` may send a retry now. If so, the retry is counted.
     pub fn try_retry(&mut self, now: Duration, processes: usize) -> bool {
-        self.step(now);
-        let firsts: u32 = self.steps.iter().map(|step| step.firsts).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
+        self.bucket(now);
+        let first_attempts: u32 = self
+            .buckets
+            .iter()
+            .map(|bucket| bucket.first_attempts)
+            .sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let part = self.bound.slack / processes.max(1) as f64;
-        let allowed = self.bound.ratio * f64::from(firsts) + part;
-        if f64::from(repeats + 1) > allowed {
+        let allowed = self.bound.ratio * f64::from(first_attempts) + part;
+        if f64::from(retries + 1) > allowed {
             return false;
         }
-        self.step(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
-    /// The step of this moment, with the steps that have left the window dropped.
-    fn step(&mut self, now: Duration) -> &mut Step {
-        let length = (self.bound.window / STEPS).as_nanos().max(1);
+    /// The current bucket, after dropping the buckets that have left the window.
+    fn bucket(&mut self, now: Duration) -> &mut Bucket {
+        let length = (self.bound.window / BUCKETS).as_nanos().max(1);
         let number = u64::try_from(now.as_nanos() / length).unwrap_or(u64::MAX);
-        let oldest = number.saturating_sub(u64::from(STEPS));
-        while self.steps.front().is_some_and(|step| step.number < oldest) {
-            self.steps.pop_front();
+        let oldest = number.saturating_sub(u64::from(BUCKETS));
+        while self
+            .buckets
+            .front()
+            .is_some_and(|bucket| bucket.number < oldest)
+        {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.number < number) {
-            self.steps.push_back(Step {
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.number < number)
+        {
+            self.buckets.push_back(Bucket {
                 number,
-                firsts: 0,
-                repeats: 0,
+                first_attempts: 0,
+                retries: 0,
             });
         }
-        let last = self.steps.len() - 1;
-        &mut self.steps[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/decide/tests/common/repeats.rs
+++ b/crates/decide/tests/common/repeats.rs
@@ -30,7 +30,7 @@
     /// Whether one of `processes` may send a repeat, `None` before they are known.
     fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool;
     /// The bound is another one.
-    fn set_limit(&mut self, now: Duration, bound: RetryBound);
+    fn set_bound(&mut self, now: Duration, bound: RetryBound);
 }
 
 /// What happens in a play.
@@ -282,7 +282,7 @@
             Event::Rebind(process) => {
                 let (_, bound) = self.changed.expect("a changed bound");
                 if let Some(process) = &mut self.processes[process] {
-                    process.guard.set_limit(now, bound);
+                    process.guard.set_bound(now, bound);
                 }
             }
             Event::Kill(process) => {
--- a/crates/decide/tests/repeat_bound.rs
+++ b/crates/decide/tests/repeat_bound.rs
@@ -26,8 +26,8 @@
         self.0.try_retry(now, configured(processes))
     }
 
-    fn set_limit(&mut self, now: Duration, bound: RetryBound) {
-        self.0.set_limit(now, bound);
+    fn set_bound(&mut self, now: Duration, bound: RetryBound) {
+        self.0.set_bound(now, bound);
     }
 }
 
--- a/crates/decide/tests/retry_storm.rs
+++ b/crates/decide/tests/retry_storm.rs
@@ -120,9 +120,9 @@
         (0..20).filter(|_| quota.try_retry(now, 1)).count()
     };
     assert_eq!(granted(&mut quota, 1), 8);
-    quota.set_limit(Duration::from_secs(2), bound(10.0));
+    quota.set_bound(Duration::from_secs(2), bound(10.0));
     assert_eq!(granted(&mut quota, 2), 2);
-    quota.set_limit(Duration::from_secs(3), bound(4.0));
+    quota.set_bound(Duration::from_secs(3), bound(4.0));
     assert_eq!(granted(&mut quota, 3), 0);
     assert_eq!(granted(&mut quota, 30), 4, "the window is over");
 }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -357,7 +357,7 @@
         *lock(&self.repeats) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
-            quota.set_limit(now, bound);
+            quota.set_bound(now, bound);
         }
     }
 
