--- a/crates/decide/benches/decisions.rs
+++ b/crates/decide/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision: routing over growing fleets, admission with 5,000 workspaces.
+//! Cost of one decision: routing over fleets of increasing size, and admission with 5,000 workspaces.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -13,7 +13,7 @@
 const BLOCKS: u64 = 16;
 const SLOTS: u32 = 64;
 
-/// A pool whose targets have all reported, answered and cached a prefix.
+/// A pool whose targets have all reported their load, answered a call and cached a prefix.
 fn pool(targets: usize) -> Pool {
     let mut pool = Pool::default();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -28,13 +28,13 @@
         };
         pool.sent(&id, Duration::ZERO);
         pool.reported(&id, Duration::ZERO, report);
-        let answer = ResponseStats {
+        let stats = ResponseStats {
             busy: Duration::from_millis(rng.random_range(20..80)),
             elapsed: Duration::from_millis(90),
             prefix: &prefix(number as u64 % 64),
             hits: 0,
         };
-        pool.answered(&id, Duration::ZERO, &answer);
+        pool.answered(&id, Duration::ZERO, &stats);
     }
     pool
 }
@@ -79,7 +79,7 @@
     let mut group = criterion.benchmark_group("pool");
     for fleet in FLEETS {
         let mut pool = pool(fleet);
-        let answer = ResponseStats {
+        let stats = ResponseStats {
             busy: Duration::from_millis(40),
             elapsed: Duration::from_millis(90),
             prefix: &[],
@@ -88,14 +88,14 @@
         group.bench_function(BenchmarkId::new("sent-answered", fleet), |bencher| {
             bencher.iter(|| {
                 pool.sent("gen-3", Duration::from_millis(100));
-                pool.answered("gen-3", Duration::from_millis(140), &answer);
+                pool.answered("gen-3", Duration::from_millis(140), &stats);
             });
         });
     }
     group.finish();
 }
 
-/// One request offered, one started and one ended, with all workspaces backlogged.
+/// One request offered, one started and one finished, with calls of all workspaces waiting.
 fn admission(criterion: &mut Criterion) {
     let mut admission = Predictive::default();
     let mut rng = SmallRng::seed_from_u64(3);
@@ -104,7 +104,7 @@
         .collect();
     let mut now = Duration::ZERO;
     let mut next = 0;
-    let mut offered = |now, admission: &mut Predictive<usize>, rng: &mut SmallRng| {
+    let mut offer_next = |now, admission: &mut Predictive<usize>, rng: &mut SmallRng| {
         next = (next + 7) % WORKSPACES;
         let call = Call {
             workspace: workspaces[next].clone(),
@@ -118,12 +118,12 @@
         }
     };
     for _ in 0..WORKSPACES {
-        offered(now, &mut admission, &mut rng);
+        offer_next(now, &mut admission, &mut rng);
     }
     criterion.bench_function("admit/offer-next-finished/5000", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(100);
-            let refused = offered(now, &mut admission, &mut rng);
+            let refused = offer_next(now, &mut admission, &mut rng);
             let busy = Duration::from_millis(20);
             admission.finished("workspace-1", busy, Some(busy));
             (refused, admission.next(SLOTS, now))
--- a/crates/decide/examples/demand.rs
+++ b/crates/decide/examples/demand.rs
@@ -1,11 +1,11 @@
-//! Compares the estimators of service demand on the same three traces.
+//! Compares the estimators of service time on the same three traces.
 //!
 //! `cargo run --release -p decide --example demand` prints, for each trace and estimator, the mean
-//! relative error of the estimated service time against the true mean of the class at that moment
+//! relative error of the estimated service time against the true mean of the class at that time
 //! (`estimate`), and that of the busy time forecast for the next window (`forecast`).
 //!
-//! A trace is drawn from a fixed seed: windows of 100 ms with a Poisson number of calls of four
-//! classes, each call's busy time log-normal around the mean of its class.
+//! A trace is generated from a fixed seed: windows of 100 ms with a Poisson-distributed number of calls
+//! of four classes, whose busy times are log-normally distributed around the mean of their class.
 
 use decide::demand::{Class, EwmaEstimator, KalmanFilter, QuantileEstimator, ServiceTimeEstimator};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -14,11 +14,11 @@
 const SEEDS: u64 = 5;
 const WINDOWS: usize = 1_200;
 const WARM_UP: usize = 50;
-/// True mean busy time of each class in seconds.
+/// True mean busy time of each class, in seconds.
 const MEANS: [f64; 4] = [0.004, 0.012, 0.040, 0.150];
-/// Mean calls of each class in a window.
+/// Mean number of calls of each class in a window.
 const CALLS: [f64; 4] = [20.0, 10.0, 6.0, 3.0];
-/// Spread of one call's busy time, as the deviation of its logarithm.
+/// Standard deviation of the logarithm of one call's busy time.
 const SPREAD: f64 = 0.6;
 
 /// One monitoring window.
@@ -27,14 +27,14 @@
     means: [f64; 4],
 }
 
-/// Mean of each class and mean calls of each class in one window.
-type Shape = fn(usize) -> ([f64; 4], [f64; 4]);
+/// Mean busy time and mean number of calls of each class in one window.
+type Pattern = fn(usize) -> ([f64; 4], [f64; 4]);
 
 fn steady(_window: usize) -> ([f64; 4], [f64; 4]) {
     (MEANS, CALLS)
 }
 
-/// From a third on, class 1 brings ten times its calls and its prompts are twice as long.
+/// In the middle third, class 1 has ten times as many calls, and its prompts are twice as long.
 fn flash(window: usize) -> ([f64; 4], [f64; 4]) {
     let (mut means, mut calls) = (MEANS, CALLS);
     if (WINDOWS / 3..2 * WINDOWS / 3).contains(&window) {
@@ -44,7 +44,7 @@
     (means, calls)
 }
 
-/// From a third on, one runner of four that serve class 2 is ten times slower, then well.
+/// In the middle third, one of the four runners that serve class 2 is ten times slower.
 fn straggler(window: usize) -> ([f64; 4], [f64; 4]) {
     let mut means = MEANS;
     if (WINDOWS / 3..2 * WINDOWS / 3).contains(&window) {
@@ -53,11 +53,11 @@
     (means, CALLS)
 }
 
-fn trace(shape: Shape, seed: u64) -> Vec<Window> {
+fn trace(pattern: Pattern, seed: u64) -> Vec<Window> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..WINDOWS)
         .map(|number| {
-            let (means, calls) = shape(number);
+            let (means, calls) = pattern(number);
             let mut window = Window {
                 calls: Vec::new(),
                 means,
@@ -73,11 +73,11 @@
 }
 
 fn poisson(mean: f64, rng: &mut SmallRng) -> usize {
-    let mut left = mean;
+    let mut remaining = mean;
     let mut count = 0;
     loop {
-        left += (1.0 - rng.random::<f64>()).ln();
-        if left < 0.0 {
+        remaining += (1.0 - rng.random::<f64>()).ln();
+        if remaining < 0.0 {
             return count;
         }
         count += 1;
@@ -91,31 +91,31 @@
 }
 
 /// Mean relative errors of the estimate and of the forecast.
-fn errors(mut demand: impl ServiceTimeEstimator, trace: &[Window]) -> (f64, f64) {
+fn errors(mut estimator: impl ServiceTimeEstimator, trace: &[Window]) -> (f64, f64) {
     let (mut estimate, mut forecast, mut count) = (0.0, 0.0, 0.0);
     for (number, window) in trace.iter().enumerate() {
         if number >= WARM_UP {
-            estimate += estimate_error(&demand, window);
-            forecast += forecast_error(&demand, window);
+            estimate += estimate_error(&estimator, window);
+            forecast += forecast_error(&estimator, window);
             count += 1.0;
         }
         for &(class, busy) in &window.calls {
-            demand.answered(class, busy);
+            estimator.answered(class, busy);
         }
-        demand.close();
+        estimator.close();
     }
     (estimate / count, forecast / count)
 }
 
-fn estimate_error(demand: &impl ServiceTimeEstimator, window: &Window) -> f64 {
+fn estimate_error(estimator: &impl ServiceTimeEstimator, window: &Window) -> f64 {
     let classes = window.means.iter().enumerate();
     let sum: f64 = classes
-        .map(|(class, mean)| (demand.estimate(class).as_secs_f64() - mean).abs() / mean)
+        .map(|(class, mean)| (estimator.estimate(class).as_secs_f64() - mean).abs() / mean)
         .sum();
     sum / window.means.len() as f64
 }
 
-fn forecast_error(demand: &impl ServiceTimeEstimator, window: &Window) -> f64 {
+fn forecast_error(estimator: &impl ServiceTimeEstimator, window: &Window) -> f64 {
     let expected: f64 = window
         .calls
         .iter()
@@ -124,14 +124,14 @@
     let forecast: f64 = window
         .calls
         .iter()
-        .map(|(class, _)| demand.estimate(*class).as_secs_f64())
+        .map(|(class, _)| estimator.estimate(*class).as_secs_f64())
         .sum();
     (forecast - expected).abs() / expected
 }
 
-fn report<D: ServiceTimeEstimator>(name: &str, shape: Shape, make: impl Fn() -> D) {
+fn report<D: ServiceTimeEstimator>(name: &str, pattern: Pattern, make: impl Fn() -> D) {
     let (estimate, forecast) = (1..=SEEDS)
-        .map(|seed| errors(make(), &trace(shape, seed)))
+        .map(|seed| errors(make(), &trace(pattern, seed)))
         .fold((0.0, 0.0), |sum, error| (sum.0 + error.0, sum.1 + error.1));
     let seeds = SEEDS as f64;
     println!(
@@ -142,28 +142,28 @@
 }
 
 fn main() {
-    let traces: [(&str, Shape); 3] = [
+    let traces: [(&str, Pattern); 3] = [
         ("steady", steady),
         ("flash", flash),
         ("straggler", straggler),
     ];
     let first = Duration::from_millis(20);
-    for (name, shape) in traces {
+    for (name, pattern) in traces {
         println!("{name:<26} {:>9} {:>9}", "estimate", "forecast");
         for (drift, noise) in [(200, 10), (1_000, 10), (1_000, 50), (5_000, 50)] {
             let label = format!("kalman {drift} us, {noise} ms");
             let (drift, noise) = (Duration::from_micros(drift), Duration::from_millis(noise));
-            report(&label, shape, || {
+            report(&label, pattern, || {
                 KalmanFilter::new(MEANS.len(), first, drift, noise)
             });
         }
         for weight in [0.02, 0.05, 0.1, 0.2] {
             let label = format!("weighted mean {weight}");
-            report(&label, shape, || EwmaEstimator::new(MEANS.len(), weight));
+            report(&label, pattern, || EwmaEstimator::new(MEANS.len(), weight));
         }
         for (quantile, size) in [(0.5, 100), (0.6, 100), (0.6, 400), (0.9, 400)] {
             let label = format!("sketch p{:.0} of {size}", quantile * 100.0);
-            report(&label, shape, || {
+            report(&label, pattern, || {
                 QuantileEstimator::new(MEANS.len(), quantile, size)
             });
         }
--- a/crates/decide/tests/cold_runner.rs
+++ b/crates/decide/tests/cold_runner.rs
@@ -1,4 +1,4 @@
-//! A failure domain's runners come back cold in a burst, and look idle to all processes.
+//! Runners of a failure domain that restart during a burst and look idle to all processes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::warmup::{RateLimit, RateShare};
@@ -7,41 +7,45 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Longest time from a decision to send until the request is on its way.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Longest time from the decision to send a request until it is sent.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(300);
 
-/// Moments at which one runner is sent requests by processes that all want to send all the time, each
+/// Times at which requests are sent to one runner by processes that always have requests to send, each
 /// with its own delays.
-fn sent(share: RateShare, seed: u64) -> Vec<Duration> {
+fn send_times(share: RateShare, seed: u64) -> Vec<Duration> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut moments = Vec::new();
+    let mut times = Vec::new();
     for _ in 0..share.senders {
         let mut granted = rng.random_range(Duration::ZERO..share.interval);
         while granted < SECOND * 20 {
-            // Half of the connections are open already, which brings requests closer together.
-            let late = rng.random_bool(0.5);
-            let delay = if late { CONNECT } else { Duration::ZERO };
-            moments.push(granted + delay);
+            // Half of the connections are already open, which brings requests closer together.
+            let is_connecting = rng.random_bool(0.5);
+            let delay = if is_connecting {
+                MAX_SEND_DELAY
+            } else {
+                Duration::ZERO
+            };
+            times.push(granted + delay);
             granted += share.interval;
         }
     }
-    moments.sort_unstable();
-    moments
+    times.sort_unstable();
+    times
 }
 
-/// Most requests within any second.
-fn peak(moments: &[Duration]) -> usize {
+/// Largest number of requests within any second.
+fn peak(times: &[Duration]) -> usize {
     let within = |(index, from): (usize, &Duration)| {
-        let rest = moments[index..].iter();
-        rest.take_while(|moment| **moment <= *from + SECOND).count()
+        let rest = times[index..].iter();
+        rest.take_while(|time| **time <= *from + SECOND).count()
     };
-    moments.iter().enumerate().map(within).max().unwrap_or(0)
+    times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
-/// Thirty processes see a runner that has nothing to do. What they send together in any second
-/// stays under what it bears, whatever their number, or it fails as soon as it is back.
+/// Processes, thirty for example, see an idle runner. Whatever their number, the requests that they
+/// send together in any second stay under its limit; otherwise it would fail as soon as it is back.
 #[test]
-fn bounded_together() {
+fn limit_kept_by_all() {
     for (rate, max_per_second) in [
         (8.2, 17),
         (8.2, 8),
@@ -60,7 +64,7 @@
             )
             .unwrap();
             for seed in 0..20 {
-                let peak = peak(&sent(share, seed));
+                let peak = peak(&send_times(share, seed));
                 assert!(
                     peak <= max_per_second as usize,
                     "{rate} {max_per_second} {processes}: {peak}"
@@ -70,10 +74,10 @@
     }
 }
 
-/// The bound is for use: what the places may send on average is near what the runner bears, or the
-/// traffic of a burst finds no room beside runners that could take it.
+/// The average rate of all senders is close to the runner's limit. Otherwise the traffic of a burst
+/// would be refused while runners could handle it.
 #[test]
-fn used_up() {
+fn limit_used_up() {
     for processes in [1, 4, 27] {
         let share = RateShare::new(
             &RateLimit {
@@ -88,9 +92,9 @@
     }
 }
 
-/// All processes agree on who has a place, and the places of many runners lie at many processes.
+/// All processes agree on the senders, and the senders of many runners are spread over many processes.
 #[test]
-fn places_agreed() {
+fn senders_agreed() {
     let names: Vec<String> = (0..27).map(|number| format!("relay-{number}")).collect();
     let share = RateShare::new(
         &RateLimit {
@@ -100,7 +104,7 @@
         names.len(),
     )
     .unwrap();
-    let mut senders = vec![0; names.len()];
+    let mut sender_counts = vec![0; names.len()];
     for runner in 0..60 {
         let runner = format!("runner-{runner}");
         let has = |own: &&String| {
@@ -108,16 +112,19 @@
             share.may_send(&runner, own, others.map(String::as_str))
         };
         assert_eq!(names.iter().filter(has).count(), share.senders);
-        for (place, name) in senders.iter_mut().zip(&names) {
-            *place += usize::from(has(&name));
+        for (count, name) in sender_counts.iter_mut().zip(&names) {
+            *count += usize::from(has(&name));
         }
     }
-    assert!(senders.iter().all(|count| *count > 5), "{senders:?}");
+    assert!(
+        sender_counts.iter().all(|count| *count > 5),
+        "{sender_counts:?}"
+    );
 }
 
-/// A runner that bears nothing yet gets nothing.
+/// A runner that accepts no requests yet gets none.
 #[test]
-fn bears_nothing() {
+fn nothing_sent_without_rate() {
     assert_eq!(
         RateShare::new(
             &RateLimit {
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A row of runners in virtual time, for tests of routing.
+//! Simulation of a pool of runners in virtual time, for tests of routing.
 #![allow(dead_code, unreachable_pub)]
 
 use decide::retry::eject::EjectionPolicy;
@@ -11,28 +11,28 @@
 pub mod repeats;
 pub mod stage;
 
-/// What the runners of a test are like; times in milliseconds.
+/// Parameters of a simulation; times are in milliseconds.
 #[derive(Clone, Copy)]
-pub struct Shape {
+pub struct Scenario {
     pub entries: usize,
     pub runners: usize,
     pub slots: usize,
     pub service_ms: u64,
-    /// Calls a second over all entries.
+    /// Calls a second of all entry processes together.
     pub rate: f64,
     pub report_lag_ms: u64,
     pub seconds: u64,
 }
 
-/// What a test learns from a run.
+/// Results of a simulation.
 #[derive(Default)]
 pub struct Outcome {
     pub elapsed_ms: Vec<u64>,
     pub calls: Vec<u64>,
     pub late_calls: Vec<u64>,
-    /// Longest queue that any runner had, by second.
+    /// Longest queue of any runner, by second.
     pub peaks: Vec<usize>,
-    /// Mean queue over all runners, by second.
+    /// Mean queue length of all runners, by second.
     pub means: Vec<f64>,
 }
 
@@ -70,36 +70,38 @@
     }
 }
 
-fn name(runner: usize) -> String {
+fn runner_name(runner: usize) -> String {
     format!("r{runner}")
 }
 
-/// Sends calls through one router for each entry; `slower` gives the factor by which a runner is
-/// slower at a moment in milliseconds. Microseconds inside.
-pub fn run<R: Router + Default>(
-    shape: Shape,
+/// Sends calls through one router per entry process. `slowdown` returns the factor by which a runner
+/// is slower at a time in milliseconds. Times within the simulation are in microseconds.
+pub fn simulate<R: Router + Default>(
+    scenario: Scenario,
     seed: u64,
-    slower: impl Fn(usize, u64) -> u64,
+    slowdown: impl Fn(usize, u64) -> u64,
 ) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut entries: Vec<(Pool, R)> = (0..shape.entries).map(|_| entry(shape)).collect();
-    let mut runners: Vec<Runner> = (0..shape.runners).map(|_| idle(shape.slots)).collect();
+    let mut entries: Vec<(Pool, R)> = (0..scenario.entries).map(|_| entry(scenario)).collect();
+    let mut runners: Vec<Runner> = (0..scenario.runners)
+        .map(|_| idle_runner(scenario.slots))
+        .collect();
     let mut events = Vec::new();
     let mut heap = BinaryHeap::new();
     let mut outcome = Outcome {
-        calls: vec![0; shape.runners],
-        late_calls: vec![0; shape.runners],
+        calls: vec![0; scenario.runners],
+        late_calls: vec![0; scenario.runners],
         ..Outcome::default()
     };
     let (mut now, mut second) = (0_u64, 0);
-    while now < shape.seconds * 1_000_000 {
-        now += ((1.0 - rng.random::<f64>()).ln() / -shape.rate * 1e6) as u64;
+    while now < scenario.seconds * 1_000_000 {
+        now += ((1.0 - rng.random::<f64>()).ln() / -scenario.rate * 1e6) as u64;
         while heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Reverse((at, number)) = heap.pop().unwrap();
-            handle(&events[number], at, &mut entries);
+            handle_event(&events[number], at, &mut entries);
             if let Event::Done { entry, runner, .. } = events[number] {
                 let load = runners[runner].load(at);
-                heap.push(Reverse((at + shape.report_lag_ms * 1_000, events.len())));
+                heap.push(Reverse((at + scenario.report_lag_ms * 1_000, events.len())));
                 events.push(Event::LoadReport {
                     entry,
                     runner,
@@ -115,14 +117,14 @@
                 .means
                 .push(loads.iter().sum::<usize>() as f64 / loads.len() as f64);
         }
-        let entry = rng.random_range(0..shape.entries);
+        let entry = rng.random_range(0..scenario.entries);
         let runner = send(&mut entries[entry], now, &mut rng);
-        let spread = ((1.0 - rng.random::<f64>()).ln() * -1_000.0) as u64 + 1;
-        let busy = shape.service_ms * spread * slower(runner, now / 1_000);
+        let length_factor = ((1.0 - rng.random::<f64>()).ln() * -1_000.0) as u64 + 1;
+        let busy = scenario.service_ms * length_factor * slowdown(runner, now / 1_000);
         let end = runners[runner].run(now, busy);
         outcome.elapsed_ms.push((end - now) / 1_000);
         outcome.calls[runner] += 1;
-        outcome.late_calls[runner] += u64::from(now > shape.seconds * 900_000);
+        outcome.late_calls[runner] += u64::from(now > scenario.seconds * 900_000);
         let busy = Duration::from_micros(busy);
         let elapsed = Duration::from_micros(end - now);
         let done = Event::Done {
@@ -137,15 +139,15 @@
     outcome
 }
 
-fn entry<R: Router + Default>(shape: Shape) -> (Pool, R) {
+fn entry<R: Router + Default>(scenario: Scenario) -> (Pool, R) {
     let mut pool = Pool::new(EjectionPolicy::default());
-    for runner in 0..shape.runners {
-        pool.insert(Target::new(name(runner), "a", shape.slots as u32));
+    for runner in 0..scenario.runners {
+        pool.insert(Target::new(runner_name(runner), "a", scenario.slots as u32));
     }
     (pool, R::default())
 }
 
-fn idle(slots: usize) -> Runner {
+fn idle_runner(slots: usize) -> Runner {
     Runner {
         slots: (0..slots).map(|_| Reverse(0)).collect(),
         ends: Vec::new(),
@@ -167,7 +169,7 @@
     id[1..].parse().unwrap()
 }
 
-fn handle<R>(event: &Event, at: u64, entries: &mut [(Pool, R)]) {
+fn handle_event<R>(event: &Event, at: u64, entries: &mut [(Pool, R)]) {
     let now = Duration::from_micros(at);
     match *event {
         Event::Done {
@@ -176,13 +178,13 @@
             busy,
             elapsed,
         } => {
-            let answer = ResponseStats {
+            let stats = ResponseStats {
                 busy,
                 elapsed,
                 prefix: &[],
                 hits: 0,
             };
-            entries[entry].0.answered(&name(runner), now, &answer);
+            entries[entry].0.answered(&runner_name(runner), now, &stats);
         }
         Event::LoadReport {
             entry,
@@ -194,12 +196,12 @@
                 running: 0,
                 limit: 0,
             };
-            entries[entry].0.reported(&name(runner), now, report);
+            entries[entry].0.reported(&runner_name(runner), now, report);
         }
     }
 }
 
-/// The value that this share of the times stay within.
+/// Quantile of the times; `share` is from 0 to 1.
 pub fn quantile(times: &[u64], share: f64) -> u64 {
     let mut times = times.to_vec();
     times.sort_unstable();
--- a/crates/decide/tests/common/repeats.rs
+++ b/crates/decide/tests/common/repeats.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes in virtual time whose requests fail and are repeated.
+//! Simulation of a fleet of processes, in virtual time, whose requests fail and are retried.
 
 use decide::retry::window::RetryBound;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -6,55 +6,56 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Length of a play.
-const LENGTH: Duration = Duration::from_secs(45);
-/// Processes that the settings name, whatever their number.
-const CONFIGURED: usize = 8;
-/// Attempts of a request, the first included.
-const ATTEMPTS: u32 = 4;
-/// Age of what a process knows of the others.
-const LAG: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(4)];
-/// Longest time from the start of a process until it knows of the others.
-const LISTING: Duration = Duration::from_secs(1);
-/// Longest time from a decision to send until the request is at its runner.
+/// Duration of a simulation.
+const RUN_TIME: Duration = Duration::from_secs(45);
+/// Number of processes in the settings, independent of the actual number.
+const CONFIGURED_PROCESSES: usize = 8;
+/// Maximum attempts of a request, including the first.
+const MAX_ATTEMPTS: u32 = 4;
+/// Range of the age of a process's list of the other processes.
+const PEER_LIST_AGE: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(4)];
+/// Longest time from the start of a process until it knows the other processes.
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(1);
+/// Longest time from the decision to send a request until it reaches its runner.
 pub const TRANSIT: Duration = Duration::from_millis(300);
-/// Time within which a runner that fails has been sent what it loses.
-const IN_FLIGHT: f64 = 0.5;
+/// Time span in seconds whose requests a failing runner loses.
+const IN_FLIGHT_SECONDS: f64 = 0.5;
 
-/// What a process keeps its repeats by.
-pub trait Guard {
-    /// A process starts; `is_first` where nothing ran before it.
+/// Policy by which a process limits its retries.
+pub trait RetryPolicy {
+    /// The policy of a process that starts. `is_first` tells whether it is its first start at the
+    /// beginning of the simulation.
     fn start(bound: RetryBound, now: Duration, is_first: bool) -> Self;
-    /// A request that came at `arrived` is sent for the first time.
-    fn first(&mut self, now: Duration, arrived: Duration);
-    /// Whether one of `processes` may send a repeat, `None` before they are known.
-    fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool;
-    /// The bound is another one.
+    /// Records the first attempt of a request that arrived at `arrived`.
+    fn record_first_attempt(&mut self, now: Duration, arrived: Duration);
+    /// Whether one of `processes` may send a retry; `None` before their number is known.
+    fn try_retry(&mut self, now: Duration, processes: Option<usize>) -> bool;
+    /// Replaces the bound.
     fn set_bound(&mut self, now: Duration, bound: RetryBound);
 }
 
-/// What happens in a play.
+/// Conditions that a simulation includes.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Processes are killed and come back.
+pub struct Conditions {
+    /// Processes are killed and restart.
     pub kills: bool,
-    /// Processes join for the first time, and others leave.
+    /// New processes join, and others leave.
     pub moves: bool,
-    /// Processes that have just started do not know the others.
+    /// Processes that have just started do not know the other processes.
     pub unlisted: bool,
     /// Traffic rises and falls.
     pub swings: bool,
-    /// Some processes get more of the traffic than others, and not always the same.
+    /// Traffic is distributed unevenly over the processes, and the distribution changes.
     pub uneven: bool,
     /// The bound changes.
     pub rebinds: bool,
-    /// Requests of a later stage are counted long after they came.
+    /// Requests of a later stage are counted long after their arrival.
     pub late: bool,
-    /// Repeats take a while to arrive.
+    /// Retries take time to arrive.
     pub transit: bool,
 }
 
-impl Terms {
+impl Conditions {
     pub const ALL: Self = Self {
         kills: true,
         moves: true,
@@ -66,7 +67,7 @@
         transit: true,
     };
 
-    /// The terms of these names only.
+    /// Only the conditions in this comma-separated list of names.
     pub fn of(names: &str) -> Self {
         let has = |name| names.split(',').any(|other| other == name);
         Self {
@@ -82,45 +83,46 @@
     }
 }
 
-/// What was seen of one play.
+/// Events of one simulation.
 #[derive(Default)]
-pub struct Seen {
-    /// When clients sent their requests.
-    pub firsts: Vec<Duration>,
-    /// When repeats arrived.
+pub struct Trace {
+    /// Times at which clients sent their requests.
+    pub first_attempts: Vec<Duration>,
+    /// Times at which retries arrived.
     pub arrivals: Vec<Duration>,
-    /// Each bound, and when the first process had it and the last repeat under it arrived.
+    /// Each bound with the times at which the first process applied it and at which the last retry
+    /// under it could arrive.
     pub bounds: Vec<(RetryBound, Duration, Duration)>,
     pub refused: usize,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Rebind(usize),
+    ChangeBound(usize),
     Kill(usize),
     Start(usize),
-    Wave,
-    First,
-    Count {
+    RunnerFailure,
+    FirstAttempt,
+    RecordFirstAttempt {
         process: usize,
-        life: u32,
+        incarnation: u32,
         sent: Duration,
     },
-    AdmissionRequest {
+    Retry {
         process: usize,
-        life: u32,
+        incarnation: u32,
         attempt: u32,
     },
 }
 
 struct Process<G> {
-    guard: G,
+    policy: G,
     started: Duration,
-    lag: Duration,
-    listing: Duration,
+    list_age: Duration,
+    discovery_delay: Duration,
 }
 
-/// A stretch of time with the same traffic.
+/// A period of constant traffic.
 struct Phase {
     until: Duration,
     rate: f64,
@@ -128,31 +130,31 @@
     weights: Vec<f64>,
 }
 
-struct Play<G> {
+struct Simulation<G> {
     rng: SmallRng,
-    terms: Terms,
+    conditions: Conditions,
     bound: RetryBound,
     changed: Option<(Duration, RetryBound)>,
     phases: Vec<Phase>,
-    /// From when to when each process has a row.
-    rows: Vec<[Duration; 2]>,
-    lives: Vec<u32>,
+    /// Times from which and until which each process is registered.
+    registered: Vec<[Duration; 2]>,
+    incarnations: Vec<u32>,
     processes: Vec<Option<Process<G>>>,
     delay: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     number: u64,
-    seen: Seen,
+    trace: Trace,
 }
 
-/// Plays one seed with the terms that are given.
-pub fn play<G: Guard>(seed: u64, terms: Terms) -> Seen {
-    let mut play = Play::<G>::draw(seed, terms);
-    while let Some(Reverse((now, _, event))) = play.queue.pop() {
-        play.take(now, event);
+/// Simulates one seed under these conditions.
+pub fn simulate<G: RetryPolicy>(seed: u64, conditions: Conditions) -> Trace {
+    let mut simulation = Simulation::<G>::random(seed, conditions);
+    while let Some(Reverse((now, _, event))) = simulation.queue.pop() {
+        simulation.handle(now, event);
     }
-    let mut seen = play.seen;
-    seen.arrivals.sort_unstable();
-    seen
+    let mut trace = simulation.trace;
+    trace.arrivals.sort_unstable();
+    trace
 }
 
 fn between(rng: &mut SmallRng, range: [Duration; 2]) -> Duration {
@@ -163,8 +165,8 @@
     Duration::from_secs_f64(value)
 }
 
-impl<G: Guard> Play<G> {
-    fn draw(seed: u64, terms: Terms) -> Self {
+impl<G: RetryPolicy> Simulation<G> {
+    fn random(seed: u64, conditions: Conditions) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = rng.random_range(4..=40_usize);
         let bound = RetryBound {
@@ -172,85 +174,89 @@
             slack: rng.random_range(20.0..120.0),
             window: seconds(rng.random_range(4.0..10.0)),
         };
-        let joining = rng.random_range(0..=count / 3);
-        let delayed = rng.random_bool(0.3) && terms.late;
-        let mut play = Self {
-            phases: draw_phases(&mut rng, terms, count + joining),
+        let joiners = rng.random_range(0..=count / 3);
+        let delayed = rng.random_bool(0.3) && conditions.late;
+        let mut simulation = Self {
+            phases: random_phases(&mut rng, conditions, count + joiners),
             rng,
-            terms,
+            conditions,
             bound,
             changed: None,
-            rows: vec![[Duration::ZERO, Duration::MAX]; count],
-            lives: vec![0; count + joining],
-            processes: (0..count + joining).map(|_| None).collect(),
+            registered: vec![[Duration::ZERO, Duration::MAX]; count],
+            incarnations: vec![0; count + joiners],
+            processes: (0..count + joiners).map(|_| None).collect(),
             delay: seconds(if delayed { 1.5 } else { 0.02 }),
             queue: BinaryHeap::new(),
             number: 0,
-            seen: Seen::default(),
+            trace: Trace::default(),
         };
         for process in 0..count {
-            play.start(Duration::ZERO, process, true);
+            simulation.start(Duration::ZERO, process, true);
         }
-        play.draw_members(count, joining);
-        play.draw_bounds();
-        for phase in 0..play.phases.len() {
-            play.push(play.phases[phase].until, Event::Wave);
+        simulation.random_members(count, joiners);
+        simulation.random_bounds();
+        for phase in 0..simulation.phases.len() {
+            simulation.push(simulation.phases[phase].until, Event::RunnerFailure);
         }
-        play.push(Duration::ZERO, Event::First);
-        play
+        simulation.push(Duration::ZERO, Event::FirstAttempt);
+        simulation
     }
 
-    fn draw_members(&mut self, count: usize, joining: usize) {
-        for process in count..count + joining {
+    fn random_members(&mut self, count: usize, joiners: usize) {
+        for process in count..count + joiners {
             let at = seconds(self.rng.random_range(5.0..40.0));
             let row = at + seconds(self.rng.random_range(0.0..0.5));
             let leaver = self.rng.random_range(0..count);
             let left = seconds(self.rng.random_range(5.0..40.0));
             let until = left + seconds(self.rng.random_range(0.0..1.0));
-            if self.terms.moves {
+            if self.conditions.moves {
                 self.push(at, Event::Start(process));
                 self.push(left, Event::Kill(leaver));
-                self.rows[leaver][1] = self.rows[leaver][1].min(until);
+                self.registered[leaver][1] = self.registered[leaver][1].min(until);
             }
-            let row = if self.terms.moves { row } else { Duration::MAX };
-            self.rows.push([row, Duration::MAX]);
+            let row = if self.conditions.moves {
+                row
+            } else {
+                Duration::MAX
+            };
+            self.registered.push([row, Duration::MAX]);
         }
         for _ in 0..self.rng.random_range(1..=3) {
             let at = seconds(self.rng.random_range(3.0..35.0));
             let share = self.rng.random_range(0.1..0.7);
-            let away = self.rng.random_range(0.3..4.0);
+            let downtime = self.rng.random_range(0.3..4.0);
             for process in 0..count {
-                let back = at + seconds(away + self.rng.random_range(0.0..0.5));
-                let is_hit = self.rng.random_bool(share) && self.terms.kills;
-                if is_hit && self.rows[process][1] > back {
+                let restarted = at + seconds(downtime + self.rng.random_range(0.0..0.5));
+                let is_hit = self.rng.random_bool(share) && self.conditions.kills;
+                if is_hit && self.registered[process][1] > restarted {
                     self.push(at, Event::Kill(process));
-                    self.push(back, Event::Start(process));
+                    self.push(restarted, Event::Start(process));
                 }
             }
         }
     }
 
-    fn draw_bounds(&mut self) {
+    fn random_bounds(&mut self) {
         let at = seconds(self.rng.random_range(8.0..35.0));
         let changed = RetryBound {
             ratio: self.bound.ratio * self.rng.random_range(0.5..2.0),
             slack: self.bound.slack * self.rng.random_range(0.5..2.0),
             ..self.bound
         };
-        if !self.terms.rebinds || self.rng.random_bool(0.5) {
+        if !self.conditions.rebinds || self.rng.random_bool(0.5) {
             let always = (self.bound, Duration::ZERO, Duration::MAX);
-            self.seen.bounds.push(always);
+            self.trace.bounds.push(always);
             return;
         }
         let spread = Duration::from_millis(500);
         self.changed = Some((at, changed));
-        self.seen.bounds = vec![
+        self.trace.bounds = vec![
             (self.bound, Duration::ZERO, at + spread + TRANSIT),
             (changed, at, Duration::MAX),
         ];
         for process in 0..self.processes.len() {
-            let moment = at + between(&mut self.rng, [Duration::ZERO, spread]);
-            self.push(moment, Event::Rebind(process));
+            let time = at + between(&mut self.rng, [Duration::ZERO, spread]);
+            self.push(time, Event::ChangeBound(process));
         }
     }
 
@@ -267,26 +273,30 @@
     fn start(&mut self, now: Duration, process: usize, is_first: bool) {
         let changed = self.changed.filter(|(at, _)| *at <= now);
         let bound = changed.map_or(self.bound, |(_, bound)| bound);
-        let listing = between(&mut self.rng, [Duration::ZERO, LISTING]);
-        let is_known = is_first || !self.terms.unlisted;
+        let discovery_delay = between(&mut self.rng, [Duration::ZERO, MAX_DISCOVERY_DELAY]);
+        let is_known = is_first || !self.conditions.unlisted;
         self.processes[process] = Some(Process {
-            guard: G::start(bound, now, is_first),
+            policy: G::start(bound, now, is_first),
             started: now,
-            lag: between(&mut self.rng, LAG),
-            listing: if is_known { Duration::ZERO } else { listing },
+            list_age: between(&mut self.rng, PEER_LIST_AGE),
+            discovery_delay: if is_known {
+                Duration::ZERO
+            } else {
+                discovery_delay
+            },
         });
     }
 
-    fn take(&mut self, now: Duration, event: Event) {
+    fn handle(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Rebind(process) => {
+            Event::ChangeBound(process) => {
                 let (_, bound) = self.changed.expect("a changed bound");
                 if let Some(process) = &mut self.processes[process] {
-                    process.guard.set_bound(now, bound);
+                    process.policy.set_bound(now, bound);
                 }
             }
             Event::Kill(process) => {
-                self.lives[process] += 1;
+                self.incarnations[process] += 1;
                 self.processes[process] = None;
             }
             Event::Start(process) => {
@@ -294,35 +304,35 @@
                     self.start(now, process, false);
                 }
             }
-            Event::Wave => self.wave(now),
-            Event::First => self.send(now),
-            Event::Count {
+            Event::RunnerFailure => self.fail_runner(now),
+            Event::FirstAttempt => self.send(now),
+            Event::RecordFirstAttempt {
                 process,
-                life,
+                incarnation,
                 sent,
-            } => self.count(now, process, life, sent),
-            Event::AdmissionRequest {
+            } => self.count(now, process, incarnation, sent),
+            Event::Retry {
                 process,
-                life,
+                incarnation,
                 attempt,
-            } => self.ask(now, process, life, attempt),
+            } => self.retry(now, process, incarnation, attempt),
         }
     }
 
-    /// A runner fails with all that it was sent.
-    fn wave(&mut self, now: Duration) {
+    /// A runner fails and loses all requests that it was sent.
+    fn fail_runner(&mut self, now: Duration) {
         let phase = self.phase(now);
         let all: f64 = phase.weights.iter().sum();
-        let scale = phase.rate * IN_FLIGHT / all;
+        let scale = phase.rate * IN_FLIGHT_SECONDS / all;
         let lost: Vec<f64> = phase.weights.iter().map(|part| part * scale).collect();
         for (process, lost) in lost.into_iter().enumerate() {
             for _ in 0..lost.ceil() as u32 {
-                let life = self.lives[process];
+                let incarnation = self.incarnations[process];
                 self.push(
                     now,
-                    Event::AdmissionRequest {
+                    Event::Retry {
                         process,
-                        life,
+                        incarnation,
                         attempt: 1,
                     },
                 );
@@ -332,120 +342,120 @@
 
     fn send(&mut self, now: Duration) {
         let rate = self.phase(now).rate;
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-        if now + seconds(gap) < LENGTH {
-            self.push(now + seconds(gap), Event::First);
+        let interval = -(1.0 - self.rng.random::<f64>()).ln() / rate;
+        if now + seconds(interval) < RUN_TIME {
+            self.push(now + seconds(interval), Event::FirstAttempt);
         }
-        let Some(process) = self.pick(now) else {
+        let Some(process) = self.pick_process(now) else {
             return;
         };
-        self.seen.firsts.push(now);
+        self.trace.first_attempts.push(now);
         let delay = between(&mut self.rng, [Duration::ZERO, self.delay]);
-        let life = self.lives[process];
+        let incarnation = self.incarnations[process];
         self.push(
             now + delay,
-            Event::Count {
+            Event::RecordFirstAttempt {
                 process,
-                life,
+                incarnation,
                 sent: now,
             },
         );
     }
 
-    fn pick(&mut self, now: Duration) -> Option<usize> {
-        let draw = self.rng.random::<f64>();
+    fn pick_process(&mut self, now: Duration) -> Option<usize> {
+        let random = self.rng.random::<f64>();
         let weights = self.phase(now).weights.iter().zip(&self.processes);
         let live = weights.map(|(weight, process)| process.as_ref().map_or(0.0, |_| *weight));
-        let mut rest = draw * live.clone().sum::<f64>();
+        let mut remaining = random * live.clone().sum::<f64>();
         live.enumerate().find_map(|(process, weight)| {
-            rest -= weight;
-            (rest < 0.0).then_some(process)
+            remaining -= weight;
+            (remaining < 0.0).then_some(process)
         })
     }
 
-    fn count(&mut self, now: Duration, process: usize, life: u32, sent: Duration) {
-        if self.lives[process] != life {
+    fn count(&mut self, now: Duration, process: usize, incarnation: u32, sent: Duration) {
+        if self.incarnations[process] != incarnation {
             return;
         }
         if let Some(process) = &mut self.processes[process] {
-            process.guard.first(now, sent);
+            process.policy.record_first_attempt(now, sent);
         }
-        self.fail(now, process, life, 1);
+        self.fail(now, process, incarnation, 1);
     }
 
-    fn fail(&mut self, now: Duration, process: usize, life: u32, attempt: u32) {
+    fn fail(&mut self, now: Duration, process: usize, incarnation: u32, attempt: u32) {
         let failing = self.phase(now).failing;
-        if attempt >= ATTEMPTS || !self.rng.random_bool(failing) {
+        if attempt >= MAX_ATTEMPTS || !self.rng.random_bool(failing) {
             return;
         }
-        let took = seconds(0.02 + 1.5 * self.rng.random::<f64>().powi(3));
+        let response_time = seconds(0.02 + 1.5 * self.rng.random::<f64>().powi(3));
         self.push(
-            now + took,
-            Event::AdmissionRequest {
+            now + response_time,
+            Event::Retry {
                 process,
-                life,
+                incarnation,
                 attempt,
             },
         );
     }
 
-    fn ask(&mut self, now: Duration, process: usize, life: u32, attempt: u32) {
-        let known = self.known(now, process);
-        let Some(asking) = &mut self.processes[process] else {
+    fn retry(&mut self, now: Duration, process: usize, incarnation: u32, attempt: u32) {
+        let known_processes = self.known_processes(now, process);
+        let Some(sender) = &mut self.processes[process] else {
             return;
         };
-        if self.lives[process] != life {
+        if self.incarnations[process] != incarnation {
             return;
         }
-        if !asking.guard.repeat(now, known) {
-            self.seen.refused += 1;
+        if !sender.policy.try_retry(now, known_processes) {
+            self.trace.refused += 1;
             return;
         }
-        let most = if self.terms.transit {
+        let max_transit = if self.conditions.transit {
             TRANSIT
         } else {
             Duration::ZERO
         };
-        let transit = between(&mut self.rng, [Duration::ZERO, most]);
-        self.seen.arrivals.push(now + transit);
-        self.fail(now, process, life, attempt + 1);
+        let transit = between(&mut self.rng, [Duration::ZERO, max_transit]);
+        self.trace.arrivals.push(now + transit);
+        self.fail(now, process, incarnation, attempt + 1);
     }
 
-    /// How many processes there are, as far as one of them knows.
-    fn known(&self, now: Duration, process: usize) -> Option<usize> {
-        let known = self.processes[process].as_ref()?;
-        if now < known.started + known.listing {
+    /// Number of processes that this process knows of.
+    fn known_processes(&self, now: Duration, process: usize) -> Option<usize> {
+        let observer = self.processes[process].as_ref()?;
+        if now < observer.started + observer.discovery_delay {
             return None;
         }
-        let read = now.saturating_sub(known.lag);
+        let read = now.saturating_sub(observer.list_age);
         let is_there = |row: &&[Duration; 2]| row[0] <= read && read < row[1];
-        Some(self.rows.iter().filter(is_there).count().max(1))
+        Some(self.registered.iter().filter(is_there).count().max(1))
     }
 }
 
-/// What a process takes that does not know of the others.
+/// The number of processes, or the configured one while it is unknown.
 pub fn configured(processes: Option<usize>) -> usize {
-    processes.unwrap_or(CONFIGURED)
+    processes.unwrap_or(CONFIGURED_PROCESSES)
 }
 
-fn draw_phases(rng: &mut SmallRng, terms: Terms, count: usize) -> Vec<Phase> {
+fn random_phases(rng: &mut SmallRng, conditions: Conditions, count: usize) -> Vec<Phase> {
     let base = rng.random_range(60.0..200.0);
     let mut phases = Vec::new();
     let mut until = Duration::ZERO;
-    while until < LENGTH {
+    while until < RUN_TIME {
         until += seconds(rng.random_range(1.0..10.0));
         let factor = if rng.random_bool(0.5) { 4.0 } else { 1.0 };
         let weight = |rng: &mut SmallRng| 4.0_f64.powf(rng.random_range(-1.0..1.0));
         let weights: Vec<f64> = (0..count).map(|_| weight(rng)).collect();
         phases.push(Phase {
             until,
-            rate: if terms.swings {
+            rate: if conditions.swings {
                 base * factor
             } else {
                 2.0 * base
             },
             failing: [0.01, 0.05, 0.3, 0.8][rng.random_range(0..4)],
-            weights: if terms.uneven {
+            weights: if conditions.uneven {
                 weights
             } else {
                 vec![1.0; count]
--- a/crates/decide/tests/common/stage.rs
+++ b/crates/decide/tests/common/stage.rs
@@ -1,4 +1,4 @@
-//! The runners of one stage service in virtual time, for tests of formers.
+//! Simulation of the runners of one stage service in virtual time, for tests of batch queues.
 
 use decide::batch::{BatchQueue, FreeRunner, Group, Portion, RequiredGroup, RunnerFreeTime, Shape};
 use rand::rngs::SmallRng;
@@ -6,217 +6,223 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(2);
-/// Room that never binds.
+/// Room for results that is never exhausted.
 pub const ROOM: u64 = 1_000_000;
 
-/// A service and the requests that come to it.
+/// A service and its requests.
 #[derive(Clone, Copy)]
-pub struct Load {
+pub struct Workload {
     pub shape: Shape,
     /// Failure domain of each runner.
     pub domains: &'static [&'static str],
     /// Requests a second.
     pub rate: f64,
-    /// Pieces of a request, from and to.
+    /// Smallest and largest number of pieces in a request.
     pub pieces: (u32, u32),
-    /// Time within which the pieces are on time.
-    pub aim: Duration,
-    /// Time for which they wait for a runner near their inputs.
-    pub patience: Duration,
-    /// Results that a runner has room for.
+    /// Time within which the pieces must be done to be on time.
+    pub target_time: Duration,
+    /// Longest wait for a runner in the domain of the inputs.
+    pub max_domain_wait: Duration,
+    /// Number of results that a runner has room for.
     pub room: u64,
-    /// How long the results of a request are held once all are made.
-    pub held: Duration,
+    /// Time for which the results of a request are stored after all are done.
+    pub retention: Duration,
     pub end: Duration,
 }
 
-/// What became of the requests.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    pub asked: u32,
+    pub requests: u32,
     pub on_time: u32,
-    /// Pieces made where their inputs were, and elsewhere.
-    pub near: u32,
-    pub far: u32,
-    /// Requests whose pieces were in more than one call.
+    /// Pieces processed in the domain of their inputs, and in other domains.
+    pub local: u32,
+    pub remote: u32,
+    /// Requests whose pieces were divided over several calls.
     pub split: u32,
-    /// Time for which results took up room, over all of them.
-    pub kept: Duration,
+    /// Total time for which results took up room.
+    pub stored: Duration,
 }
 
 impl Outcome {
-    pub fn share_on_time(&self) -> f64 {
-        f64::from(self.on_time) / f64::from(self.asked)
+    pub fn on_time_fraction(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.requests)
     }
 
-    pub fn share_near(&self) -> f64 {
-        f64::from(self.near) / f64::from(self.near + self.far)
+    pub fn local_fraction(&self) -> f64 {
+        f64::from(self.local) / f64::from(self.local + self.remote)
     }
 }
 
 #[derive(Default)]
 struct Runner {
-    /// End of the call in progress, and what it carries.
+    /// End and contents of the call in progress.
     call: Option<(Duration, Vec<Portion>)>,
-    /// Results, since when they take up room, and until when once that is known.
-    kept: Vec<(Portion, Duration, Option<Duration>)>,
+    /// Results with the times from which and, once known, until which they take up room.
+    stored: Vec<(Portion, Duration, Option<Duration>)>,
 }
 
 impl Runner {
     fn free(&self, room: u64) -> u64 {
-        let kept = self.kept.iter();
-        let kept: u64 = kept.map(|(kept, ..)| u64::from(kept.pieces)).sum();
-        room.saturating_sub(kept)
+        let stored = self.stored.iter();
+        let stored: u64 = stored.map(|(stored, ..)| u64::from(stored.pieces)).sum();
+        room.saturating_sub(stored)
     }
 }
 
-struct Open {
+struct OpenRequest {
     group_id: u64,
-    began: Duration,
-    left: u32,
+    arrived: Duration,
+    remaining: u32,
     calls: u32,
     domain: &'static str,
 }
 
-/// Plays a load; inputs lie at a runner's domain with the same chance for each runner.
-pub fn play(queue: &mut impl BatchQueue, load: &Load, seed: u64) -> Outcome {
-    let mut world = World {
-        load,
+/// Simulates a workload. The inputs are in the domain of a runner that is chosen uniformly.
+pub fn simulate(queue: &mut impl BatchQueue, workload: &Workload, seed: u64) -> Outcome {
+    let mut simulation = Simulation {
+        workload,
         now: Duration::ZERO,
         rng: SmallRng::seed_from_u64(seed),
-        runners: load.domains.iter().map(|_| Runner::default()).collect(),
+        runners: workload.domains.iter().map(|_| Runner::default()).collect(),
         open: Vec::new(),
         outcome: Outcome::default(),
     };
-    while world.now < load.end {
-        world.arrive(queue);
-        world.land();
-        world.give_up(queue);
+    while simulation.now < workload.end {
+        simulation.arrive(queue);
+        simulation.complete_calls();
+        simulation.expire_groups(queue);
         for required in [RequiredGroup::Near, RequiredGroup::Any] {
-            (0..load.domains.len()).for_each(|index| world.launch(queue, index, required));
+            (0..workload.domains.len())
+                .for_each(|index| simulation.start_call(queue, index, required));
         }
-        world.now += STEP;
+        simulation.now += STEP;
     }
-    world.outcome
+    simulation.outcome
 }
 
-struct World<'a> {
-    load: &'a Load,
+struct Simulation<'a> {
+    workload: &'a Workload,
     now: Duration,
     rng: SmallRng,
     runners: Vec<Runner>,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
     outcome: Outcome,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn arrive(&mut self, queue: &mut impl BatchQueue) {
-        let load = self.load;
-        if !self.rng.random_bool(load.rate * STEP.as_secs_f64()) {
+        let workload = self.workload;
+        if !self.rng.random_bool(workload.rate * STEP.as_secs_f64()) {
             return;
         }
-        self.outcome.asked += 1;
-        let pieces = self.rng.random_range(load.pieces.0..=load.pieces.1);
-        let domain = load.domains[self.rng.random_range(0..load.domains.len())];
-        let group_id = u64::from(self.outcome.asked);
+        self.outcome.requests += 1;
+        let pieces = self.rng.random_range(workload.pieces.0..=workload.pieces.1);
+        let domain = workload.domains[self.rng.random_range(0..workload.domains.len())];
+        let group_id = u64::from(self.outcome.requests);
         queue.push(Group {
             group_id,
             pieces,
             result_bytes: 1,
-            due: self.now + load.aim,
-            expires_at: self.now + load.aim * 4,
+            due: self.now + workload.target_time,
+            expires_at: self.now + workload.target_time * 4,
             rank: 0,
             domain: Some(domain.into()),
             arrived_at: self.now,
-            max_domain_wait: load.patience,
+            max_domain_wait: workload.max_domain_wait,
         });
-        self.open.push(Open {
+        self.open.push(OpenRequest {
             group_id,
-            began: self.now,
-            left: pieces,
+            arrived: self.now,
+            remaining: pieces,
             calls: 0,
             domain,
         });
     }
 
-    fn land(&mut self) {
+    fn complete_calls(&mut self) {
         for index in 0..self.runners.len() {
             let now = self.now;
             let call = self.runners[index].call.take_if(|(end, _)| *end <= now);
             for portion in call.map_or_else(Vec::new, |(_, portions)| portions) {
-                self.made(portion);
+                self.complete_portion(portion);
             }
         }
     }
 
-    fn made(&mut self, portion: Portion) {
+    fn complete_portion(&mut self, portion: Portion) {
         let mut open = self.open.iter_mut();
         let Some(request) = open.find(|open| open.group_id == portion.group_id) else {
             return;
         };
-        request.left -= portion.pieces;
-        if request.left > 0 {
+        request.remaining -= portion.pieces;
+        if request.remaining > 0 {
             return;
         }
         self.outcome.split += u32::from(request.calls > 1);
-        self.outcome.on_time += u32::from(self.now <= request.began + self.load.aim);
+        self.outcome.on_time += u32::from(self.now <= request.arrived + self.workload.target_time);
         self.open.retain(|open| open.group_id != portion.group_id);
-        self.give_back(portion.group_id, self.now + self.load.held);
+        self.release_results(portion.group_id, self.now + self.workload.retention);
     }
 
-    fn give_back(&mut self, group_id: u64, until: Duration) {
-        let kept = self.runners.iter_mut().flat_map(|runner| &mut runner.kept);
-        for (portion, since, held) in kept.filter(|(portion, ..)| portion.group_id == group_id) {
-            *held = Some(until);
-            self.outcome.kept += (until - *since) * portion.pieces;
+    fn release_results(&mut self, group_id: u64, until: Duration) {
+        let stored = self
+            .runners
+            .iter_mut()
+            .flat_map(|runner| &mut runner.stored);
+        for (portion, since, retention) in
+            stored.filter(|(portion, ..)| portion.group_id == group_id)
+        {
+            *retention = Some(until);
+            self.outcome.stored += (until - *since) * portion.pieces;
         }
     }
 
-    fn give_up(&mut self, queue: &mut impl BatchQueue) {
-        let runners = self.load.domains.len() as u32;
-        let shape = self.load.shape;
+    fn expire_groups(&mut self, queue: &mut impl BatchQueue) {
+        let runners = self.workload.domains.len() as u32;
+        let shape = self.workload.shape;
         let full = shape.call + shape.piece * shape.size;
         for group_id in queue.expire(self.now, full / (shape.size * runners)) {
             self.open.retain(|open| open.group_id != group_id);
-            self.give_back(group_id, self.now);
+            self.release_results(group_id, self.now);
         }
     }
 
-    fn launch(&mut self, queue: &mut impl BatchQueue, index: usize, required: RequiredGroup) {
+    fn start_call(&mut self, queue: &mut impl BatchQueue, index: usize, required: RequiredGroup) {
         let now = self.now;
         let runner = &mut self.runners[index];
         if runner.call.is_some() {
             return;
         }
         runner
-            .kept
+            .stored
             .retain(|(.., until)| until.is_none_or(|until| until > now));
-        let room = runner.free(self.load.room);
-        let domain = self.load.domains[index];
-        let offer = FreeRunner {
+        let room = runner.free(self.workload.room);
+        let domain = self.workload.domains[index];
+        let free_runner = FreeRunner {
             room,
             domain,
             required,
             free_times: &self.free_times(),
         };
-        let portions = queue.take(now, &offer);
+        let portions = queue.take(now, &free_runner);
         if portions.is_empty() {
             return;
         }
         portions
             .iter()
-            .for_each(|portion| self.sent(portion, domain));
+            .for_each(|portion| self.count_sent(portion, domain));
         let pieces: u32 = portions.iter().map(|portion| portion.pieces).sum();
-        let end = now + self.load.shape.call + self.load.shape.piece * pieces;
+        let end = now + self.workload.shape.call + self.workload.shape.piece * pieces;
         let runner = &mut self.runners[index];
         runner
-            .kept
+            .stored
             .extend(portions.iter().map(|portion| (*portion, now, None)));
         runner.call = Some((end, portions));
     }
 
     fn free_times(&self) -> Vec<RunnerFreeTime> {
-        let runners = self.runners.iter().zip(self.load.domains);
+        let runners = self.runners.iter().zip(self.workload.domains);
         let free = |(runner, domain): (&Runner, &&str)| RunnerFreeTime {
             domain: (*domain).into(),
             at: runner.call.as_ref().map_or(self.now, |(end, _)| *end),
@@ -224,16 +230,16 @@
         runners.map(free).collect()
     }
 
-    fn sent(&mut self, portion: &Portion, domain: &str) {
+    fn count_sent(&mut self, portion: &Portion, domain: &str) {
         let mut open = self.open.iter_mut();
         let Some(request) = open.find(|open| open.group_id == portion.group_id) else {
             return;
         };
         request.calls += 1;
         if request.domain == domain {
-            self.outcome.near += portion.pieces;
+            self.outcome.local += portion.pieces;
         } else {
-            self.outcome.far += portion.pieces;
+            self.outcome.remote += portion.pieces;
         }
     }
 }
--- a/crates/decide/tests/ejected_target.rs
+++ b/crates/decide/tests/ejected_target.rs
@@ -1,4 +1,4 @@
-//! Targets that are ejected while all others go.
+//! Ejected targets while no other target is usable.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::retry::eject::EjectionPolicy;
@@ -34,10 +34,10 @@
     picked.map(|id| id.to_string())
 }
 
-/// Guards against a service that refuses everybody since its last target went while another one, which
-/// lives, was ejected: no call is sent any more that would end the ejection.
+/// Guards against a service that refuses all calls after its last live target left while another
+/// target, which works, was ejected: no call would be sent that ends the ejection.
 #[test]
-fn last_one_goes() {
+fn readmitted_without_other_targets() {
     let mut pool = one_ejected();
     pool.remove("other");
     assert_eq!(
@@ -52,15 +52,15 @@
     );
 }
 
-/// Guards against calls that wait for ever for the one target which has their model, since it was
-/// ejected and nothing is sent to the others meanwhile.
+/// Guards against calls that wait forever for the only target with their model, which was ejected while
+/// nothing is sent to the other targets.
 #[test]
-fn quiet_service() {
+fn readmitted_without_traffic() {
     let mut pool = one_ejected();
-    let over = EjectionPolicy::default().first;
-    assert_eq!(pick(&mut pool, over / 2, &["other"]), None);
+    let expiry = EjectionPolicy::default().first;
+    assert_eq!(pick(&mut pool, expiry / 2, &["other"]), None);
     assert_eq!(
-        pick(&mut pool, over, &["other"]).as_deref(),
+        pick(&mut pool, expiry, &["other"]).as_deref(),
         Some("ejected")
     );
 }
--- a/crates/decide/tests/fair_queue.rs
+++ b/crates/decide/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against an obvious slow version.
+//! The fair queue compared with a simple reference implementation.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::WorkspaceId;
@@ -13,82 +13,86 @@
 struct Flow {
     name: WorkspaceId,
     share: u64,
-    tag: u64,
+    virtual_time: u64,
     calls: Vec<(Duration, u64)>,
 }
 
-/// Keeps all flows in one vector and looks at each of them for every decision.
+/// Keeps all flows in one vector and scans it for every decision.
 #[derive(Default)]
-struct Slow {
+struct ReferenceQueue {
     flows: Vec<Flow>,
-    clock: u64,
-    number: u64,
+    system_virtual_time: u64,
+    sequence: u64,
 }
 
-impl Slow {
+impl ReferenceQueue {
     fn flow(&mut self, name: &WorkspaceId, share: u32) -> usize {
-        let place = self.flows.iter().position(|flow| flow.name == *name);
-        let place = place.unwrap_or_else(|| {
+        let position = self.flows.iter().position(|flow| flow.name == *name);
+        let position = position.unwrap_or_else(|| {
             self.flows.push(Flow {
                 name: name.clone(),
                 share: 1,
-                tag: self.clock,
+                virtual_time: self.system_virtual_time,
                 calls: Vec::new(),
             });
             self.flows.len() - 1
         });
-        self.flows[place].share = u64::from(share);
-        place
+        self.flows[position].share = u64::from(share);
+        position
     }
 
     fn push(&mut self, name: &WorkspaceId, share: u32, latest_start: Duration) {
-        let place = self.flow(name, share);
-        let flow = &mut self.flows[place];
+        let position = self.flow(name, share);
+        let flow = &mut self.flows[position];
         if flow.calls.is_empty() {
-            flow.tag = flow.tag.max(self.clock);
+            flow.virtual_time = flow.virtual_time.max(self.system_virtual_time);
         }
-        flow.calls.push((latest_start, self.number));
-        self.number += 1;
+        flow.calls.push((latest_start, self.sequence));
+        self.sequence += 1;
     }
 
     fn pop(&mut self) -> Option<(WorkspaceId, u64)> {
         let mut order: Vec<usize> = (0..self.flows.len())
-            .filter(|&place| !self.flows[place].calls.is_empty())
+            .filter(|&position| !self.flows[position].calls.is_empty())
             .collect();
-        order.sort_by_key(|&place| (self.flows[place].tag, place));
-        let first = self.flows[*order.first()?].tag;
-        self.clock = self.clock.max(first);
-        let near = |place: &&usize| {
-            let flow = &self.flows[**place];
-            flow.tag <= first + cost(COST, flow.share) * LOOKAHEAD
+        order.sort_by_key(|&position| (self.flows[position].virtual_time, position));
+        let first = self.flows[*order.first()?].virtual_time;
+        self.system_virtual_time = self.system_virtual_time.max(first);
+        let within_lookahead = |position: &&usize| {
+            let flow = &self.flows[**position];
+            flow.virtual_time <= first + cost(COST, flow.share) * LOOKAHEAD
         };
-        let head = |place: &&usize| *self.flows[**place].calls.iter().min().unwrap();
-        let place = *order.iter().take_while(near).take(4).min_by_key(head)?;
-        let flow = &mut self.flows[place];
+        let most_urgent = |position: &&usize| *self.flows[**position].calls.iter().min().unwrap();
+        let position = *order
+            .iter()
+            .take_while(within_lookahead)
+            .take(4)
+            .min_by_key(most_urgent)?;
+        let flow = &mut self.flows[position];
         let (at, _) = flow
             .calls
             .iter()
             .enumerate()
             .min_by_key(|(_, call)| **call)?;
-        let (_, number) = flow.calls.remove(at);
-        Some((flow.name.clone(), number))
+        let (_, sequence) = flow.calls.remove(at);
+        Some((flow.name.clone(), sequence))
     }
 
     fn charge(&mut self, name: &WorkspaceId, share: u32) {
-        let place = self.flow(name, share);
+        let position = self.flow(name, share);
         let idle = self.flows.iter().all(|flow| flow.calls.is_empty());
-        let flow = &mut self.flows[place];
-        let start = flow.tag.max(self.clock);
+        let flow = &mut self.flows[position];
+        let start = flow.virtual_time.max(self.system_virtual_time);
         if idle {
-            self.clock = start;
+            self.system_virtual_time = start;
         }
-        flow.tag = start + cost(COST, flow.share);
+        flow.virtual_time = start + cost(COST, flow.share);
     }
 
     fn correct(&mut self, name: &WorkspaceId, true_cost: Duration) {
         if let Some(flow) = self.flows.iter_mut().find(|flow| flow.name == *name) {
-            flow.tag =
-                (flow.tag + cost(true_cost, flow.share)).saturating_sub(cost(COST, flow.share));
+            flow.virtual_time = (flow.virtual_time + cost(true_cost, flow.share))
+                .saturating_sub(cost(COST, flow.share));
         }
     }
 }
@@ -113,7 +117,7 @@
 }
 
 #[test]
-fn same_order() {
+fn matches_reference() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(
         Config {
@@ -127,8 +131,8 @@
     let share = |flow: usize| 1 + flow as u32 % 3;
     let steps = prop::collection::vec(step(), 0..200);
     let outcome = runner.run(&steps, |steps| {
-        let (mut fair, mut slow) = (FairQueue::new(LOOKAHEAD), Slow::default());
-        let mut number = 0;
+        let (mut fair, mut reference) = (FairQueue::new(LOOKAHEAD), ReferenceQueue::default());
+        let mut sequence = 0;
         for step in steps {
             match step {
                 Step::Push(flow, due) => {
@@ -137,30 +141,30 @@
                         workspace: names[flow].clone(),
                         share: share(flow),
                         latest_start,
-                        item: number,
+                        item: sequence,
                     });
-                    slow.push(&names[flow], share(flow), latest_start);
-                    number += 1;
+                    reference.push(&names[flow], share(flow), latest_start);
+                    sequence += 1;
                 }
                 Step::Pop => {
                     let popped = fair.pop(COST).map(|call| {
                         fair.charge(&call.workspace, call.share, COST);
                         (call.workspace, call.item)
                     });
-                    let expected = slow.pop();
+                    let expected = reference.pop();
                     if let Some((name, _)) = &expected {
                         let flow = names.iter().position(|other| other == name).unwrap();
-                        slow.charge(name, share(flow));
+                        reference.charge(name, share(flow));
                     }
                     prop_assert_eq!(popped, expected);
                 }
                 Step::Correct(flow, cost) => {
                     let cost = Duration::from_millis(cost);
                     fair.correct(&names[flow], COST, cost);
-                    slow.correct(&names[flow], cost);
+                    reference.correct(&names[flow], cost);
                 }
             }
-            let waiting: usize = slow.flows.iter().map(|flow| flow.calls.len()).sum();
+            let waiting: usize = reference.flows.iter().map(|flow| flow.calls.len()).sum();
             prop_assert_eq!(fair.len(), waiting);
         }
         Ok(())
--- a/crates/decide/tests/flash_crowd.rs
+++ b/crates/decide/tests/flash_crowd.rs
@@ -1,4 +1,4 @@
-//! Admission while one workspace brings many times its share.
+//! Admission while one workspace sends many times its share.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::WorkspaceId;
@@ -12,7 +12,7 @@
 const SERVICE_US: u64 = 50_000;
 const DEADLINE_US: u64 = 1_000_000;
 const SECONDS: u64 = 30;
-/// Calls a second that the pool can end.
+/// Calls a second that the pool can complete.
 const CAPACITY: f64 = SLOTS as f64 * 1e6 / SERVICE_US as f64;
 
 #[derive(Clone, Copy, Default)]
@@ -23,12 +23,13 @@
     refused: u64,
 }
 
-/// One pool in virtual microseconds, which counts what is on time within the run: `rates` are the calls a second of each workspace, and a
-/// refused caller comes back when it was told to if `stubborn`.
-fn serve(
+/// Simulates one pool, with times in microseconds, and counts the calls that are on time within the
+/// simulation. `rates` are the calls a second of each workspace. If `retrying`, a refused caller retries
+/// after the given time.
+fn simulate(
     mut admission: impl Admission<(usize, u64)>,
     rates: &[f64],
-    stubborn: bool,
+    retrying: bool,
     seed: u64,
 ) -> (Vec<Count>, Vec<Duration>) {
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -49,9 +50,9 @@
         let started = if kind == 0 {
             let elapsed = Duration::from_micros(SERVICE_US);
             admission.finished(&names[workspace], elapsed, Some(elapsed));
-            let in_time = at - arrived <= DEADLINE_US && at < SECONDS * 1_000_000;
-            counts[workspace].on_time += u64::from(in_time);
-            counts[workspace].late += u64::from(!in_time);
+            let is_on_time = at - arrived <= DEADLINE_US && at < SECONDS * 1_000_000;
+            counts[workspace].on_time += u64::from(is_on_time);
+            counts[workspace].late += u64::from(!is_on_time);
             admission.next(SLOTS, now)
         } else {
             let call = Call {
@@ -66,7 +67,7 @@
                 AdmissionDecision::Refused { retry_after, .. } => {
                     counts[workspace].refused += 1;
                     waits.push(retry_after);
-                    if stubborn && at < SECONDS * 1_000_000 {
+                    if retrying && at < SECONDS * 1_000_000 {
                         let back = at + retry_after.as_micros() as u64;
                         events.push(Reverse((back, 1, workspace, 0)));
                     }
@@ -81,67 +82,74 @@
     (counts, waits)
 }
 
-/// Five workspaces that fill half of the pool, until the first brings ten times its share.
-fn crowd() -> [f64; 5] {
-    let usual = CAPACITY * 0.5 / 5.0;
-    [CAPACITY * 2.0 - 4.0 * usual, usual, usual, usual, usual]
+/// Rates of five workspaces that would use half of the pool, of which the first sends about ten times
+/// its share.
+fn crowd_rates() -> [f64; 5] {
+    let usual_rate = CAPACITY * 0.5 / 5.0;
+    [
+        CAPACITY * 2.0 - 4.0 * usual_rate,
+        usual_rate,
+        usual_rate,
+        usual_rate,
+        usual_rate,
+    ]
 }
 
-/// One story brings a customer ten times its share within seconds, and twice what the pool can do
-/// in all. First in, first out, everybody's calls would queue behind that crowd and come late. The
-/// users of the other customers must not notice, and the crowd gets what they leave.
+/// Within seconds, the traffic of one workspace rises to about ten times its share, and the total
+/// traffic to twice the pool's capacity. In a FIFO queue, the calls of all workspaces would wait behind
+/// that crowd and be late. The other workspaces must not be affected, and the crowd gets the remaining
+/// capacity.
 #[test]
-fn others_unharmed() {
+fn other_workspaces_unaffected() {
     for seed in 1..=5 {
-        let (fair, _) = serve(Predictive::default(), &crowd(), false, seed);
-        let (naive, _) = serve(Unbounded::default(), &crowd(), false, seed);
+        let (fair, _) = simulate(Predictive::default(), &crowd_rates(), false, seed);
+        let (naive, _) = simulate(Unbounded::default(), &crowd_rates(), false, seed);
         for count in &fair[1..] {
             assert_eq!(count.refused, 0);
             assert!(count.on_time as f64 >= 0.99 * count.offered as f64);
         }
         let on_time = |counts: &[Count]| counts.iter().map(|count| count.on_time).sum::<u64>();
-        let most = CAPACITY * SECONDS as f64;
+        let capacity = CAPACITY * SECONDS as f64;
         println!(
             "seed {seed}: on time {:.3} of capacity, late {}, first in first out {:.3}",
-            on_time(&fair) as f64 / most,
+            on_time(&fair) as f64 / capacity,
             fair.iter().map(|count| count.late).sum::<u64>(),
-            on_time(&naive) as f64 / most,
+            on_time(&naive) as f64 / capacity,
         );
-        assert!(on_time(&fair) as f64 >= 0.95 * most);
-        assert!(on_time(&naive) as f64 <= 0.2 * most);
+        assert!(on_time(&fair) as f64 >= 0.95 * capacity);
+        assert!(on_time(&naive) as f64 <= 0.2 * capacity);
     }
 }
 
-/// Callers who are refused come back as soon as they are told to. Were they all told the same
-/// time, or a short one, they would come back as one crowd, and the pool would spend its time on
-/// refusals and on work that is late by then.
+/// Refused callers retry after the given time. If all got the same time, or a short one, they would
+/// return together, and the pool would spend its time on refusals and on calls that are late by then.
 #[test]
-fn returning_callers() {
+fn retrying_callers_spread() {
     for seed in 1..=5 {
-        let (alone, _) = serve(Predictive::default(), &crowd(), false, seed);
-        let (stubborn, waits) = serve(Predictive::default(), &crowd(), true, seed);
+        let (alone, _) = simulate(Predictive::default(), &crowd_rates(), false, seed);
+        let (retrying, waits) = simulate(Predictive::default(), &crowd_rates(), true, seed);
         let on_time = |counts: &[Count]| counts.iter().map(|count| count.on_time).sum::<u64>();
-        let refused: u64 = stubborn.iter().map(|count| count.refused).sum();
+        let refused: u64 = retrying.iter().map(|count| count.refused).sum();
         let distinct = waits.iter().map(Duration::as_millis);
         let distinct = distinct.collect::<std::collections::HashSet<_>>().len();
         println!(
             "seed {seed}: on time {} alone, {} with returns, {refused} refusals, {distinct} waits",
             on_time(&alone),
-            on_time(&stubborn),
+            on_time(&retrying),
         );
-        assert!(on_time(&stubborn) as f64 >= 0.95 * on_time(&alone) as f64);
+        assert!(on_time(&retrying) as f64 >= 0.95 * on_time(&alone) as f64);
         assert!(refused < 3 * alone[0].offered);
         assert!(distinct * 10 > waits.len().min(1_000));
-        for count in &stubborn[1..] {
+        for count in &retrying[1..] {
             assert!(count.on_time as f64 >= 0.99 * count.offered as f64);
         }
     }
 }
 
-/// A request whose deadline can no longer be met is late, but not lost: while requests that can
-/// still make theirs keep coming without end, it would wait for ever if it only yielded.
+/// A request that can no longer meet its deadline is served late, but not lost. If it always yielded,
+/// it would wait forever while requests keep arriving that can still meet theirs.
 #[test]
-fn late_runs_too() {
+fn late_calls_not_starved() {
     let mut admission = Predictive::default();
     let mut rng = SmallRng::seed_from_u64(1);
     let now = Duration::from_secs(10);
@@ -154,18 +162,18 @@
     admission.offer(call(0, now * 2), 1, now, &mut rng);
     let late = admission.offer(call(1, Duration::from_secs(9)), 1, now, &mut rng);
     assert_eq!(late, AdmissionDecision::Queued);
-    let given = (2..).take(40).position(|number| {
+    let started_after = (2..).take(40).position(|number| {
         admission.push(call(number, now * 2), 1, now);
         admission.finished("w0", Duration::ZERO, None);
         admission.next(1, now) == Some(1)
     });
-    assert!(given.is_some_and(|turns| turns < 20));
+    assert!(started_after.is_some_and(|starts| starts < 20));
 }
 
-/// A caller that leaves very little time is served late rather than refused while the pool is not
+/// A request with a very short deadline is served late rather than refused while the pool is not
 /// overloaded, and a call of a request that was accepted before is never refused.
 #[test]
-fn only_overload_refuses() {
+fn refuses_only_on_overload() {
     let mut admission = Predictive::default();
     let mut rng = SmallRng::seed_from_u64(1);
     let call = |item: u32| Call {
@@ -176,8 +184,8 @@
     };
     let now = Duration::from_secs(1);
     for item in 0..4 {
-        let verdict = admission.offer(call(item), 1, now, &mut rng);
-        assert!(!matches!(verdict, AdmissionDecision::Refused { .. }));
+        let decision = admission.offer(call(item), 1, now, &mut rng);
+        assert!(!matches!(decision, AdmissionDecision::Refused { .. }));
     }
     for item in 4..10_000 {
         admission.push(call(item), 1, now);
--- a/crates/decide/tests/isolated_suspects.rs
+++ b/crates/decide/tests/isolated_suspects.rs
@@ -1,12 +1,12 @@
-//! Groups under which runners have ended, in calls of their own.
+//! Separate calls for groups that were being processed when runners exited.
 
 use decide::batch::{CallCapacity, Group, Isolation, Portion, Suspect};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Runners of the cell.
+/// Number of runners in the cell.
 const RUNNERS: usize = 8;
-const SPACE: CallCapacity = CallCapacity {
+const CAPACITY: CallCapacity = CallCapacity {
     pieces: 16,
     room: 1_000,
 };
@@ -39,58 +39,62 @@
     isolation
 }
 
-/// Suspects of each call that may start now.
-fn calls(isolation: &mut Isolation, runners: usize, may_run: fn(u32) -> bool) -> Vec<usize> {
-    let take = || isolation.take(runners, SPACE, may_run);
+/// Number of suspects in each call that may start now.
+fn call_sizes(isolation: &mut Isolation, runners: usize, may_run: fn(u32) -> bool) -> Vec<usize> {
+    let take = || isolation.take(runners, CAPACITY, may_run);
     let calls = std::iter::repeat_with(take).take_while(|call: &Vec<Portion>| !call.is_empty());
     calls.map(|call| call.len()).collect()
 }
 
-/// Guards against a poison request that goes on to share its calls with all others that it met once.
+/// Guards against a poison request that keeps sharing calls with all groups of its first call.
 #[test]
-fn halves_share() {
+fn suspects_halved() {
     let mut isolation = isolation((0..8).map(|number| suspect(number, number, 1)));
-    assert_eq!(calls(&mut isolation, RUNNERS, |_| true), [4, 4]);
+    assert_eq!(call_sizes(&mut isolation, RUNNERS, |_| true), [4, 4]);
 }
 
-/// Guards against a poison request that cannot be told from those that shared its second call.
+/// Guards against a poison request that cannot be distinguished from the groups of its second call.
 #[test]
-fn alone_later() {
+fn alone_after_second_crash() {
     let mut isolation = isolation((0..4).map(|number| suspect(number, number, 2)));
-    assert_eq!(calls(&mut isolation, RUNNERS, |_| true), [1, 1, 1, 1]);
+    assert_eq!(call_sizes(&mut isolation, RUNNERS, |_| true), [1, 1, 1, 1]);
 }
 
-/// Guards against attempts of one poison request that end several runners at a time.
+/// Guards against attempts of one poison request that crash several runners at the same time.
 #[test]
-fn one_runner_each() {
+fn same_content_on_one_runner() {
     let mut isolation = isolation((0..4).map(|number| suspect(number, 7, 1)));
-    assert_eq!(calls(&mut isolation, RUNNERS, |_| true), [1]);
+    assert_eq!(call_sizes(&mut isolation, RUNNERS, |_| true), [1]);
     isolation.ended(&[7]);
-    assert_eq!(calls(&mut isolation, RUNNERS, |_| true), [1]);
+    assert_eq!(call_sizes(&mut isolation, RUNNERS, |_| true), [1]);
 }
 
-/// Guards against suspects that take all runners of a cell.
+/// Guards against suspects that occupy all runners of a cell.
 #[test]
-fn half_of_runners() {
+fn at_most_half_of_runners() {
     let mut isolation = isolation((0..8).map(|number| suspect(number, number, 2)));
-    assert_eq!(calls(&mut isolation, 3, |_| true).len(), 2);
+    assert_eq!(call_sizes(&mut isolation, 3, |_| true).len(), 2);
     isolation.ended(&[0]);
-    assert_eq!(calls(&mut isolation, 3, |_| true).len(), 1);
+    assert_eq!(call_sizes(&mut isolation, 3, |_| true).len(), 1);
 }
 
-/// Guards against suspects that end the last runner which stands, and that wait for others in vain.
+/// Guards against suspects that crash the last running runner, and against suspects that wait too long
+/// for other runners.
 #[test]
 fn waits_for_runners() {
     let mut isolation = isolation([suspect(1, 1, 1), suspect(2, 2, 2)]);
-    assert_eq!(calls(&mut isolation, RUNNERS, |crashes| crashes < 2), [1]);
+    assert_eq!(
+        call_sizes(&mut isolation, RUNNERS, |crashes| crashes < 2),
+        [1]
+    );
     assert_eq!(isolation.give_up(SECOND, |crashes| crashes < 2), []);
     assert_eq!(isolation.give_up(SECOND * 2, |crashes| crashes < 2), [2]);
     assert!(isolation.is_empty());
 }
 
-/// Guards against pieces that are made although their request's time is over.
+/// Guards against processing pieces of requests that have expired.
 #[test]
-fn too_late() {
+fn expired_removed() {
     let mut isolation = isolation([suspect(1, 1, 1)]);
     assert_eq!(isolation.expire(SECOND * 3, SECOND), []);
     assert_eq!(isolation.expire(SECOND * 4, SECOND), [1]);
--- a/crates/decide/tests/near_inputs.rs
+++ b/crates/decide/tests/near_inputs.rs
@@ -1,15 +1,14 @@
-//! Pieces that fetch megabytes from the runners of the stage before, and are best made near those.
+//! Pieces that fetch large inputs and should be processed in the failure domain of those inputs.
 //!
-//! The pattern is that of a service with one or two runners in each of four failure domains. Each
-//! of the ten pieces of a request fetches all results of the stage before, 3.6 MB in all, which cost
-//! nothing within a failure domain. Calls of 200 ms and 3.6 ms a piece keep all runners busy at 33
-//! requests a second, so that a free runner is rarely the near one. These are the figures of a
-//! measured rerank stage.
+//! The service has one or two runners in each of four failure domains. Each of the ten pieces of a
+//! request fetches all results of the previous stage, 3.6 MB in total, which is free within a failure
+//! domain. Calls of 200 ms plus 3.6 ms a piece keep all runners busy at 33 requests a second, so a
+//! free runner is rarely in the right domain. The figures are those of a measured rerank stage.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::stage::{Load, Outcome, ROOM, play};
+use common::stage::{Outcome, ROOM, Workload, simulate};
 use decide::batch::{
     BatchQueue, FreeRunner, Group, RequiredGroup, Rules, RunnerFreeTime, Shape, SlackQueue,
 };
@@ -20,46 +19,46 @@
     call: Duration::from_millis(200),
     piece: Duration::from_micros(3_600),
 };
-const LOAD: Load = Load {
+const WORKLOAD: Workload = Workload {
     shape: SHAPE,
     domains: &["a", "a", "b", "c", "d"],
     rate: 33.0,
     pieces: (5, 15),
-    aim: Duration::from_millis(900),
-    patience: Duration::from_millis(360),
+    target_time: Duration::from_millis(900),
+    max_domain_wait: Duration::from_millis(360),
     room: ROOM,
-    held: Duration::ZERO,
+    retention: Duration::ZERO,
     end: Duration::from_secs(60),
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    play(&mut SlackQueue::with(SHAPE, rules), &LOAD, seed)
+    simulate(&mut SlackQueue::with(SHAPE, rules), &WORKLOAD, seed)
 }
 
-/// A request waits for the runner near its inputs when that will be free in time, and all others
-/// find a runner at once. Taken by whichever runner is free, two of three requests had their inputs
-/// carried to another failure domain, for which operators pay.
+/// Requests wait for a runner in the domain of their inputs if it will be free in time. If any free
+/// runner took them, the inputs of two requests in three would be sent to another failure domain,
+/// which operators pay for.
 #[test]
-fn waits_near() {
-    let anywhere = Rules {
+fn waits_for_local_runner() {
+    let any_domain = Rules {
         near: false,
         ..Rules::default()
     };
     for seed in 1..=3 {
-        let (naive, shipped) = (run(anywhere, seed), run(Rules::default(), seed));
-        assert!(naive.share_near() < 0.4, "seed {seed}: {naive:?}");
-        assert!(shipped.share_near() > 0.9, "seed {seed}: {shipped:?}");
-        let lost = naive.share_on_time() - shipped.share_on_time();
-        assert!(lost < 0.01, "seed {seed}: {naive:?} {shipped:?}");
+        let (naive, shipped) = (run(any_domain, seed), run(Rules::default(), seed));
+        assert!(naive.local_fraction() < 0.4, "seed {seed}: {naive:?}");
+        assert!(shipped.local_fraction() > 0.9, "seed {seed}: {shipped:?}");
+        let loss = naive.on_time_fraction() - shipped.on_time_fraction();
+        assert!(loss < 0.01, "seed {seed}: {naive:?} {shipped:?}");
     }
 }
 
-/// A request goes to a runner far from its inputs at once when the near one will be free too late
-/// for it. One that waited first and went there then had lost the time, and its aim with it.
+/// A request goes to a runner in another domain at once if the local runner will be free too late.
+/// Waiting first would cost the time that it needs to finish on time.
 #[test]
-fn hurries_elsewhere() {
+fn leaves_domain_when_local_runner_is_late() {
     let ms = Duration::from_millis;
-    for (free_in, waits) in [(ms(150), true), (ms(450), false)] {
+    for (local_free_in, waits) in [(ms(150), true), (ms(450), false)] {
         let mut queue = SlackQueue::new(SHAPE);
         queue.push(Group {
             group_id: 1,
@@ -76,13 +75,17 @@
             domain: domain.into(),
             at,
         };
-        let offer = FreeRunner {
+        let free_runner = FreeRunner {
             room: 1_000,
             domain: "b",
             required: RequiredGroup::Any,
-            free_times: &[free("a", free_in), free("b", Duration::ZERO)],
+            free_times: &[free("a", local_free_in), free("b", Duration::ZERO)],
         };
-        let taken = queue.take(Duration::ZERO, &offer);
-        assert_eq!(taken.is_empty(), waits, "near runner free in {free_in:?}");
+        let taken = queue.take(Duration::ZERO, &free_runner);
+        assert_eq!(
+            taken.is_empty(),
+            waits,
+            "near runner free in {local_free_in:?}"
+        );
     }
 }
--- a/crates/decide/tests/pool_model.rs
+++ b/crates/decide/tests/pool_model.rs
@@ -1,4 +1,4 @@
-//! The pool and the routers against an obvious slow version.
+//! The pool and the routers compared with a simple reference model.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::retry::eject::EjectionPolicy;
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a target's record must come to, kept the obvious way.
+/// Expected state of a target.
 #[derive(Clone, Debug, Default)]
-struct Slow {
+struct ReferenceTarget {
     in_flight: u32,
     limit: u32,
     leaving: bool,
@@ -22,7 +22,7 @@
     until: Option<u64>,
 }
 
-impl Slow {
+impl ReferenceTarget {
     fn live(&self) -> bool {
         !self.leaving && self.until.is_none()
     }
@@ -60,8 +60,8 @@
     format!("t{id}").into()
 }
 
-fn readmit(slow: &mut BTreeMap<TargetId, Slow>, now: u64) {
-    for target in slow.values_mut().filter(|target| !target.leaving) {
+fn readmit(reference: &mut BTreeMap<TargetId, ReferenceTarget>, now: u64) {
+    for target in reference.values_mut().filter(|target| !target.leaving) {
         if target.until.is_some_and(|until| until <= now) {
             target.until = None;
             target.failures = target.failures.saturating_sub(1);
@@ -69,87 +69,98 @@
     }
 }
 
-/// Where no other target is left, those that are out come back.
-fn readmit_last(slow: &mut BTreeMap<TargetId, Slow>) {
-    if !slow.values().any(Slow::live) {
-        readmit(slow, u64::MAX);
+/// Readmits ejected targets if no other one is left.
+fn readmit_if_none_live(reference: &mut BTreeMap<TargetId, ReferenceTarget>) {
+    if !reference.values().any(ReferenceTarget::live) {
+        readmit(reference, u64::MAX);
     }
 }
 
-fn failed(slow: &mut BTreeMap<TargetId, Slow>, id: &TargetId, now: u64, rule: &EjectionPolicy) {
-    let out = slow.values().filter(|target| !target.live()).count() + 1;
-    let allowed = out as f64 <= rule.cap * slow.len() as f64;
-    let Some(target) = slow.get_mut(id).filter(|target| target.live()) else {
+fn failed(
+    reference: &mut BTreeMap<TargetId, ReferenceTarget>,
+    id: &TargetId,
+    now: u64,
+    policy: &EjectionPolicy,
+) {
+    let ejected = reference.values().filter(|target| !target.live()).count() + 1;
+    let allowed = ejected as f64 <= policy.cap * reference.len() as f64;
+    let Some(target) = reference.get_mut(id).filter(|target| target.live()) else {
         return;
     };
     target.failures += 1;
-    if target.failures >= rule.failures && allowed {
-        let out = rule.first * 2_u32.pow(target.ejections);
-        target.until = Some(now + out.min(rule.longest).as_millis() as u64);
+    if target.failures >= policy.failures && allowed {
+        let duration = policy.first * 2_u32.pow(target.ejections);
+        target.until = Some(now + duration.min(policy.longest).as_millis() as u64);
         target.ejections += 1;
     }
 }
 
-fn apply(step: &Step, now: &mut u64, pool: &mut Pool, slow: &mut BTreeMap<TargetId, Slow>) {
-    let rule = EjectionPolicy::default();
+fn apply(
+    step: &Step,
+    now: &mut u64,
+    pool: &mut Pool,
+    reference: &mut BTreeMap<TargetId, ReferenceTarget>,
+) {
+    let policy = EjectionPolicy::default();
     let at = Duration::from_millis(*now);
-    let answer = ResponseStats {
+    let stats = ResponseStats {
         busy: Duration::from_millis(5),
         elapsed: Duration::from_millis(90),
         prefix: &[],
         hits: 0,
     };
-    let returned = |slow: &mut BTreeMap<TargetId, Slow>, id: &TargetId| {
-        if let Some(target) = slow.get_mut(id) {
+    let returned = |reference: &mut BTreeMap<TargetId, ReferenceTarget>, id: &TargetId| {
+        if let Some(target) = reference.get_mut(id) {
             target.in_flight = target.in_flight.saturating_sub(1);
         }
     };
     match *step {
         Step::Insert(id) => {
             pool.insert(Target::new(name(id), "a", 4));
-            let fresh = Slow {
+            let target = ReferenceTarget {
                 limit: 4,
-                ..Slow::default()
+                ..ReferenceTarget::default()
             };
-            slow.entry(name(id)).or_insert(fresh);
+            reference.entry(name(id)).or_insert(target);
         }
         Step::Remove(id) => {
             assert_eq!(
                 pool.remove(&name(id)).is_some(),
-                slow.remove(&name(id)).is_some()
+                reference.remove(&name(id)).is_some()
             );
-            readmit_last(slow);
+            readmit_if_none_live(reference);
         }
         Step::Sent(id) => {
             pool.sent(&name(id), at);
-            readmit(slow, *now);
-            if let Some(target) = slow.get_mut(&name(id)) {
+            readmit(reference, *now);
+            if let Some(target) = reference.get_mut(&name(id)) {
                 target.in_flight += 1;
             }
         }
         Step::Returned(id) => {
             pool.returned(&name(id));
-            returned(slow, &name(id));
+            returned(reference, &name(id));
         }
         Step::Answered(id) => {
-            pool.answered(&name(id), at, &answer);
-            returned(slow, &name(id));
-            readmit(slow, *now);
-            if let Some(target) = slow.get_mut(&name(id)) {
+            pool.answered(&name(id), at, &stats);
+            returned(reference, &name(id));
+            readmit(reference, *now);
+            if let Some(target) = reference.get_mut(&name(id)) {
                 (target.failures, target.ejections) = (0, 0);
             }
         }
         Step::Failed(id) => {
             pool.failed(&name(id), at);
-            returned(slow, &name(id));
-            readmit(slow, *now);
-            failed(slow, &name(id), *now, &rule);
+            returned(reference, &name(id));
+            readmit(reference, *now);
+            failed(reference, &name(id), *now, &policy);
         }
         Step::Leave(id) => {
             pool.leave(&name(id));
-            slow.entry(name(id))
+            reference
+                .entry(name(id))
                 .and_modify(|target| target.leaving = true);
-            readmit_last(slow);
+            readmit_if_none_live(reference);
         }
         Step::Reported(id, limit) => {
             pool.reported(
@@ -161,7 +172,8 @@
                     limit,
                 },
             );
-            slow.entry(name(id))
+            reference
+                .entry(name(id))
                 .and_modify(|target| target.limit = limit);
         }
         Step::Wait(span) => *now += span,
@@ -169,7 +181,7 @@
 }
 
 #[test]
-fn same_state() {
+fn matches_reference() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(
         Config {
@@ -180,33 +192,36 @@
         rng,
     );
     let outcome = runner.run(&prop::collection::vec(step(), 0..150), |steps| {
-        let (mut pool, mut slow, mut now) = (Pool::default(), BTreeMap::new(), 0);
+        let (mut pool, mut reference, mut now) = (Pool::default(), BTreeMap::new(), 0);
         for step in &steps {
-            apply(step, &mut now, &mut pool, &mut slow);
+            apply(step, &mut now, &mut pool, &mut reference);
             let mut live: Vec<_> = pool.live().iter().map(|target| &target.id).collect();
             live.sort();
-            let expected: Vec<_> = slow.iter().filter(|(_, target)| target.live()).collect();
+            let expected: Vec<_> = reference
+                .iter()
+                .filter(|(_, target)| target.live())
+                .collect();
             prop_assert_eq!(live, expected.iter().map(|(id, _)| *id).collect::<Vec<_>>());
             let capacity: u32 = expected.iter().map(|(_, target)| target.limit).sum();
             prop_assert_eq!(pool.capacity(), capacity);
-            prop_assert_eq!(pool.targets().len(), slow.len());
-            for (id, target) in &slow {
+            prop_assert_eq!(pool.targets().len(), reference.len());
+            for (id, target) in &reference {
                 prop_assert_eq!(pool.get(id).unwrap().in_flight(), target.in_flight);
             }
         }
-        check_routers(&pool, &slow, now)
+        check_routers(&pool, &reference, now)
     });
     outcome.unwrap();
 }
 
-/// Each router finds a target exactly when a look at all of them does, and only a usable one.
+/// Each router finds a target exactly if a scan of all targets does, and selects only usable ones.
 fn check_routers(
     pool: &Pool,
-    slow: &BTreeMap<TargetId, Slow>,
+    reference: &BTreeMap<TargetId, ReferenceTarget>,
     now: u64,
 ) -> Result<(), TestCaseError> {
     let mut rng = SmallRng::seed_from_u64(now);
-    let names: Vec<TargetId> = slow.keys().cloned().collect();
+    let names: Vec<TargetId> = reference.keys().cloned().collect();
     for tried in 0..=names.len() {
         let call = Call {
             now: Duration::from_millis(now),
@@ -215,7 +230,7 @@
             tried: &names[..tried],
             slack: Duration::from_secs(1),
         };
-        let usable = |id: &TargetId| slow[id].live() && !call.tried.contains(id);
+        let usable = |id: &TargetId| reference[id].live() && !call.tried.contains(id);
         let any = names.iter().any(usable);
         let picks = [
             Sampled.pick(pool, &call, &mut rng),
--- a/crates/decide/tests/repeat_bound.rs
+++ b/crates/decide/tests/repeat_bound.rs
@@ -1,28 +1,28 @@
-//! The bound on repeats over a whole fleet, while processes are lost and come back and traffic changes.
+//! The bound on the retries of a whole fleet while processes crash and restart and traffic changes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::repeats::{Guard, Seen, Terms, configured, play};
+use common::repeats::{Conditions, RetryPolicy, Trace, configured, simulate};
 use decide::retry::window::{RetryBound, RetryQuota};
 use std::time::Duration;
 
-/// Plays in CI; `REPEAT_PLAYS` asks for more.
-const PLAYS: u64 = 200;
+/// Number of seeds that CI simulates; `REPEAT_PLAYS` overrides it.
+const SEEDS: u64 = 200;
 
-/// What a relay does.
+/// The policy of a relay.
 struct Shipped(RetryQuota);
 
-impl Guard for Shipped {
+impl RetryPolicy for Shipped {
     fn start(bound: RetryBound, _now: Duration, _is_first: bool) -> Self {
         Self(RetryQuota::new(bound))
     }
 
-    fn first(&mut self, now: Duration, _arrived: Duration) {
+    fn record_first_attempt(&mut self, now: Duration, _arrived: Duration) {
         self.0.record_first_attempts(now, 1);
     }
 
-    fn repeat(&mut self, now: Duration, processes: Option<usize>) -> bool {
+    fn try_retry(&mut self, now: Duration, processes: Option<usize>) -> bool {
         self.0.try_retry(now, configured(processes))
     }
 
@@ -31,43 +31,43 @@
     }
 }
 
-/// Nanoseconds from the start; a window may begin before it.
+/// Nanoseconds since the start; signed because a window may begin before it.
 type Nanos = i64;
 
 fn nanos(at: Duration) -> Nanos {
     i64::try_from(at.as_nanos()).unwrap_or(i64::MAX)
 }
 
-/// The rule, for what was seen of one play.
-struct Rule {
+/// Check of the bound for the trace of one simulation.
+struct BoundCheck {
     requests: Vec<Nanos>,
     arrivals: Vec<Nanos>,
     bounds: Vec<(RetryBound, Nanos, Nanos)>,
     window: Nanos,
 }
 
-impl Rule {
-    fn new(seen: &Seen) -> Self {
-        let all = |moments: &[Duration]| moments.iter().copied().map(nanos).collect();
-        let bounds = seen.bounds.iter();
+impl BoundCheck {
+    fn new(trace: &Trace) -> Self {
+        let all = |times: &[Duration]| times.iter().copied().map(nanos).collect();
+        let bounds = trace.bounds.iter();
         Self {
-            requests: all(&seen.firsts),
-            arrivals: all(&seen.arrivals),
+            requests: all(&trace.first_attempts),
+            arrivals: all(&trace.arrivals),
             bounds: bounds
                 .map(|(bound, since, until)| (*bound, nanos(*since), nanos(*until)))
                 .collect(),
-            window: nanos(seen.bounds[0].0.window),
+            window: nanos(trace.bounds[0].0.window),
         }
     }
 
-    /// How many of the sorted moments lie in the window from a moment on.
-    fn within(&self, moments: &[Nanos], from: Nanos) -> f64 {
-        let begin = moments.partition_point(|at| *at < from);
-        let inside = moments[begin..].partition_point(|at| *at < from + self.window);
+    /// Number of the sorted times within the window that begins at `from`.
+    fn within(&self, times: &[Nanos], from: Nanos) -> f64 {
+        let begin = times.partition_point(|at| *at < from);
+        let inside = times[begin..].partition_point(|at| *at < from + self.window);
         inside as f64
     }
 
-    /// What the service may get beyond the first of each request in the window from a moment on.
+    /// Retries that the service may receive in the window that begins at `from`.
     fn allowed(&self, from: Nanos) -> f64 {
         let requests = [0, self.window / 2, self.window]
             .map(|earlier| self.within(&self.requests, from - earlier))
@@ -82,11 +82,11 @@
             .fold(0.0, f64::max)
     }
 
-    /// By what part of what is allowed the worst of all windows exceeds it; below zero if none does.
+    /// Largest excess of any window relative to what is allowed there; negative if none exceeds it.
     ///
-    /// What a window has beyond that grows only where a repeat enters it, or a request leaves one of
-    /// the three windows in which requests are counted.
-    fn excess(&self) -> f64 {
+    /// As the window moves, the excess grows only where a retry enters it, or where a request leaves one
+    /// of the three windows in which requests are counted.
+    fn worst_excess(&self) -> f64 {
         let enters = self.arrivals.iter().map(|at| at - self.window + 1);
         let leaves = self.requests.iter().flat_map(|at| {
             let after = at + 1;
@@ -102,52 +102,55 @@
     }
 }
 
-/// The plays of a run: `REPEAT_PLAYS` seeds from 0 on, with the terms that `REPEAT_TERMS` names.
-fn plays() -> u64 {
-    let plays = std::env::var("REPEAT_PLAYS").ok();
-    plays.map_or(PLAYS, |plays| plays.parse().unwrap())
+/// Number of seeds, from 0 on, which `REPEAT_PLAYS` overrides. `REPEAT_TERMS` selects the conditions.
+fn seeds() -> u64 {
+    let seeds = std::env::var("REPEAT_PLAYS").ok();
+    seeds.map_or(SEEDS, |seeds| seeds.parse().unwrap())
 }
 
-fn terms() -> Terms {
-    let terms = std::env::var("REPEAT_TERMS").ok();
-    terms.map_or(Terms::ALL, |names| Terms::of(&names))
+fn conditions() -> Conditions {
+    let conditions = std::env::var("REPEAT_TERMS").ok();
+    conditions.map_or(Conditions::ALL, |names| Conditions::of(&names))
 }
 
-/// Plays that break the rule, and by how much.
+/// Seeds that violate the bound and by how much, and totals of all simulations.
 #[derive(Debug, Default)]
-struct Verdict {
-    broken: Vec<(u64, f64)>,
+struct Summary {
+    violations: Vec<(u64, f64)>,
     requests: usize,
     repeats: usize,
     refused: usize,
 }
 
-impl Verdict {
-    fn of<G: Guard>(terms: Terms) -> Self {
-        let mut verdict = Self::default();
-        for seed in 0..plays() {
-            let seen = play::<G>(seed, terms);
-            let excess = Rule::new(&seen).excess();
-            if excess > 1e-9 {
-                verdict.broken.push((seed, excess));
+impl Summary {
+    fn of<G: RetryPolicy>(conditions: Conditions) -> Self {
+        let mut summary = Self::default();
+        for seed in 0..seeds() {
+            let trace = simulate::<G>(seed, conditions);
+            let worst_excess = BoundCheck::new(&trace).worst_excess();
+            if worst_excess > 1e-9 {
+                summary.violations.push((seed, worst_excess));
             }
-            verdict.requests += seen.firsts.len();
-            verdict.repeats += seen.arrivals.len();
-            verdict.refused += seen.refused;
+            summary.requests += trace.first_attempts.len();
+            summary.repeats += trace.arrivals.len();
+            summary.refused += trace.refused;
         }
-        verdict
+        summary
     }
 
-    fn worst(&self) -> f64 {
-        self.broken.iter().map(|(_, by)| *by).fold(0.0, f64::max)
+    fn worst_violation(&self) -> f64 {
+        self.violations
+            .iter()
+            .map(|(_, by)| *by)
+            .fold(0.0, f64::max)
     }
 
     fn print(&self, what: &str) {
-        let first = self.broken.first().map(|(seed, _)| *seed);
+        let first = self.violations.first().map(|(seed, _)| *seed);
         println!(
             "{what:10} {:4} broken, first {first:?}, worst {:.1}%; {} requests, {} repeats, {} refused",
-            self.broken.len(),
-            100.0 * self.worst(),
+            self.violations.len(),
+            100.0 * self.worst_violation(),
             self.requests,
             self.repeats,
             self.refused
@@ -155,10 +158,10 @@
     }
 }
 
-/// Guards against more repeats at a service than the bound of the whole fleet, in any window.
+/// Guards against more retries at a service, in any window, than the bound of the whole fleet allows.
 #[test]
 fn fleet_repeats_bounded() {
-    let verdict = Verdict::of::<Shipped>(terms());
-    verdict.print("shipped");
-    assert!(verdict.broken.is_empty(), "{:?}", verdict.broken);
+    let summary = Summary::of::<Shipped>(conditions());
+    summary.print("shipped");
+    assert!(summary.violations.is_empty(), "{:?}", summary.violations);
 }
--- a/crates/decide/tests/replica_placement.rs
+++ b/crates/decide/tests/replica_placement.rs
@@ -6,7 +6,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::time::Duration;
 
-const LOADS: usize = 2;
+const MAX_LOADS: usize = 2;
 
 fn model(name: &str, min: u32, max: u32, demand: f64) -> Model {
     Model {
@@ -32,7 +32,7 @@
     engines.filter(|engine| engine.warm || !warm).count()
 }
 
-fn obey(engines: &mut [Engine], orders: &[Order]) {
+fn apply_orders(engines: &mut [Engine], orders: &[Order]) {
     for order in orders {
         let engine = engines
             .iter_mut()
@@ -42,11 +42,11 @@
     }
 }
 
-/// Demand swings from model to model while loads take long. Whatever the swings, no order may take
-/// the last warm replica of a model, as its users would get no answer until a new one is loaded,
-/// and the weight store must not be asked for more than it bears.
+/// Demand shifts between models while loads take long. No order may remove the last warm replica of a
+/// model, since its users would get no response until a new one is loaded, and the number of
+/// concurrent loads must stay within the capacity of the weight store.
 #[test]
-fn never_the_last() {
+fn keeps_last_warm_replica() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let config = Config {
         cases: 300,
@@ -59,7 +59,7 @@
         let mut engines: Vec<Engine> = (0..6)
             .map(|number| engine(number, [Some("a"), Some("b"), None][number % 3]))
             .collect();
-        let mut placement = Placement::new(LOADS as u32, Duration::from_secs(10));
+        let mut placement = Placement::new(MAX_LOADS as u32, Duration::from_secs(10));
         for (step, (a, b, loaded)) in demands.into_iter().enumerate() {
             let now = Duration::from_secs(10 * step as u64);
             let models = [model("a", 1, 4, a), model("b", 1, 4, b)];
@@ -67,8 +67,8 @@
                 .each_ref()
                 .map(|model| replicas(&engines, &model.name, true));
             let orders = placement.plan(now, &models, &engines);
-            prop_assert!(orders.len() <= LOADS);
-            obey(&mut engines, &orders);
+            prop_assert!(orders.len() <= MAX_LOADS);
+            apply_orders(&mut engines, &orders);
             for (model, before) in models.iter().zip(warm) {
                 prop_assert!(before == 0 || replicas(&engines, &model.name, true) > 0);
                 prop_assert!(replicas(&engines, &model.name, false) <= model.max as usize);
@@ -84,10 +84,10 @@
     outcome.unwrap();
 }
 
-/// Demand that dips for a moment must not cost a replica, as the load that brings it back takes
-/// minutes while users wait; demand that has gone for good must.
+/// A short dip in demand must not remove a replica, since loading it again takes minutes while users
+/// wait. A lasting drop must remove one.
 #[test]
-fn waits_before_moving() {
+fn waits_before_scaling_down() {
     let mut engines = [
         engine(0, Some("a")),
         engine(1, Some("a")),
@@ -106,6 +106,6 @@
         orders.iter().map(|order| &*order.model).collect::<Vec<_>>(),
         ["b"]
     );
-    obey(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert_eq!(placement.plan(at(200), &models, &engines), []);
 }
--- a/crates/decide/tests/retry_storm.rs
+++ b/crates/decide/tests/retry_storm.rs
@@ -1,4 +1,4 @@
-//! Retries, hedges and ejection while much fails at once.
+//! Retries, hedges and ejection while many calls fail at once.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::retry::eject::EjectionPolicy;
@@ -11,15 +11,15 @@
     Budgeted::new(BudgetRatios::weighted(attainment))
 }
 
-/// Sends `calls` calls, one each millisecond, of which all but each `whole`th attempt fail, and
-/// gives the attempts for each call.
-fn amplification(mut retry: impl Retry, calls: u64, whole: u64) -> f64 {
+/// Sends `calls` calls, one per millisecond, of which only every `success_interval`th attempt
+/// succeeds, and returns the mean number of attempts per call.
+fn amplification(mut retry: impl Retry, calls: u64, success_interval: u64) -> f64 {
     let mut attempts = 0_u64;
     for number in 0..calls {
         let now = Duration::from_millis(number);
         for attempt in 0.. {
             attempts += 1;
-            if attempts % whole == 0 {
+            if attempts % success_interval == 0 {
                 retry.succeeded(now, Duration::from_millis(5));
                 break;
             }
@@ -31,8 +31,8 @@
     attempts as f64 / calls as f64
 }
 
-/// A bad release makes nine of ten attempts fail. If each failure is tried again, the runners get
-/// several times the load that users bring, and what still worked drowns as well.
+/// A bad release makes nine of ten attempts fail. If each failure were retried, the runners would get
+/// several times the load of the users, and the attempts that still succeed would fail as well.
 #[test]
 fn no_amplification() {
     let shipped = amplification(budgeted(0.5), 10_000, 10);
@@ -42,10 +42,10 @@
     assert!(naive > 4.0);
 }
 
-/// A fifth of the runners die at once, with all that they had in flight. Each of those calls must
-/// be tried again elsewhere, although no success pays for it at that moment.
+/// A fifth of the runners crash at once, with all their calls in flight. Each of those calls must be
+/// retried on another runner, although no recent success has added to the budget.
 #[test]
-fn dead_runners_covered() {
+fn crashed_runners_covered() {
     let mut retry = budgeted(0.5);
     let now = Duration::from_secs(1);
     let covered = (0..64)
@@ -54,18 +54,18 @@
     assert_eq!(covered, 64);
 }
 
-/// An attempt that no runner started has cost the runners nothing, and the caller nothing but
-/// time; it is tried elsewhere even when the budget is spent.
+/// An attempt that no runner started has cost only time, so it is retried even when the budget is
+/// exhausted.
 #[test]
-fn unstarted_is_free() {
+fn unstarted_attempt_is_free() {
     let mut retry = budgeted(0.5);
     let now = Duration::ZERO;
     while retry.retry(now, Failure::Ran, 0) {}
     assert!(retry.retry(now, Failure::NotRun, 0));
 }
 
-/// Hedges are work done twice. A deployment that weighs cost sends fewer of them, and none sends
-/// more than its share, even if everything becomes slow at once.
+/// Hedges duplicate work. A cost-weighted deployment sends fewer of them, and none exceeds its ratio,
+/// even if all calls become slow at once.
 #[test]
 fn hedges_bounded() {
     let hedges = |attainment| {
@@ -83,10 +83,10 @@
     assert!(hedges(1.0) <= 500);
 }
 
-/// A fault that all runners share, such as a bad input that many users send, makes every one of
-/// them look like an outlier. Were they all ejected, nobody would be served at all.
+/// A fault that all runners share, such as a bad input from many users, makes each of them look like
+/// an outlier. If all were ejected, no request would be served.
 #[test]
-fn half_stay() {
+fn at_most_half_ejected() {
     let mut pool = Pool::new(EjectionPolicy::default());
     for number in 0..10 {
         pool.insert(Target::new(format!("r{number}"), "a", 4));
@@ -105,10 +105,10 @@
     assert!(pool.get("r0").unwrap().ejected());
 }
 
-/// The operator lowers the bound in the middle of a storm. Repeats that were just sent must go on to
-/// count: with an empty window each change of the settings would grant the whole bound once more.
+/// The operator lowers the bound during a retry storm. Retries that were just sent must still count:
+/// with an empty window, each change of the settings would grant the full bound once more.
 #[test]
-fn bound_changed() {
+fn bound_change_keeps_count() {
     let bound = |slack| RetryBound {
         ratio: 0.0,
         slack,
--- a/crates/decide/tests/slow_runner.rs
+++ b/crates/decide/tests/slow_runner.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{Shape, run};
+use common::{Scenario, simulate};
 use decide::route::{RoundRobin, Sampled};
 
-const SHAPE: Shape = Shape {
+const SCENARIO: Scenario = Scenario {
     entries: 4,
     runners: 9,
     slots: 4,
@@ -16,12 +16,12 @@
     seconds: 30,
 };
 
-/// One runner of nine works ten times slower for ten seconds and then recovers. It still answers,
-/// so that nothing fails and nothing is ejected; a ninth of the users would wait ten times as long
-/// and more, as the slow runner's queue grows. Later it must get its share again, or the pool
-/// would stay smaller than it is.
+/// One runner of nine is ten times slower for ten seconds and then recovers. It still answers, so no
+/// call fails and it is not ejected; a ninth of the users would wait ten times as long or longer, as
+/// the slow runner's queue grows. After its recovery it must get its share again; otherwise the pool's
+/// capacity would remain reduced.
 #[test]
-fn avoided_then_used() {
+fn avoided_while_slow() {
     for seed in 1..=5 {
         let slow = |runner, now| {
             if runner == 3 && (8_000..18_000).contains(&now) {
@@ -30,8 +30,8 @@
                 1
             }
         };
-        let sampled = run::<Sampled>(SHAPE, seed, slow);
-        let robin = run::<RoundRobin>(SHAPE, seed, slow);
+        let sampled = simulate::<Sampled>(SCENARIO, seed, slow);
+        let robin = simulate::<RoundRobin>(SCENARIO, seed, slow);
         let over = |times: &[u64]| {
             times.iter().filter(|time| **time > 200).count() as f64 / times.len() as f64
         };
@@ -42,7 +42,7 @@
             over(&sampled.elapsed_ms),
             over(&robin.elapsed_ms),
         );
-        // Work alone takes over 200 ms in 0.7% of calls.
+        // The service time alone exceeds 200 ms in 0.7% of calls.
         assert!(over(&sampled.elapsed_ms) < 0.015);
         assert!(over(&robin.elapsed_ms) > 0.03);
         assert!(share > 0.7);
--- a/crates/decide/tests/stale_reports.rs
+++ b/crates/decide/tests/stale_reports.rs
@@ -1,12 +1,12 @@
-//! Routing on load reports that are long out of date.
+//! Routing with outdated load reports.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::{Shape, run};
+use common::{Scenario, simulate};
 use decide::route::{RoundRobin, Sampled};
 
-const SHAPE: Shape = Shape {
+const SCENARIO: Scenario = Scenario {
     entries: 6,
     runners: 18,
     slots: 4,
@@ -16,15 +16,14 @@
     seconds: 20,
 };
 
-/// Load reports arrive two seconds late at six entries. An entry that believed them would send
-/// everything to the runner that was idle two seconds ago, and so would all the others; the runner
-/// then drowns until the next reports turn the crowd elsewhere. Users would see answers that take
-/// many times as long as the work, at a load that the pool could carry.
+/// Load reports arrive two seconds late at six entry processes. Processes that trusted them would all
+/// send to the runner that was idle two seconds ago and overload it until the next reports direct them
+/// to another one. Responses would take many times the service time at a load that the pool can handle.
 #[test]
 fn no_herding() {
     for seed in 1..=5 {
-        let sampled = run::<Sampled>(SHAPE, seed, |_, _| 1);
-        let robin = run::<RoundRobin>(SHAPE, seed, |_, _| 1);
+        let sampled = simulate::<Sampled>(SCENARIO, seed, |_, _| 1);
+        let robin = simulate::<RoundRobin>(SCENARIO, seed, |_, _| 1);
         let peak = |peaks: &[usize]| peaks.iter().skip(2).max().copied().unwrap();
         let p99 = |times: &[u64]| common::quantile(times, 0.99);
         println!(
--- a/crates/decide/tests/subset_balance.rs
+++ b/crates/decide/tests/subset_balance.rs
@@ -1,4 +1,4 @@
-//! Subsets of a pool are spread evenly and change little.
+//! Even distribution and stability of the subsets of a pool.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -19,51 +19,51 @@
         .collect()
 }
 
-fn chosen(entry: usize, size: usize, pool: &[Candidate<'_>]) -> HashSet<String> {
+fn subset_of(entry: usize, size: usize, pool: &[Candidate<'_>]) -> HashSet<String> {
     let own = format!("entry-{entry}");
-    let chosen = choose(&own, size, pool);
-    chosen.iter().map(|one| one.id.to_owned()).collect()
+    let subset = choose(&own, size, pool);
+    subset.iter().map(|one| one.id.to_owned()).collect()
 }
 
-/// 75 entries each choose 9 of 333 targets. A target that nobody had chosen would stand idle, and
-/// one that far more had chosen than others would be the first to queue.
+/// 750 entry processes each choose 9 of 333 targets. A target that no process chose would stay idle,
+/// and one that far more processes chose than others would be the first to queue.
 #[test]
 fn every_target_chosen() {
     let names = names(333);
     let pool = pool(&names);
-    let mut times: HashMap<String, u32> = HashMap::new();
+    let mut counts: HashMap<String, u32> = HashMap::new();
     let entries = 750;
     for entry in 0..entries {
-        for id in chosen(entry, 9, &pool) {
-            *times.entry(id).or_default() += 1;
+        for id in subset_of(entry, 9, &pool) {
+            *counts.entry(id).or_default() += 1;
         }
     }
     let mean = f64::from(entries as u32 * 9) / 333.0;
-    assert_eq!(times.len(), 333);
-    let most = f64::from(*times.values().max().unwrap());
-    let least = f64::from(*times.values().min().unwrap());
+    assert_eq!(counts.len(), 333);
+    let most = f64::from(*counts.values().max().unwrap());
+    let least = f64::from(*counts.values().min().unwrap());
     assert!(
         most < 2.0 * mean && least > 0.3 * mean,
         "{least} {mean} {most}"
     );
 }
 
-/// One target goes. If that changed more of an entry's subset than the one target, every failure
-/// would break links, and the calls on them, all over the fleet.
+/// One target leaves. If that changed more than this target in the subsets, every failure would break
+/// links, and the calls on them, in the whole fleet.
 #[test]
-fn one_gone_one_changed() {
+fn one_removed_one_changed() {
     let names = names(120);
     let all = pool(&names);
-    for gone in 0..all.len() {
-        let mut rest = all.clone();
-        rest.remove(gone);
-        let before = chosen(7, 12, &all);
-        let after = chosen(7, 12, &rest);
+    for removed in 0..all.len() {
+        let mut remaining = all.clone();
+        remaining.remove(removed);
+        let before = subset_of(7, 12, &all);
+        let after = subset_of(7, 12, &remaining);
         assert!(before.difference(&after).count() <= 1);
     }
 }
 
-/// A failure domain is lost. The entry keeps two thirds of its subset.
+/// A failure domain is lost. The entry process keeps two thirds of its subset.
 #[test]
 fn domain_lost() {
     let names = names(90);
--- a/crates/decide/tests/whole_groups.rs
+++ b/crates/decide/tests/whole_groups.rs
@@ -1,14 +1,14 @@
-//! Groups of pieces that do not fit into the last places of a call.
+//! Groups of pieces that do not fit into the remaining capacity of a call.
 //!
-//! The pattern is a burst at the second stage of a pipeline: requests of six pieces, calls of up to
-//! 28 at 200 ms and 6.1 ms a piece, five runners with room for 63 results, and 40 requests a second
-//! where full calls make 62. Four requests fill 24 places; the fifth can be divided over this call and
-//! the next. These are the figures of a measured lookup stage.
+//! The workload is a burst at the second stage of a pipeline: requests of six pieces, calls of up to
+//! 28 pieces that take 200 ms plus 6.1 ms a piece, five runners with room for 63 results, and 40
+//! requests a second where full calls would allow 62. Four requests use 24 pieces of a call, and the
+//! fifth can be divided over this call and the next. The figures are those of a measured lookup stage.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::stage::{Load, Outcome, play};
+use common::stage::{Outcome, Workload, simulate};
 use decide::batch::{
     BatchQueue, FreeRunner, Group, Portion, RequiredGroup, Rules, Shape, SlackQueue,
 };
@@ -19,18 +19,18 @@
     call: Duration::from_millis(200),
     piece: Duration::from_micros(6_100),
 };
-const LOAD: Load = Load {
+const WORKLOAD: Workload = Workload {
     shape: SHAPE,
     domains: &["a"; 5],
     rate: 40.0,
     pieces: (6, 6),
-    aim: Duration::from_millis(600),
-    patience: Duration::ZERO,
+    target_time: Duration::from_millis(600),
+    max_domain_wait: Duration::ZERO,
     room: 63,
-    held: Duration::from_millis(450),
+    retention: Duration::from_millis(450),
     end: Duration::from_secs(60),
 };
-const DIVIDED: Rules = Rules {
+const DIVIDED_RULES: Rules = Rules {
     near: true,
     whole: false,
     small_first: true,
@@ -38,30 +38,30 @@
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    play(&mut SlackQueue::with(SHAPE, rules), &LOAD, seed)
+    simulate(&mut SlackQueue::with(SHAPE, rules), &WORKLOAD, seed)
 }
 
-/// Calls filled to the last place divide one request in ten. It depends on two calls and on the
-/// runners of both, and its results take up room for longer, while no more requests are on time.
+/// If calls are always filled up, one request in ten is divided. Such a request depends on two calls
+/// and the runners of both, and its results take up room for longer, without more requests on time.
 #[test]
-fn burst_undivided() {
+fn groups_undivided_in_burst() {
     for seed in 1..=3 {
-        let (naive, shipped) = (run(DIVIDED, seed), run(Rules::default(), seed));
+        let (naive, shipped) = (run(DIVIDED_RULES, seed), run(Rules::default(), seed));
         assert!(naive.split * 12 > naive.on_time, "seed {seed}: {naive:?}");
         assert_eq!(shipped.split, 0, "seed {seed}: {shipped:?}");
         assert!(
-            shipped.kept < naive.kept,
+            shipped.stored < naive.stored,
             "seed {seed}: {naive:?} {shipped:?}"
         );
-        let lost = naive.share_on_time() - shipped.share_on_time();
-        assert!(lost < 0.01, "seed {seed}: {naive:?} {shipped:?}");
+        let loss = naive.on_time_fraction() - shipped.on_time_fraction();
+        assert!(loss < 0.01, "seed {seed}: {naive:?} {shipped:?}");
     }
 }
 
-/// A group larger than a call is divided, and so is one for which a runner has room in part only:
-/// left whole, either would wait for ever, and its caller with it.
+/// A group larger than a call is divided, and so is one that fits only partly into a runner's room.
+/// Otherwise either would wait forever.
 #[test]
-fn too_large_divided() {
+fn oversized_groups_divided() {
     let group = |pieces| Group {
         group_id: 1,
         pieces,
@@ -76,7 +76,7 @@
     for (pieces, room, taken) in [(40, 1_000, 28), (6, 40, 4)] {
         let mut queue = SlackQueue::new(SHAPE);
         queue.push(group(pieces));
-        let offer = FreeRunner {
+        let free_runner = FreeRunner {
             room,
             domain: "a",
             required: RequiredGroup::Any,
@@ -86,6 +86,6 @@
             group_id: 1,
             pieces: taken,
         };
-        assert_eq!(queue.take(Duration::ZERO, &offer), [portion]);
+        assert_eq!(queue.take(Duration::ZERO, &free_runner), [portion]);
     }
 }
