--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -6,7 +6,7 @@
 
 use crate::downstream::{Call, Downstream, Failure, NotRun, Reply};
 use crate::graph::{self, Inputs, Round};
-use crate::quarantine::{self, SILENCE};
+use crate::quarantine::{self, SILENCE_TIMEOUT};
 use crate::request::{Answer, Body, EventId, Refusal};
 use crate::runner::{DomainId, Runner, RunnerId};
 use crate::serve::Job;
@@ -67,7 +67,7 @@
 
     /// Whether a repeat may be sent; counts it, once for each call that is sent.
     fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
-        self.is_paid = self.is_paid || job.relay.may_repeat(&job.service);
+        self.is_paid = self.is_paid || job.relay.try_retry(&job.service);
         self.is_paid
     }
 }
@@ -79,7 +79,7 @@
 /// [`Refusal`], of which only those that say so are given if no runner may have run it.
 pub async fn run<D: Downstream>(job: &Job<D>, mut inputs: Inputs<D>) -> Result<Answer, Refusal> {
     let mut progress = Progress::default();
-    job.relay.count_first(&job.service, 1);
+    job.relay.count_first_attempts(&job.service, 1);
     loop {
         let sent = send_anew(job, &mut inputs, &mut progress, job.request.resume_after).await;
         let Ok((flight, reply)) = sent else {
@@ -113,7 +113,7 @@
         let Some(mut runner) = pick(job, &progress.tried, left) else {
             return Err(());
         };
-        if let Err(refusal) = quarantine::begin(job).await {
+        if let Err(refusal) = quarantine::admit_attempt(job).await {
             progress.held = Some(refusal);
             return Err(());
         }
@@ -195,7 +195,7 @@
     let mut calling = std::pin::pin!(calling);
     tokio::select! {
         result = &mut calling => return result,
-        () = sleep(SILENCE) => flight.waited(),
+        () = sleep(SILENCE_TIMEOUT) => flight.waited(),
     }
     calling.await
 }
@@ -235,10 +235,17 @@
 
 fn pick<D: Downstream>(job: &Job<D>, tried: &[RunnerId], left: Duration) -> Option<Arc<Runner>> {
     let relay = &job.relay;
-    let closed = relay.closed(&job.service);
+    let throttled = relay.throttled(&job.service);
     let limited = relay.limited(&job.service);
     let absent = relay.absent(&job.service);
-    let without = [tried, &closed, &limited, &absent, &job.abroad()].concat();
+    let without = [
+        tried,
+        &throttled,
+        &limited,
+        &absent,
+        &job.runners_outside_regions(),
+    ]
+    .concat();
     let shared = job.request.prompt.as_ref();
     let shared = shared.map_or(&[][..], |prompt| &prompt.shared);
     let call = route::Call {
@@ -291,7 +298,7 @@
 /// may have run as far as anybody can tell. Thirty processes that each keep a few open would take
 /// them all up.
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
-    let service = job.plan.services.get(&job.service);
+    let service = job.configuration.services.get(&job.service);
     let bearable = service.map_or(0, |service| service.connections as usize);
     bearable / (job.relay.processes() * IDLE_PART)
 }
@@ -310,7 +317,7 @@
         "in_flight" => flight.before.own,
         "others_in_flight" => flight.before.others,
         "told_age_ms" => flight.before.told.map(millis),
-        "runners_age_ms" => job.relay.list_age().map(millis),
+        "runners_age_ms" => job.relay.runner_list_age().map(millis),
         "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -1,9 +1,9 @@
 //! A call at a runner, and what its end says of the runner.
 
+use crate::configuration::ServiceId;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::outage;
-use crate::plan::ServiceId;
 use crate::request::ContentId;
 use crate::runner::Runner;
 use crate::serve::Job;
@@ -66,7 +66,7 @@
             }
             before
         });
-        job.relay.note_begun(job.content, &runner);
+        job.relay.record_sent(job.content, &runner);
         let now = Instant::now();
         Self {
             relay: job.relay.clone(),
@@ -94,13 +94,13 @@
     /// Something has come from the runner.
     pub fn observed(&mut self) {
         self.sign = Instant::now();
-        self.relay.note_sign(&self.runner, self.sign);
+        self.relay.record_activity(&self.runner, self.sign);
     }
 
     /// The call has waited for long, or its time is over: the runner may be silent.
     pub fn waited(&self) {
         self.relay
-            .note_waited(self.content, &self.runner, self.sign);
+            .record_overdue(self.content, &self.runner, self.sign);
     }
 
     /// The runner answered as it should; `elapsed` is the time that speaks for its speed.
@@ -117,7 +117,7 @@
             pool.answered(&self.runner.id, now, &answer);
         });
         self.relay.telemetry.attempt("answered");
-        self.relay.note_served(self.content, &self.runner);
+        self.relay.record_answer(self.content, &self.runner);
     }
 
     /// The runner's answer was lost: it may have ended under the request.
@@ -127,7 +127,7 @@
     pub async fn lost(self) {
         let isolated = false;
         self.relay
-            .note_lost(self.content, &self.runner, self.sent, isolated);
+            .record_lost_answer(self.content, &self.runner, self.sent, isolated);
         outage::probe_briefly(&self.relay, &self.runner).await;
         self.failed();
     }
@@ -158,7 +158,7 @@
 impl<D: Downstream> Drop for Flight<D> {
     fn drop(&mut self) {
         self.begun();
-        self.relay.note_over(self.content, &self.runner);
+        self.relay.record_finished(self.content, &self.runner);
         if !self.over {
             self.waited();
             self.relay
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -11,9 +11,9 @@
 mod suspect;
 mod waiting;
 
+use crate::configuration::{BatchSettings, LAST_RANK, Rank, ServiceId};
 use crate::core::{Relay, lock};
 use crate::downstream::{Batch, Downstream, Failure, Handle, Made, NotRun, Source};
-use crate::plan::{Batches, LAST_RANK, Rank, ServiceId};
 use crate::request::{ContentId, RequestId};
 use crate::runner::{DomainId, Runner};
 use crate::telemetry::millis;
@@ -303,7 +303,7 @@
     }
 
     /// Expected times until pieces that come now are made.
-    pub fn expected(&self, relay: &Relay<D>, batches: &Batches) -> Option<Waits> {
+    pub fn expected(&self, relay: &Relay<D>, batches: &BatchSettings) -> Option<Waits> {
         lock(&self.state).expected(relay.started(), batches)
     }
 
@@ -334,7 +334,7 @@
         }
         let items = std::mem::take(&mut launch.items);
         let count = items.len();
-        let (waited, age) = (begun.elapsed(), relay.list_age());
+        let (waited, age) = (begun.elapsed(), relay.runner_list_age());
         let is_open = || relay.is_open(&runner);
         let patience = launch.patience();
         let making = relay.downstream.make(&runner, items, patience, is_open);
@@ -360,7 +360,7 @@
             made
         };
         if lives {
-            relay.note_made(&runner, made);
+            relay.record_batch_answer(&runner, made);
         }
         self.pump(&relay);
     }
--- a/crates/relay/src/batch/form.rs
+++ b/crates/relay/src/batch/form.rs
@@ -3,9 +3,9 @@
 use super::launch::Launch;
 use super::place::{Place, Room, free_places};
 use super::state::State;
+use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::plan::{Batches, ServiceId};
 use decide::batch::{Former, Free, Need, Offer, Portion};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -27,7 +27,7 @@
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        batches: Batches,
+        batches: BatchSettings,
     ) -> Option<Launch> {
         let now = Instant::now();
         let at = relay.at(now);
@@ -44,7 +44,12 @@
     }
 
     /// The pieces of the next call, and the runner that makes them.
-    fn choose(&mut self, started: Instant, batches: Batches, places: &[usize]) -> Option<Choosing> {
+    fn choose(
+        &mut self,
+        started: Instant,
+        batches: BatchSettings,
+        places: &[usize],
+    ) -> Option<Choosing> {
         let now = Instant::now();
         let at = now.saturating_duration_since(started);
         if places.is_empty() || self.former.as_ref()?.waiting() == 0 {
@@ -80,7 +85,7 @@
     }
 
     /// Binds chosen pieces to their runner.
-    fn prepare(&mut self, choice: Choosing, batches: Batches, now: Instant) -> Launch {
+    fn prepare(&mut self, choice: Choosing, batches: BatchSettings, now: Instant) -> Launch {
         let Choosing {
             index,
             room,
--- a/crates/relay/src/batch/launch.rs
+++ b/crates/relay/src/batch/launch.rs
@@ -1,7 +1,7 @@
 //! A call of a cell that is about to be sent.
 
+use crate::configuration::BatchSettings;
 use crate::downstream::{Handle, Item};
-use crate::plan::Batches;
 use crate::request::ContentId;
 use crate::runner::Runner;
 use decide::batch::Ticket;
@@ -32,7 +32,7 @@
     pub(super) expected: Duration,
     /// When it is expected to end.
     pub(super) until: Instant,
-    pub(super) batches: Batches,
+    pub(super) batches: BatchSettings,
     /// Bytes of its results, and what was believed to be free for them.
     pub(super) needed: u64,
     pub(super) room: u64,
--- a/crates/relay/src/batch/place.rs
+++ b/crates/relay/src/batch/place.rs
@@ -1,7 +1,7 @@
 //! A runner of a cell: its calls in progress, its speed and the room for results.
 
+use crate::configuration::BatchSettings;
 use crate::downstream::{Failure, Handle, Made, NotRun};
-use crate::plan::Batches;
 use crate::runner::Runner;
 use decide::Map;
 use std::sync::Arc;
@@ -98,7 +98,7 @@
 /// `queue` is the time that those wait that come last.
 pub(super) fn free_places(
     places: &[Place],
-    batches: Batches,
+    batches: BatchSettings,
     queue: Duration,
     now: Instant,
 ) -> Vec<usize> {
@@ -154,13 +154,13 @@
         1.0 + (self.slowness - 1.0) * faded
     }
 
-    pub(super) fn has_slot(&self, batches: Batches) -> bool {
+    pub(super) fn has_slot(&self, batches: BatchSettings) -> bool {
         self.calls.len() < batches.slots as usize
     }
 
     /// When its next call is expected to start. A slow runner counts as free later by the time that
     /// its call takes longer than that of others.
-    pub(super) fn free_at(&self, batches: Batches, now: Instant) -> Instant {
+    pub(super) fn free_at(&self, batches: BatchSettings, now: Instant) -> Instant {
         let call = batches.shape.full();
         let longer = call.mul_f64((self.slowness(now) - 1.0).max(0.0));
         let rested = self.rests_until.map_or(now, |until| until.max(now));
@@ -179,7 +179,7 @@
     }
 
     /// Room for the next call's results once all that is released or fetched has been given back.
-    pub(super) fn room(&mut self, batches: Batches, now: Instant) -> Room {
+    pub(super) fn room(&mut self, batches: BatchSettings, now: Instant) -> Room {
         self.results.retain(|_, kept| kept.until > now);
         let results = &self.results;
         self.released.retain(|handle| results.contains_key(handle));
@@ -253,7 +253,7 @@
 
     /// Results that the runner is told to drop now, so that there is room for `needed` bytes: all that
     /// are released, and of those that are fetched no more than it takes.
-    pub(super) fn give_back(&mut self, batches: Batches, needed: u64) -> Vec<Handle> {
+    pub(super) fn give_back(&mut self, batches: BatchSettings, needed: u64) -> Vec<Handle> {
         self.full = false;
         let mut dropped = self.take_released();
         let mut missing = (self.kept() + needed).saturating_sub(batches.room);
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -5,9 +5,9 @@
 use super::suspect::POLL;
 use super::waiting::Waiting;
 use super::{Order, Outcome, Results, Spoiled, Waits};
+use crate::configuration::{BatchSettings, Rank, ServiceId};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Failure, Handle, Made};
-use crate::plan::{Batches, Rank, ServiceId};
 use crate::request::ContentId;
 use crate::runner::{Runner, RunnerId};
 use decide::Map;
@@ -117,7 +117,7 @@
     }
 
     /// Time that the runners take for each piece that waits.
-    pub(super) fn piece_time(&self, batches: &Batches) -> Duration {
+    pub(super) fn piece_time(&self, batches: &BatchSettings) -> Duration {
         let shape = batches.shape;
         let now = Instant::now();
         let speed = |place: &Place| 1.0 / place.slowness(now).max(1.0);
@@ -127,7 +127,7 @@
     }
 
     /// Expected times until pieces that come now are made, by the rank of their request.
-    pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<Waits> {
+    pub(super) fn expected(&self, started: Instant, batches: &BatchSettings) -> Option<Waits> {
         let places = u32::try_from(self.places.len()).unwrap_or(u32::MAX);
         if places == 0 {
             return None;
@@ -162,7 +162,7 @@
     pub(super) fn enqueue<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        batches: Batches,
+        batches: BatchSettings,
         order: Order,
         reply: oneshot::Sender<Outcome>,
     ) {
@@ -357,7 +357,7 @@
             Made::Late => Some(Err(Spoiled::Late)),
             Made::InputGone => Some(Err(Spoiled::InputGone)),
             // One without room has not been worked on.
-            Made::Failed if !relay.may_repeat(service) => Some(Err(Spoiled::Failed)),
+            Made::Failed if !relay.try_retry(service) => Some(Err(Spoiled::Failed)),
             Made::NoRoom | Made::Failed => {
                 waiting.todo.push(piece);
                 let waiting = self.waiting.get(&ticket)?;
@@ -372,7 +372,14 @@
     }
 
     /// Counts a result at its runner; one that nobody waits for is released.
-    fn keep(&mut self, id: &RunnerId, handle: &Handle, bytes: u64, batches: Batches, wanted: bool) {
+    fn keep(
+        &mut self,
+        id: &RunnerId,
+        handle: &Handle,
+        bytes: u64,
+        batches: BatchSettings,
+        wanted: bool,
+    ) {
         let Some(place) = self.places.iter_mut().find(|place| place.runner.id == *id) else {
             return;
         };
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -4,10 +4,10 @@
 use super::form::Choosing;
 use super::launch::Launch;
 use super::state::State;
+use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Failure, Made, NotRun};
 use crate::outage;
-use crate::plan::{Batches, ServiceId};
 use crate::request::ContentId;
 use decide::batch::{Former, Space, Suspect, Ticket};
 use protocol::quarantine::{Pass, Standing};
@@ -48,9 +48,9 @@
     match failure {
         Failure::Lost { .. } => {
             for content in &launch.contents {
-                relay.note_lost(*content, &launch.runner, begun, launch.isolated);
+                relay.record_lost_answer(*content, &launch.runner, begun, launch.isolated);
                 if is_silent {
-                    relay.note_waited(*content, &launch.runner, begun);
+                    relay.record_overdue(*content, &launch.runner, begun);
                 }
             }
         }
@@ -145,7 +145,7 @@
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        batches: Batches,
+        batches: BatchSettings,
         places: &[usize],
     ) -> Option<Choosing> {
         if self.isolation.is_empty() {
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/configuration.rs
@@ -12,7 +12,7 @@
 /// Name of a region.
 pub type RegionId = Arc<str>;
 /// Regions that requests may run in; any if there are none.
-pub type Homes = BTreeSet<RegionId>;
+pub type AllowedRegions = BTreeSet<RegionId>;
 /// Name of a service.
 pub type ServiceId = Arc<str>;
 /// How urgent a request is; 0 comes first.
@@ -24,7 +24,7 @@
 
 /// A whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct Configuration {
     /// Its number.
     pub version: Version,
     /// Revision of the row that holds it in the operator's table; 0 if it comes from no table.
@@ -71,7 +71,7 @@
     /// Longest pause between events of a stream that is on time.
     pub gap: Duration,
     /// Regions that its requests may run in.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
 }
 
 /// What may be repeated.
@@ -113,7 +113,7 @@
     /// Connections that one runner takes from all callers together.
     pub connections: u32,
     /// How its runners take the pieces of stages, if they do.
-    pub batches: Option<Batches>,
+    pub batches: Option<BatchSettings>,
     /// What its runners bear that have just started, unless they bear all at once.
     pub warmup: Option<Warmup>,
 }
@@ -129,7 +129,7 @@
 
 /// How the runners of a stage service take pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Batches {
+pub struct BatchSettings {
     /// Calls in progress at once.
     pub slots: u32,
     /// Most pieces in a call, and what a call costs.
@@ -148,7 +148,7 @@
     /// Urgency of its requests, before that of the route.
     pub rank: Option<Rank>,
     /// Regions that its requests may run in.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
 }
 
 /// Bounds on what a caller may send.
@@ -173,7 +173,7 @@
     }
 }
 
-impl Plan {
+impl Configuration {
     /// A plan of these parts; `keys` holds each workspace with its keys.
     #[must_use]
     pub fn new(
@@ -183,28 +183,32 @@
         keys: Vec<(Workspace, Vec<String>)>,
         limits: Limits,
     ) -> Self {
-        let mut plan = Self {
+        let mut configuration = Self {
             version,
             limits,
             ..Self::default()
         };
         for route in routes {
             let host = route.host.to_ascii_lowercase();
-            plan.routes.entry(host).or_default().push(Arc::new(route));
+            configuration
+                .routes
+                .entry(host)
+                .or_default()
+                .push(Arc::new(route));
         }
-        for routes in plan.routes.values_mut() {
+        for routes in configuration.routes.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         for service in services {
-            plan.services.insert(service.name.clone(), service);
+            configuration.services.insert(service.name.clone(), service);
         }
-        plan.urgencies = plan.pairs_of_ranks(&keys);
+        configuration.urgencies = configuration.pairs_of_ranks(&keys);
         for (workspace, keys) in keys {
             let workspace = Arc::new(workspace);
             let keys = keys.into_iter().map(|key| (key, workspace.clone()));
-            plan.keys.extend(keys);
+            configuration.keys.extend(keys);
         }
-        plan
+        configuration
     }
 
     /// The route of a request: that with the longest prefix among those of the host.
@@ -255,7 +259,7 @@
 
     /// How the service's runners take pieces, if the service is known and takes any.
     #[must_use]
-    pub fn batches(&self, service: &str) -> Option<Batches> {
+    pub fn batches(&self, service: &str) -> Option<BatchSettings> {
         self.services.get(service)?.batches
     }
 }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -1,15 +1,15 @@
 //! What the parts of the relay share.
 
 use crate::batch::{Batcher, Cell, Share};
+use crate::configuration::{BatchSettings, Configuration, LAST_RANK, RegionId, ServiceId};
 use crate::downstream::Downstream;
 use crate::drain::Drains;
 use crate::limit::Limits;
 use crate::member::{Member, MemberId};
-use crate::memory::Memory;
+use crate::memory::MemoryBudget;
 use crate::outage::Outages;
-use crate::pause::{Clock, Pause};
+use crate::pause::{Clock, PauseDetector};
 use crate::peer::{Burdens, Peers};
-use crate::plan::{Batches, LAST_RANK, Plan, RegionId, ServiceId};
 use crate::quarantine;
 use crate::request::ContentId;
 use crate::runner::{Change, DomainId, Fleet, Runner};
@@ -42,7 +42,7 @@
     /// Failure domain that it runs in.
     pub domain: DomainId,
     /// Bound on second attempts of the whole fleet, until it is changed.
-    pub repeats: Bound,
+    pub retry_bound: Bound,
     /// Processes that share this bound, as far as they do not know of one another.
     pub processes: usize,
     /// This process, as the others see it.
@@ -79,15 +79,15 @@
     /// The other processes.
     pub peers: Peers,
     /// Memory for the bodies of requests.
-    pub requests: Memory,
+    pub requests: MemoryBudget,
     /// Memory for the bodies of answers.
-    pub answers: Memory,
+    pub answers: MemoryBudget,
     /// Spans in which the process did not run.
-    pub(crate) pause: Pause,
+    pub(crate) pause: PauseDetector,
     /// Set shortly before the process ends: what no runner has by then is refused.
     pub ending: CancellationToken,
     started: Instant,
-    plan: RwLock<Option<Arc<Plan>>>,
+    configuration: RwLock<Option<Arc<Configuration>>>,
     fleet: RwLock<Option<Fleet>>,
     pub(crate) drains: Mutex<Drains>,
     pub(crate) warmups: Mutex<Warmups>,
@@ -95,7 +95,7 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) limits: Mutex<Limits>,
     pools: Mutex<Map<ServiceId, Pool>>,
-    repeats: Mutex<Bound>,
+    retry_bound: Mutex<Bound>,
     quotas: Mutex<Map<ServiceId, Quota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest time that a caller of each route has been ready to wait.
@@ -118,17 +118,17 @@
     pub fn new(options: Options, downstream: D, log: Logger, telemetry: Telemetry) -> Arc<Self> {
         Arc::new(Self {
             peers: Peers::new(options.member.clone(), options.key.clone()),
-            pause: Pause::new(options.clock),
+            pause: PauseDetector::new(options.clock),
             ending: CancellationToken::new(),
-            requests: Memory::new(options.memory / BODIES_PART),
-            answers: Memory::new(options.memory / BODIES_PART),
-            repeats: Mutex::new(options.repeats),
+            requests: MemoryBudget::new(options.memory / BODIES_PART),
+            answers: MemoryBudget::new(options.memory / BODIES_PART),
+            retry_bound: Mutex::new(options.retry_bound),
             options,
             downstream,
             log,
             telemetry,
             started: Instant::now(),
-            plan: RwLock::default(),
+            configuration: RwLock::default(),
             fleet: RwLock::default(),
             drains: Mutex::default(),
             warmups: Mutex::default(),
@@ -165,24 +165,30 @@
 
     /// The configuration in force, once one is known.
     #[must_use]
-    pub fn plan(&self) -> Option<Arc<Plan>> {
-        let plan = self.plan.read().unwrap_or_else(PoisonError::into_inner);
-        plan.clone()
+    pub fn configuration(&self) -> Option<Arc<Configuration>> {
+        let configuration = self
+            .configuration
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
+        configuration.clone()
     }
 
     /// Takes a configuration into force if it is newer than the one that is; tells whether.
-    pub fn adopt(&self, plan: Plan) -> bool {
-        let mut current = self.plan.write().unwrap_or_else(PoisonError::into_inner);
+    pub fn adopt(&self, configuration: Configuration) -> bool {
+        let mut current = self
+            .configuration
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(old) = current.as_ref()
-            && old.version >= plan.version
+            && old.version >= configuration.version
         {
-            if old.version == plan.version && old.revision < plan.revision {
-                *current = Some(Arc::new(plan));
+            if old.version == configuration.version && old.revision < configuration.revision {
+                *current = Some(Arc::new(configuration));
             }
             return false;
         }
-        let version = plan.version;
-        *current = Some(Arc::new(plan));
+        let version = configuration.version;
+        *current = Some(Arc::new(configuration));
         drop(current);
         self.peers.announce(version);
         self.note_adopted(version);
@@ -191,9 +197,9 @@
 
     /// Whether configuration and runners are known, so that requests can be served.
     #[must_use]
-    pub fn informed(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let fleet = self.fleet.read().unwrap_or_else(PoisonError::into_inner);
-        fleet.is_some() && self.plan().is_some()
+        fleet.is_some() && self.configuration().is_some()
     }
 
     /// Something of the runners that take new work.
@@ -204,12 +210,12 @@
 
     /// Age of what is known of the runners.
     #[must_use]
-    pub fn list_age(&self) -> Option<Duration> {
+    pub fn runner_list_age(&self) -> Option<Duration> {
         lock(&self.listed).map(|listed| listed.elapsed())
     }
 
     /// The list of runners was complete at this moment.
-    pub(crate) fn runners_known(&self, moment: Instant) {
+    pub(crate) fn mark_runner_list_current(&self, moment: Instant) {
         *lock(&self.listed) = Some(moment);
     }
 
@@ -250,9 +256,9 @@
                 if let Change::Listed(runner) = &change {
                     self.note_cold(runner);
                 }
-                let end = fleet.ends(&change).cloned();
+                let end = fleet.exited_runner(&change).cloned();
                 if let Some(runner) = &end {
-                    self.note_down(runner);
+                    self.record_outage(runner);
                 }
                 ended.extend(end);
                 self.update_one(fleet, change, &mut services);
@@ -260,7 +266,7 @@
         }
         for runner in ended {
             lock(&self.limits).forget(&runner.id);
-            self.note_ended(&runner);
+            self.record_exit(&runner);
         }
         lock(&self.shares).retain(|service, _| !services.contains(service));
         let batchers: Vec<_> = lock(&self.batchers)
@@ -318,8 +324,8 @@
 
     /// Whether the runner takes work, or would but for a drain, just as this entry says.
     #[must_use]
-    pub(crate) fn knows(&self, runner: &Runner) -> bool {
-        self.fleet(|fleet| fleet.knows(runner)).unwrap_or(false)
+    pub(crate) fn has_entry(&self, runner: &Runner) -> bool {
+        self.fleet(|fleet| fleet.has_entry(runner)).unwrap_or(false)
     }
 
     /// Works on what is known of a service's runners.
@@ -338,21 +344,21 @@
     }
 
     /// Counts first attempts at a service: one of a request, or those of its pieces.
-    pub fn count_first(&self, service: &ServiceId, count: u32) {
+    pub fn count_first_attempts(&self, service: &ServiceId, count: u32) {
         let now = self.now();
         self.quota(service, |quota| quota.first(now, count));
     }
 
     /// Whether a second attempt may be sent to a service now; if so, it is counted.
-    pub fn may_repeat(&self, service: &ServiceId) -> bool {
+    pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
         self.quota(service, |quota| quota.repeat(now, processes))
     }
 
     /// The operator has changed the bound on second attempts.
-    pub fn bound_repeats(&self, bound: Bound) {
-        *lock(&self.repeats) = bound;
+    pub fn set_retry_bound(&self, bound: Bound) {
+        *lock(&self.retry_bound) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
             quota.rebind(now, bound);
@@ -366,7 +372,7 @@
     }
 
     fn quota<T>(&self, service: &ServiceId, work: impl FnOnce(&mut Quota) -> T) -> T {
-        let bound = *lock(&self.repeats);
+        let bound = *lock(&self.retry_bound);
         let mut quotas = lock(&self.quotas);
         let quota = quotas
             .entry(service.clone())
@@ -442,8 +448,8 @@
 
     /// How the service's runners take pieces by the configuration in force, if they do.
     #[must_use]
-    pub fn batches(&self, service: &str) -> Option<Batches> {
-        self.plan()?.batches(service)
+    pub fn batches(&self, service: &str) -> Option<BatchSettings> {
+        self.configuration()?.batches(service)
     }
 
     /// How long a caller has waited before it sent this attempt, as far as its patience tells: one
--- a/crates/relay/src/downstream.rs
+++ b/crates/relay/src/downstream.rs
@@ -1,6 +1,6 @@
 //! Calls to runners, as the product sees them; an adapter speaks the runners' protocol.
 
-use crate::plan::Rank;
+use crate::configuration::Rank;
 use crate::request::{Broken, EventId, Message, RequestId};
 use crate::runner::Runner;
 use bytes::Bytes;
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -6,10 +6,10 @@
 pub use budget::Budget;
 pub(crate) use follower::{Follower, Pace};
 
+use crate::configuration::Configuration;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::drain::Drains;
-use crate::plan::Plan;
 use crate::runner::{Change, DomainId, Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -75,7 +75,10 @@
     /// # Errors
     ///
     /// [`Unreadable`].
-    fn plan(key: &str, value: &serde_json::Value) -> Result<Option<Plan>, Unreadable>;
+    fn configuration(
+        key: &str,
+        value: &serde_json::Value,
+    ) -> Result<Option<Configuration>, Unreadable>;
 
     /// Reads a row of the table of the runners.
     ///
@@ -130,10 +133,10 @@
         relay.drain(&kept.with(&drains), follower.origin());
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
-            match S::plan(&change.key, value) {
-                Ok(Some(mut plan)) => {
-                    plan.revision = change.revision;
-                    adopt(&relay, plan, follower.origin());
+            match S::configuration(&change.key, value) {
+                Ok(Some(mut configuration)) => {
+                    configuration.revision = change.revision;
+                    adopt(&relay, configuration, follower.origin());
                 }
                 Ok(None) => {}
                 Err(error) => {
@@ -206,10 +209,12 @@
     }
 }
 
-fn adopt<D: Downstream>(relay: &Relay<D>, plan: Plan, origin: &str) {
-    let version = plan.version;
-    let before = relay.plan().map(|plan| plan.version);
-    let adopted = relay.adopt(plan);
+fn adopt<D: Downstream>(relay: &Relay<D>, configuration: Configuration, origin: &str) {
+    let version = configuration.version;
+    let before = relay
+        .configuration()
+        .map(|configuration| configuration.version);
+    let adopted = relay.adopt(configuration);
     info!(relay.log, "configuration"; "version" => version, "before" => before, "adopted" => adopted,
         "from" => origin);
 }
@@ -233,7 +238,7 @@
         }
         news.extend(deferred.over());
         relay.update(news);
-        relay.runners_known(relay.started() + follower.current());
+        relay.mark_runner_list_current(relay.started() + follower.current());
     }
 }
 
@@ -271,7 +276,7 @@
         let mut now = Vec::new();
         for change in changes {
             match &change {
-                Change::Listed(runner) if !runner.leaving && !relay.knows(runner) => {
+                Change::Listed(runner) if !runner.leaving && !relay.has_entry(runner) => {
                     self.0.insert(runner.id.clone(), (change, until));
                 }
                 _ => now.push(change),
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -100,7 +100,7 @@
         table: &'static str,
         pace: Pace,
     ) -> Self {
-        relay.pause.enroll();
+        relay.pause.add_follower();
         Self {
             pauses: relay.pause.count(),
             reader: Reader::new(pace.most),
@@ -153,7 +153,7 @@
             let withheld = self.withheld;
             let answer = tokio::select! {
                 answer = self.ask(relay, pauses) => answer,
-                () = relay.pause.beyond(pauses) => continue,
+                () = relay.pause.wait_for_pause_after(pauses) => continue,
                 () = overdue(relay, withheld) => {
                     self.read_withheld(relay);
                     continue;
@@ -162,7 +162,7 @@
             match answer {
                 Ok(changes) => {
                     relay.telemetry.table_answer(self.teller.is_some());
-                    relay.pause.heard(self.pauses, pauses);
+                    relay.pause.record_answer_after_pause(self.pauses, pauses);
                     self.pauses = pauses;
                     self.regain(relay);
                     return changes;
@@ -346,7 +346,10 @@
         let Some((revision, since)) = self.withheld.take() else {
             return;
         };
-        if relay.plan().is_some_and(|plan| plan.revision >= revision) {
+        if relay
+            .configuration()
+            .is_some_and(|configuration| configuration.revision >= revision)
+        {
             return;
         }
         warn!(relay.log, "no configuration from a peer, reading the table as a whole";
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -2,10 +2,10 @@
 
 use crate::attempt;
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled};
+use crate::configuration::Route;
 use crate::core::Relay;
 use crate::downstream::{Downstream, Handle, Source};
 use crate::peer;
-use crate::plan::Route;
 use crate::quarantine;
 use crate::runner::{DomainId, Fleet};
 use crate::serve::{Job, content_name};
@@ -194,8 +194,9 @@
         Err(held) => return (stage, cell, Err(held)),
     };
     if round == Round::First {
-        job.relay.count_first(&spec.service, job.pieces(stage));
-    } else if !job.relay.may_repeat(&spec.service) {
+        job.relay
+            .count_first_attempts(&spec.service, job.pieces(stage));
+    } else if !job.relay.try_retry(&spec.service) {
         return (stage, cell, Err(Spoiled::Failed));
     }
     let behind = job.behind(stage);
@@ -316,7 +317,9 @@
     /// Time of a call that makes the pieces of a stage, waits excluded.
     fn call_time(&self, stage: usize) -> Duration {
         let pieces = self.pieces(stage);
-        let batches = self.plan.batches(&self.route.stages[stage].service);
+        let batches = self
+            .configuration
+            .batches(&self.route.stages[stage].service);
         match batches {
             Some(batches) if pieces > 0 => batches.shape.time(pieces),
             _ => Duration::ZERO,
--- a/crates/relay/src/home.rs
+++ b/crates/relay/src/home.rs
@@ -1,7 +1,7 @@
 //! Requests that may run in some regions only.
 
+use crate::configuration::AllowedRegions;
 use crate::downstream::Downstream;
-use crate::plan::Homes;
 use crate::runner::{Fleet, Runner, RunnerId};
 use crate::serve::Job;
 use std::sync::Arc;
@@ -14,14 +14,19 @@
 
     /// Runners of its service outside those regions. Where both route and workspace name some, both
     /// bind.
-    pub(crate) fn abroad(&self) -> Vec<RunnerId> {
+    pub(crate) fn runners_outside_regions(&self) -> Vec<RunnerId> {
         if !self.is_confined() {
             return Vec::new();
         }
-        let abroad = |runner: &&Arc<Runner>| !self.is_home(runner);
+        let runners_outside_regions = |runner: &&Arc<Runner>| !self.is_home(runner);
         let ids = |fleet: &Fleet| {
-            let abroad = fleet.of(&self.service).iter().filter(abroad);
-            abroad.map(|runner| runner.id.clone()).collect()
+            let runners_outside_regions = fleet
+                .of(&self.service)
+                .iter()
+                .filter(runners_outside_regions);
+            runners_outside_regions
+                .map(|runner| runner.id.clone())
+                .collect()
         };
         self.relay.fleet(ids).unwrap_or_default()
     }
@@ -32,7 +37,7 @@
         region.is_some_and(|region| self.homes().all(|homes| homes.contains(region)))
     }
 
-    fn homes(&self) -> impl Iterator<Item = &Homes> {
+    fn homes(&self) -> impl Iterator<Item = &AllowedRegions> {
         let workspace = self.workspace.as_deref();
         let of_workspace = workspace.map(|workspace| &workspace.homes);
         let all = [Some(&self.route.homes), of_workspace]
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! Serves requests whose bodies it does not read: routes them to runners that have no agent, runs
 //! the stages before them and passes answers and streams through.
 //!
-//! * [`plan`]: the configuration in force; [`runner`]: the runners that take new work
+//! * [`configuration`]: the configuration in force; [`runner`]: the runners that take new work
 //! * [`request`]: requests, answers and refusals
 //! * [`downstream`]: calls to runners, as an adapter carries them out
 //! * [`drain`]: failure domains whose runners get no new work
@@ -23,6 +23,7 @@
 
 pub mod attempt;
 pub mod batch;
+pub mod configuration;
 pub mod core;
 pub mod downstream;
 pub mod drain;
@@ -36,7 +37,6 @@
 mod outage;
 pub mod pause;
 pub mod peer;
-pub mod plan;
 pub mod quarantine;
 pub mod request;
 pub mod runner;
@@ -45,8 +45,8 @@
 pub mod telemetry;
 pub mod warmup;
 
+pub use configuration::Configuration;
 pub use core::{Options, Relay};
 pub use downstream::Downstream;
-pub use plan::Plan;
 pub use request::{Answer, Body, Request};
 pub use runner::Runner;
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -4,10 +4,10 @@
 //! two requests ([`decide::share`]). Those that may not would never hear from it that it asks for
 //! nothing any more, so relays tell one another.
 
+use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Failure, NotRun, Reply};
 use crate::member::Members;
-use crate::plan::ServiceId;
 use crate::runner::{Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -26,7 +26,7 @@
 
 /// What relays tell one another of a runner's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct LimitNotice {
     /// The runner.
     pub runner: RunnerId,
     /// Mean time between the requests of all processes together; none if it asks for nothing any more.
@@ -104,7 +104,7 @@
     }
 
     /// What a new peer is told, ends of limits included.
-    fn notices(&self) -> Vec<Notice> {
+    fn notices(&self) -> Vec<LimitNotice> {
         let limits = self.known.iter();
         limits.map(|(id, limit)| limit.notice(id)).collect()
     }
@@ -124,8 +124,8 @@
         self.spacing.is_some() && self.observed.elapsed() < TTL
     }
 
-    fn notice(&self, id: &RunnerId) -> Notice {
-        Notice {
+    fn notice(&self, id: &RunnerId) -> LimitNotice {
+        LimitNotice {
             runner: id.clone(),
             spacing: self.spacing,
             ago: self.observed.elapsed(),
@@ -169,7 +169,7 @@
     }
 
     /// Takes in what another process tells of a runner's limit.
-    pub(crate) fn merge_notice(&self, notice: &Notice, origin: &str) {
+    pub(crate) fn merge_notice(&self, notice: &LimitNotice, origin: &str) {
         let observed = Instant::now().checked_sub(notice.ago);
         self.merge_limit(
             &notice.runner,
@@ -202,7 +202,7 @@
     }
 
     /// The limits that a new peer is told.
-    pub(crate) fn limit_notices(&self) -> Vec<Notice> {
+    pub(crate) fn limit_notices(&self) -> Vec<LimitNotice> {
         lock(&self.limits).notices()
     }
 
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -390,12 +390,12 @@
         let mut changes = follower.next(&relay).await;
         if follower.restored {
             relay.peers.rewrite.notify_one();
-            quarantine::write_again(&relay);
+            quarantine::rewrite_rows(&relay);
         }
         changes
             .rows
-            .retain(|change| !quarantine::take(&relay, change));
-        quarantine::forget_old(&relay);
+            .retain(|change| !quarantine::apply_row(&relay, change));
+        quarantine::expire(&relay);
         relay.peers.members(|members| {
             if follower.restored {
                 // The copy may have an earlier start of a process; it writes its row again.
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -15,9 +15,9 @@
 ///
 /// ```
 /// use bytes::Bytes;
-/// use relay::memory::Memory;
+/// use relay::memory::MemoryBudget;
 ///
-/// let memory = Memory::new(10);
+/// let memory = MemoryBudget::new(10);
 /// let reserved = memory.try_reserve(8).unwrap();
 /// let body = reserved.attach(Bytes::from_static(b"12345678"));
 /// assert!(memory.try_reserve(3).is_none());
@@ -25,19 +25,19 @@
 /// assert!(memory.try_reserve(3).is_some());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct MemoryBudget {
     free: Arc<Semaphore>,
     limit: u32,
 }
 
 /// Bytes that are counted as held until this is dropped.
 #[derive(Debug)]
-pub struct Reserved(Option<OwnedSemaphorePermit>);
+pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
 /// Bytes of a body with the memory that is counted for them.
 struct Held {
     bytes: Bytes,
-    _reserved: Reserved,
+    _reserved: MemoryReservation,
 }
 
 impl AsRef<[u8]> for Held {
@@ -46,7 +46,7 @@
     }
 }
 
-impl Memory {
+impl MemoryBudget {
     /// Memory of this many bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
@@ -59,16 +59,16 @@
 
     /// Counts bytes as held, if there is room for them.
     #[must_use]
-    pub fn try_reserve(&self, bytes: usize) -> Option<Reserved> {
+    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let permit = self.free.clone().try_acquire_many_owned(self.count(bytes));
-        permit.ok().map(|permit| Reserved(Some(permit)))
+        permit.ok().map(|permit| MemoryReservation(Some(permit)))
     }
 
     /// Waits for room and counts bytes as held. More than there ever is room for counts as all of it.
-    pub async fn reserve(&self, bytes: usize) -> Reserved {
+    pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         let permit = self.free.clone().acquire_many_owned(self.count(bytes));
         // The semaphore is never closed.
-        Reserved(permit.await.ok())
+        MemoryReservation(permit.await.ok())
     }
 
     /// Reads a body whole, as far as there is room for it.
@@ -81,7 +81,7 @@
         mut body: impl Stream<Item = Result<Bytes, E>> + Unpin,
     ) -> Result<Bytes, E> {
         let mut whole = BytesMut::new();
-        let mut reserved = Reserved::none();
+        let mut reserved = MemoryReservation::none();
         while let Some(part) = body.next().await {
             let part = part?;
             reserved.add(self.reserve(part.len()).await);
@@ -95,7 +95,7 @@
     }
 }
 
-impl Reserved {
+impl MemoryReservation {
     /// Nothing yet.
     #[must_use]
     pub fn none() -> Self {
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -5,10 +5,10 @@
 //! service, its requests run out of tries beside runners that live. So a runner at whose address
 //! nothing listens gets no work until something does.
 
+use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
-use crate::plan::ServiceId;
-use crate::quarantine::{Start, Suspicion, start};
+use crate::quarantine::{RunnerInstance, Suspicion, instance};
 use crate::runner::{Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -31,27 +31,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outages {
     /// Runners that are being looked for.
-    probed: BTreeSet<Start>,
+    probed: BTreeSet<RunnerInstance>,
     /// Runners at whose addresses nothing listens, though they are listed.
-    absent: Map<ServiceId, Vec<Start>>,
+    absent: Map<ServiceId, Vec<RunnerInstance>>,
     /// Ends of runners that no other one has made up for, the oldest first.
-    ended: Map<ServiceId, VecDeque<(Start, Instant)>>,
+    ended: Map<ServiceId, VecDeque<(RunnerInstance, Instant)>>,
 }
 
 impl Outages {
     fn note_ended(&mut self, runner: &Runner, now: Instant) {
         let ended = self.ended.entry(runner.service.clone()).or_default();
-        let start = start(runner);
-        if ended.iter().all(|(known, _)| *known != start) {
-            ended.push_back((start, now));
+        let instance = instance(runner);
+        if ended.iter().all(|(known, _)| *known != instance) {
+            ended.push_back((instance, now));
         }
     }
 
     /// Something listens at the runner's address again.
     fn note_back(&mut self, runner: &Runner) {
         if let Some(ended) = self.ended.get_mut(&runner.service) {
-            let start = start(runner);
-            ended.retain(|(known, _)| *known != start);
+            let instance = instance(runner);
+            ended.retain(|(known, _)| *known != instance);
         }
     }
 
@@ -67,14 +67,14 @@
 
     fn set_absent(&mut self, runner: &Runner, absent: bool) {
         let known = self.absent.entry(runner.service.clone()).or_default();
-        let start = start(runner);
-        known.retain(|known| *known != start);
+        let instance = instance(runner);
+        known.retain(|known| *known != instance);
         if absent {
-            known.push(start);
+            known.push(instance);
         }
     }
 
-    fn absent(&self, service: &ServiceId) -> &[Start] {
+    fn absent(&self, service: &ServiceId) -> &[RunnerInstance] {
         self.absent.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -102,7 +102,7 @@
     /// Whether nothing listens at a runner's address, as far as this process knows.
     pub(crate) fn is_absent(&self, runner: &Runner) -> bool {
         let outages = lock(&self.outages);
-        outages.absent(&runner.service).contains(&start(runner))
+        outages.absent(&runner.service).contains(&instance(runner))
     }
 
     /// The runners of a service, as far as this process knows.
@@ -120,7 +120,7 @@
     }
 
     /// A runner has ended without a word, by the list or by what was found at its address.
-    pub(crate) fn note_down(&self, runner: &Runner) {
+    pub(crate) fn record_outage(&self, runner: &Runner) {
         lock(&self.outages).note_ended(runner, Instant::now());
     }
 }
@@ -128,7 +128,7 @@
 /// Looks whether a runner has ended that has just lost an answer or could not be reached; if so, it
 /// gets no work until it is back.
 pub(crate) async fn probe<D: Downstream>(relay: &Arc<Relay<D>>, runner: &Arc<Runner>) {
-    let probed = start(runner);
+    let probed = instance(runner);
     if !lock(&relay.outages).probed.insert(probed.clone()) {
         return;
     }
@@ -137,10 +137,10 @@
         return;
     }
     info!(relay.log, "runner absent"; "runner" => &*runner.id, "service" => &*runner.service,
-        "address" => runner.address.to_string(), "runners_age_ms" => relay.list_age().map(millis));
+        "address" => runner.address.to_string(), "runners_age_ms" => relay.runner_list_age().map(millis));
     lock(&relay.outages).set_absent(runner, true);
-    relay.note_down(runner);
-    relay.note_ended(runner);
+    relay.record_outage(runner);
+    relay.record_exit(runner);
     let (relay, runner) = (relay.clone(), runner.clone());
     tokio::spawn(async move {
         let back = await_return(&relay, &runner).await;
@@ -166,7 +166,7 @@
     let _ = timeout(PROBE, probing).await;
     if relay.is_absent(runner) {
         // Found by another loss there, maybe before this one was noted.
-        relay.note_ended(runner);
+        relay.record_exit(runner);
     }
 }
 
@@ -190,7 +190,7 @@
 async fn await_return<D: Downstream>(relay: &Relay<D>, runner: &Runner) -> bool {
     loop {
         sleep(LOOK).await;
-        if !relay.knows(runner) {
+        if !relay.has_entry(runner) {
             return false;
         }
         if !relay.downstream.has_ended(runner).await {
--- a/crates/relay/src/pause.rs
+++ b/crates/relay/src/pause.rs
@@ -23,10 +23,10 @@
 /// # Examples
 ///
 /// ```
-/// assert!(relay::pause::since_start() <= relay::pause::since_start());
+/// assert!(relay::pause::time_since_boot() <= relay::pause::time_since_boot());
 /// ```
 #[must_use]
-pub fn since_start() -> Duration {
+pub fn time_since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::try_from(time).unwrap_or_default()
 }
@@ -45,16 +45,16 @@
 /// The clocks at the last look, and what the pauses so far have cost.
 #[derive(Debug)]
 struct Reading {
-    since_start: Duration,
+    time_since_boot: Duration,
     steady: Instant,
     /// Time that the steady clock has not counted.
-    uncounted: Duration,
+    suspended: Duration,
     woken: Instant,
 }
 
 /// Pauses of this process.
 #[derive(Debug)]
-pub struct Pause {
+pub struct PauseDetector {
     clock: Clock,
     last: Mutex<Reading>,
     /// Pauses noticed so far.
@@ -70,13 +70,13 @@
     behind: usize,
 }
 
-impl Pause {
+impl PauseDetector {
     pub(crate) fn new(clock: Clock) -> Self {
         let now = Instant::now();
         let last = Reading {
-            since_start: clock(),
+            time_since_boot: clock(),
             steady: now,
-            uncounted: Duration::ZERO,
+            suspended: Duration::ZERO,
             woken: now,
         };
         Self {
@@ -88,22 +88,22 @@
     }
 
     /// Time that the steady clock has not counted so far.
-    pub(crate) fn uncounted(&self) -> Duration {
-        lock(&self.last).uncounted
+    pub(crate) fn suspended(&self) -> Duration {
+        lock(&self.last).suspended
     }
 
     /// Looks at the clocks; the length of the pause if there was one since the last look.
-    fn look(&self) -> Option<Duration> {
+    fn check_for_pause(&self) -> Option<Duration> {
         let mut last = lock(&self.last);
-        let (since_start, steady) = ((self.clock)(), Instant::now());
-        let passed = since_start.saturating_sub(last.since_start);
-        let uncounted = passed.saturating_sub(steady.saturating_duration_since(last.steady));
-        (last.since_start, last.steady) = (since_start, steady);
-        let suspended = uncounted > SKEW;
-        if suspended {
-            last.uncounted += uncounted;
+        let (time_since_boot, steady) = ((self.clock)(), Instant::now());
+        let passed = time_since_boot.saturating_sub(last.time_since_boot);
+        let missed = passed.saturating_sub(steady.saturating_duration_since(last.steady));
+        (last.time_since_boot, last.steady) = (time_since_boot, steady);
+        let was_suspended = missed > SKEW;
+        if was_suspended {
+            last.suspended += missed;
         }
-        if !suspended && passed <= TICK + LATE {
+        if !was_suspended && passed <= TICK + LATE {
             return None;
         }
         last.woken = steady;
@@ -121,7 +121,7 @@
     }
 
     /// One more task follows a table.
-    pub(crate) fn enroll(&self) {
+    pub(crate) fn add_follower(&self) {
         self.followers.send_modify(|followers| followers.all += 1);
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Waits for a pause beyond those counted.
-    pub(crate) async fn beyond(&self, counted: u64) {
+    pub(crate) async fn wait_for_pause_after(&self, counted: u64) {
         let mut count = self.count.subscribe();
         // The sender lives as long as the one who waits.
         let _ = count.wait_for(|count| *count > counted).await;
@@ -139,7 +139,7 @@
 
     /// A follower has heard the answer to a question that it asked after `counted` pauses; the one
     /// before it was asked after `before`.
-    pub(crate) fn heard(&self, before: u64, counted: u64) {
+    pub(crate) fn record_answer_after_pause(&self, before: u64, counted: u64) {
         if before < counted && counted == self.count() {
             self.followers.send_modify(|followers| {
                 followers.behind = followers.behind.saturating_sub(1);
@@ -150,24 +150,24 @@
 
 impl<D: Downstream> Relay<D> {
     /// Looks whether the process has paused.
-    pub(crate) fn look(&self) {
-        if let Some(pause) = self.pause.look() {
+    pub(crate) fn check_for_pause(&self) {
+        if let Some(pause) = self.pause.check_for_pause() {
             warn!(self.log, "paused, asking for news"; "paused_ms" => millis(pause),
-                "runners_age_ms" => self.list_age().map(millis));
+                "runners_age_ms" => self.runner_list_age().map(millis));
             self.peers.members(|members| members.roster.forget());
         }
     }
 
     /// Whether what is known is from after the last pause, or cannot be had.
     #[must_use]
-    pub fn caught_up(&self) -> bool {
-        self.look();
+    pub fn is_caught_up(&self) -> bool {
+        self.check_for_pause();
         self.pause.wait().is_none()
     }
 
     /// Waits until that is so.
     pub(crate) async fn catch_up(&self) {
-        self.look();
+        self.check_for_pause();
         let Some(until) = self.pause.wait() else {
             return;
         };
@@ -175,7 +175,7 @@
         let news = followers.wait_for(|followers| followers.behind == 0);
         if timeout_at(until, news).await.is_err() {
             warn!(self.log, "no news since the pause, serving by what was known";
-                "runners_age_ms" => self.list_age().map(millis));
+                "runners_age_ms" => self.runner_list_age().map(millis));
         }
     }
 }
@@ -184,6 +184,6 @@
 pub async fn watch<D: Downstream>(relay: Arc<Relay<D>>) {
     loop {
         sleep(TICK).await;
-        relay.look();
+        relay.check_for_pause();
     }
 }
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -16,12 +16,12 @@
 pub use transfer::Part;
 
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
+use crate::configuration::{Rank, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle};
 use crate::drain::Drains;
-use crate::limit::Notice;
+use crate::limit::LimitNotice;
 use crate::member::{Member, MemberId, Members};
-use crate::plan::{Rank, Version};
 use crate::quarantine::Suspicion;
 use decide::Map;
 use slog::{info, warn};
@@ -240,7 +240,7 @@
     }
 
     /// Tells all linked processes of a runner's limit.
-    pub(crate) fn announce_limit(&self, notice: &Notice) {
+    pub(crate) fn announce_limit(&self, notice: &LimitNotice) {
         self.broadcast(&Frame::Limit(notice.clone()));
     }
 
@@ -436,7 +436,7 @@
                 info!(relay.log, "peer lost with an order"; "peer" => &*owner.id,
                     "request" => &*order.id, "stage" => order.stage);
                 relay.peers.members(|members| members.suspect(&owner));
-                if !relay.may_repeat(&cell.service) {
+                if !relay.try_retry(&cell.service) {
                     return Err(Spoiled::Failed);
                 }
             }
--- a/crates/relay/src/peer/board.rs
+++ b/crates/relay/src/peer/board.rs
@@ -5,10 +5,10 @@
 //! One process for each service adds up what all tell it, and tells each what the others have.
 
 use super::talk::Frame;
+use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::MemberId;
-use crate::plan::ServiceId;
 use crate::runner::RunnerId;
 use decide::Map;
 use decide::route::Burden;
--- a/crates/relay/src/peer/overlay.rs
+++ b/crates/relay/src/peer/overlay.rs
@@ -7,10 +7,10 @@
 
 use super::Line;
 use super::talk::{self, Frame};
+use crate::configuration::Version;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::{Member, MemberId};
-use crate::plan::Version;
 use decide::Map;
 use foldhash::fast::FixedState;
 use futures::future::join_all;
@@ -28,7 +28,7 @@
 /// Time for which another process is chosen in place of one that was not reached.
 const UNREACHED: Duration = Duration::from_secs(2);
 /// Time after which a link on which a beat was not answered is given up.
-pub(super) const SILENCE: Duration = Duration::from_secs(3);
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What a process knows, in brief.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,9 @@
             suspects: relay.suspicions_digest(),
             limits: relay.limits_digest(),
             drains: FixedState::default().hash_one(relay.drains().domains),
-            version: relay.plan().map(|plan| plan.version),
+            version: relay
+                .configuration()
+                .map(|configuration| configuration.version),
         }
     }
 }
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/talk.rs
@@ -4,13 +4,13 @@
 use super::transfer::Part;
 use super::{Burdens, Line, News, board, transfer};
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
+use crate::configuration::{Rank, ServiceId, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
 use crate::drain::Drains;
-use crate::limit::Notice;
+use crate::limit::LimitNotice;
 use crate::member::MemberId;
 use crate::outage;
-use crate::plan::{Rank, ServiceId, Version};
 use crate::quarantine::Suspicion;
 use crate::request::{ContentId, RequestId};
 use crate::runner::DomainId;
@@ -25,7 +25,7 @@
 /// Silence after which a link with orders on it is given up. The other end tells its load every
 /// [`super::serving::LOAD_EVERY`] as long as orders wait; waiting much longer for a process that is
 /// frozen would cost the requests their aim.
-const SILENCE: Duration = Duration::from_millis(900);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two looks at the silence of a link.
 const LOOK: Duration = Duration::from_millis(300);
 /// Time that the table service is given to tell a process that reads it of a configuration which a peer has
@@ -126,7 +126,7 @@
         answers: bool,
     },
     /// What a runner asks for in its answers.
-    Limit(Notice),
+    Limit(LimitNotice),
     /// The sender stops, and takes no more orders until it starts anew.
     Leaving {
         /// Its name.
@@ -233,9 +233,9 @@
         // Those that do not fit into the queue are announced after the next beat.
         let _ = sender.try_send(&Frame::Suspicion(suspicion));
     }
-    if let Some(plan) = relay.plan() {
+    if let Some(configuration) = relay.configuration() {
         // A link that is gone already shows when it is read.
-        let _ = sender.try_send(&Frame::Version(plan.version));
+        let _ = sender.try_send(&Frame::Version(configuration.version));
     }
 }
 
@@ -287,8 +287,8 @@
         let silent = pending.received.elapsed();
         let unanswered = pending
             .beaten
-            .is_some_and(|at| at.elapsed() > overlay::SILENCE);
-        !pending.waiting.is_empty() && silent > SILENCE || unanswered
+            .is_some_and(|at| at.elapsed() > overlay::SILENCE_TIMEOUT);
+        !pending.waiting.is_empty() && silent > SILENCE_TIMEOUT || unanswered
     }
 }
 
@@ -316,7 +316,11 @@
 /// Processes that do not read the tables themselves learn of a new configuration, and of keys that were taken
 /// away, from their peers alone; so do those that the table service turns away.
 fn compare_version<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, version: Version) {
-    let behind = move |relay: &Relay<D>| relay.plan().is_none_or(|plan| plan.version < version);
+    let behind = move |relay: &Relay<D>| {
+        relay
+            .configuration()
+            .is_none_or(|configuration| configuration.version < version)
+    };
     if !behind(relay) {
         return;
     }
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -1,9 +1,9 @@
 //! Configurations that processes fetch from one another, in parts.
 
 use super::talk::Frame;
+use crate::configuration::{Configuration, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
-use crate::plan::{Plan, Version};
 use crate::telemetry::millis;
 use bytes::{Bytes, BytesMut};
 use flate2::Compression;
@@ -83,15 +83,15 @@
         }
     }
 
-    fn encode(plan: &Plan) -> Result<Self, Unreadable> {
-        let encoded = postcard::to_stdvec(plan).context(EncodedSnafu)?;
+    fn encode(configuration: &Configuration) -> Result<Self, Unreadable> {
+        let encoded = postcard::to_stdvec(configuration).context(EncodedSnafu)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&encoded).context(CompressedSnafu)?;
         let bytes = encoder.finish().context(CompressedSnafu)?;
-        Ok(Self::new(plan.version, bytes.into()))
+        Ok(Self::new(configuration.version, bytes.into()))
     }
 
-    fn decode(&self) -> Result<Plan, Unreadable> {
+    fn decode(&self) -> Result<Configuration, Unreadable> {
         let mut encoded = Vec::new();
         let decoder = DeflateDecoder::new(&self.bytes[..]);
         let mut bounded = decoder.take(MAX_BYTES);
@@ -161,16 +161,16 @@
     }
 
     /// The image of a version, or of the one in force where that is not kept.
-    fn image(&self, version: Version, plan: &Plan) -> Result<Image, Unreadable> {
+    fn image(&self, version: Version, configuration: &Configuration) -> Result<Image, Unreadable> {
         let kept = |version: Version| {
             let images = lock(&self.images);
             let image = images.iter().find(|image| image.version == version);
             image.cloned()
         };
-        if let Some(image) = kept(version).or_else(|| kept(plan.version)) {
+        if let Some(image) = kept(version).or_else(|| kept(configuration.version)) {
             return Ok(image);
         }
-        let image = Image::encode(plan)?;
+        let image = Image::encode(configuration)?;
         self.keep(image.clone());
         Ok(image)
     }
@@ -205,14 +205,16 @@
     version: Version,
     offset: u64,
 ) {
-    let Some(plan) = relay.plan() else { return };
-    match relay.peers.transfer.image(version, &plan) {
+    let Some(configuration) = relay.configuration() else {
+        return;
+    };
+    match relay.peers.transfer.image(version, &configuration) {
         Ok(image) => {
             // One whose queue is full asks another process.
             let _ = sender.try_send(&Frame::Part(image.part(offset)));
         }
         Err(error) => {
-            warn!(relay.log, "configuration not encoded for a peer"; "version" => plan.version,
+            warn!(relay.log, "configuration not encoded for a peer"; "version" => configuration.version,
             "error" => %error);
         }
     }
@@ -255,8 +257,8 @@
     took: Duration,
 ) {
     let (version, bytes) = (image.version, image.bytes.len());
-    let plan = match image.decode() {
-        Ok(plan) => plan,
+    let configuration = match image.decode() {
+        Ok(configuration) => configuration,
         Err(error) => {
             warn!(relay.log, "configuration from a peer unreadable"; "version" => version,
                 "error" => %error);
@@ -265,8 +267,10 @@
         }
     };
     relay.peers.transfer.keep(image);
-    let before = relay.plan().map(|plan| plan.version);
-    let adopted = relay.adopt(plan);
+    let before = relay
+        .configuration()
+        .map(|configuration| configuration.version);
+    let adopted = relay.adopt(configuration);
     relay.telemetry.configuration_copy(adopted);
     info!(relay.log, "configuration from a peer"; "version" => version, "before" => before,
         "adopted" => adopted, "bytes" => bytes, "took_ms" => millis(took));
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -6,7 +6,7 @@
 
 mod silence;
 
-pub(crate) use silence::SILENCE;
+pub(crate) use silence::SILENCE_TIMEOUT;
 
 use crate::batch::Spoiled;
 use crate::core::{Relay, lock};
@@ -28,9 +28,9 @@
 use tokio::time::{Instant, sleep};
 
 /// One start of a runner: its name, and when it started.
-pub type Start = (RunnerId, Option<u64>);
+pub type RunnerInstance = (RunnerId, Option<u64>);
 /// What processes tell one another of a suspect.
-pub type Suspicion = Report<Start>;
+pub type Suspicion = Report<RunnerInstance>;
 
 /// Beginning of the keys of rows about requests that are held back.
 const PREFIX: &str = "quarantine/";
@@ -44,7 +44,7 @@
 /// What this process knows of such requests, and what of it is still to be written.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    known: Mutex<Quarantine<Start>>,
+    known: Mutex<Quarantine<RunnerInstance>>,
     /// Requests whose rows are out of date.
     unwritten: Mutex<BTreeSet<ContentId>>,
     changed: Notify,
@@ -64,7 +64,7 @@
     crashes: u32,
 }
 
-pub(crate) fn start(runner: &Runner) -> Start {
+pub(crate) fn instance(runner: &Runner) -> RunnerInstance {
     (runner.id.clone(), runner.started)
 }
 
@@ -72,7 +72,7 @@
     /// The answer to a request was lost that had been sent to a runner at a moment.
     ///
     /// `isolated` tells whether the runner was sent nothing but such requests under which others had ended.
-    pub(crate) fn note_lost(
+    pub(crate) fn record_lost_answer(
         &self,
         content: ContentId,
         runner: &Runner,
@@ -82,16 +82,16 @@
         let (sent, now) = (self.at(sent), self.now());
         let mut known = lock(&self.quarantine.known);
         if isolated {
-            known.lost_isolated(content, start(runner), sent, now);
+            known.lost_isolated(content, instance(runner), sent, now);
         } else {
-            known.lost(content, start(runner), sent, now);
+            known.lost(content, instance(runner), sent, now);
         }
     }
 
     /// A runner has ended without a word.
-    pub(crate) fn note_ended(&self, runner: &Runner) {
+    pub(crate) fn record_exit(&self, runner: &Runner) {
         let now = self.now();
-        let reports = lock(&self.quarantine.known).ended(&start(runner), now);
+        let reports = lock(&self.quarantine.known).ended(&instance(runner), now);
         for report in reports {
             info!(self.log, "runner ended under a request"; "runner" => &*runner.id,
                 "content" => content_name(report.content), "crashes" => report.count);
@@ -109,14 +109,14 @@
     }
 
     /// A runner has answered a request as it should.
-    pub(crate) fn note_served(self: &Arc<Self>, content: ContentId, runner: &Runner) {
+    pub(crate) fn record_answer(self: &Arc<Self>, content: ContentId, runner: &Runner) {
         let merged = {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&start(runner), self.now());
+            known.observed(&instance(runner), self.now());
             if known.is_idle() {
                 return;
             }
-            known.answered(content, &start(runner), self.now())
+            known.answered(content, &instance(runner), self.now())
         };
         if let Merge::New { was_held: true, .. } = merged {
             self.quarantine.rewrite(content);
@@ -125,17 +125,17 @@
     }
 
     /// A runner of a stage has answered a call, after which all is made of what these orders asked for.
-    pub(crate) fn note_made(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
+    pub(crate) fn record_batch_answer(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
         {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&start(runner), self.now());
+            known.observed(&instance(runner), self.now());
             if known.is_idle() {
                 return;
             }
-            known.lives(&start(runner));
+            known.lives(&instance(runner));
         }
         for content in complete {
-            self.note_served(content, runner);
+            self.record_answer(content, runner);
         }
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Reads what is known of such requests.
-    pub(crate) fn suspects<T>(&self, read: impl FnOnce(&Quarantine<Start>) -> T) -> T {
+    pub(crate) fn suspects<T>(&self, read: impl FnOnce(&Quarantine<RunnerInstance>) -> T) -> T {
         read(&lock(&self.quarantine.known))
     }
 
@@ -198,7 +198,7 @@
 
     /// Whether a request is held back here.
     #[must_use]
-    pub fn holds_back(&self, content: ContentId) -> bool {
+    pub fn is_quarantined(&self, content: ContentId) -> bool {
         lock(&self.quarantine.known).is_held(content)
     }
 
@@ -318,7 +318,7 @@
         };
         info!(job.relay.log, "suspect waited for runners"; "request" => &*job.request.id,
             "content" => content_name(job.content), "crashes" => crashes, "up" => standing.up,
-            "down" => standing.down, "runners_age_ms" => job.relay.list_age().map(millis),
+            "down" => standing.down, "runners_age_ms" => job.relay.runner_list_age().map(millis),
             "waited_ms" => millis(waited), "outcome" => outcome);
         return match may_run {
             true => Ok(()),
@@ -336,7 +336,7 @@
 /// # Errors
 ///
 /// [`Refusal::Poison`] if it is held back, also if too few runners are left to risk one.
-pub(crate) async fn begin<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
+pub(crate) async fn admit_attempt<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     if job.relay.options.policy.suspects == Policy::Shipped {
         await_runners(job).await?;
     }
@@ -353,7 +353,7 @@
 }
 
 /// Takes in a row of the table of the processes, if it is about a request that is held back.
-pub(crate) fn take<D: Downstream>(relay: &Arc<Relay<D>>, change: &store::Change) -> bool {
+pub(crate) fn apply_row<D: Downstream>(relay: &Arc<Relay<D>>, change: &store::Change) -> bool {
     let Some(name) = change.key.strip_prefix(PREFIX) else {
         return false;
     };
@@ -376,7 +376,7 @@
 }
 
 /// Forgets suspects that nobody has asked for in a long time.
-pub(crate) fn forget_old<D: Downstream>(relay: &Relay<D>) {
+pub(crate) fn expire<D: Downstream>(relay: &Relay<D>) {
     let forgotten = lock(&relay.quarantine.known).forget_old(relay.now());
     for content in forgotten {
         info!(relay.log, "poison request forgotten"; "content" => content_name(content));
@@ -387,7 +387,7 @@
 }
 
 /// Has the rows written again that a table service lacks which came back from an older copy.
-pub(crate) fn write_again<D: Downstream>(relay: &Relay<D>) {
+pub(crate) fn rewrite_rows<D: Downstream>(relay: &Relay<D>) {
     let suspicions = relay.suspicions().into_iter();
     let held = suspicions.filter(Report::is_held);
     for suspicion in held.filter(|suspicion| relay.order(suspicion.content) == 0) {
@@ -396,7 +396,7 @@
 }
 
 /// Keeps the rows of requests that are held back until the task is dropped.
-pub async fn keep<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
+pub async fn write_rows<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
     loop {
         let next = lock(&relay.quarantine.unwritten).pop_first();
         let Some(content) = next else {
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -1,6 +1,6 @@
 //! Runners from which nothing comes while they hold a request.
 
-use super::{Start, Suspicion, is_announced, key, start};
+use super::{RunnerInstance, Suspicion, instance, is_announced, key};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::request::ContentId;
@@ -15,15 +15,15 @@
 
 /// Time for which a request waits for a runner until the runner is taken for silent, if nothing comes from
 /// it for anybody.
-pub(crate) const SILENCE: Duration = Duration::from_secs(1);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same, at least, where the request's own time is over or its caller has left.
 const SILENCE_LEAST: Duration = Duration::from_millis(100);
 
 impl<D: Downstream> Relay<D> {
     /// Something has come from a runner, whatever for.
-    pub(crate) fn note_sign(&self, runner: &Runner, moment: Instant) {
+    pub(crate) fn record_activity(&self, runner: &Runner, moment: Instant) {
         let at = self.at(moment);
-        lock(&self.quarantine.known).observed(&start(runner), at);
+        lock(&self.quarantine.known).observed(&instance(runner), at);
     }
 
     /// Asks runners that are taken for silent under one request whether they live: a runner may be slow for
@@ -38,20 +38,20 @@
                 if relay.downstream.answers(&runner).await {
                     info!(relay.log, "runner not silent"; "runner" => &*runner.id,
                         "after_ms" => millis(asked.elapsed()));
-                    relay.note_sign(&runner, Instant::now());
+                    relay.record_activity(&runner, Instant::now());
                 }
             });
         }
     }
 
     /// A request is sent to a runner.
-    pub(crate) fn note_begun(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).begin(content, start(runner));
+    pub(crate) fn record_sent(&self, content: ContentId, runner: &Runner) {
+        lock(&self.quarantine.known).begin(content, instance(runner));
     }
 
     /// A request is in progress at a runner no more.
-    pub(crate) fn note_over(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).over(content, &start(runner));
+    pub(crate) fn record_finished(&self, content: ContentId, runner: &Runner) {
+        lock(&self.quarantine.known).over(content, &instance(runner));
     }
 
     /// A request that was sent to a runner at a moment has waited for so long that the runner is silent if
@@ -59,7 +59,7 @@
     ///
     /// Announced to all processes once several runners are silent; before that to the one that adds them
     /// up, since each attempt of a caller may reach another process.
-    pub(crate) fn note_waited(
+    pub(crate) fn record_overdue(
         self: &Arc<Self>,
         content: ContentId,
         runner: &Runner,
@@ -71,7 +71,7 @@
         let (sent, now) = (self.at(sent), self.now());
         let report = {
             let mut known = lock(&self.quarantine.known);
-            known.waited(content, &start(runner), sent, now)
+            known.waited(content, &instance(runner), sent, now)
         };
         let Some(report) = report else { return };
         info!(self.log, "runner silent under a request"; "runner" => &*runner.id,
@@ -93,7 +93,7 @@
     pub(crate) fn silent(&self, service: &str) -> BTreeSet<RunnerId> {
         let known = lock(&self.quarantine.known);
         let silent = known.silent_runners(self.now());
-        let listed = |(id, started): &&Start| {
+        let listed = |(id, started): &&RunnerInstance| {
             let runner = self.runner(id);
             runner.is_some_and(|runner| *runner.service == *service && runner.started == *started)
         };
--- a/crates/relay/src/runner.rs
+++ b/crates/relay/src/runner.rs
@@ -1,6 +1,6 @@
 //! Runners that the platform lists, and which of them get new work.
 
-use crate::plan::ServiceId;
+use crate::configuration::ServiceId;
 use decide::Map;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     /// The runner that a change says has ended without a word: its entry is gone, or tells of a later
     /// start. One that leaves says so first, or loses its entry while it goes on to serve.
     #[must_use]
-    pub fn ends(&self, change: &Change) -> Option<&Arc<Runner>> {
+    pub fn exited_runner(&self, change: &Change) -> Option<&Arc<Runner>> {
         match change {
             Change::Gone(id) => self.get(id),
             Change::Listed(now) => {
@@ -112,7 +112,7 @@
 
     /// Whether an entry tells what is known of a runner that takes new work, or is parked.
     #[must_use]
-    pub fn knows(&self, runner: &Runner) -> bool {
+    pub fn has_entry(&self, runner: &Runner) -> bool {
         let working = self.runners.get(&runner.id).map(|known| &**known);
         let known = working.or_else(|| self.parked.get(&runner.id));
         known.is_some_and(|known| known.is_same(runner))
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -2,10 +2,10 @@
 
 use crate::attempt;
 use crate::batch::Spoiled;
+use crate::configuration::{Configuration, Kind, Rank, Route, ServiceId, Workspace};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::graph::{self, Inputs, Round};
-use crate::plan::{Kind, Plan, Rank, Route, ServiceId, Workspace};
 use crate::quarantine;
 use crate::request::{self, Answer, ContentId, Refusal, Request};
 use crate::telemetry::millis;
@@ -31,7 +31,7 @@
     /// The request.
     pub request: Arc<Request>,
     /// The configuration that was in force when it arrived.
-    pub plan: Arc<Plan>,
+    pub configuration: Arc<Configuration>,
     /// Its route.
     pub route: Arc<Route>,
     /// Service that runs it.
@@ -49,7 +49,7 @@
     /// When it is given up.
     pub deadline: Instant,
     /// Time that the steady clock had not counted when it arrived.
-    pub uncounted: Duration,
+    pub suspended: Duration,
 }
 
 impl<D: Downstream> Relay<D> {
@@ -68,16 +68,18 @@
 
     /// Looks up what the configuration says of a request.
     fn plan_for(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
-        if !self.informed() || self.ending.is_cancelled() {
+        if !self.is_ready() || self.ending.is_cancelled() {
             return Err(Refusal::NotReady);
         }
-        let plan = self.plan().ok_or(Refusal::NotReady)?;
+        let configuration = self.configuration().ok_or(Refusal::NotReady)?;
         let path = request.message.target.path();
-        let route = plan.route(&request.host, path).ok_or(Refusal::NoRoute)?;
+        let route = configuration
+            .route(&request.host, path)
+            .ok_or(Refusal::NoRoute)?;
         let workspace = match &request.key {
             _ if route.public => None,
             None => return Err(Refusal::NoKey),
-            Some(key) => Some(plan.workspace(key).ok_or(Refusal::NoKey)?.clone()),
+            Some(key) => Some(configuration.workspace(key).ok_or(Refusal::NoKey)?.clone()),
         };
         let draw = foldhash::fast::FixedState::default().hash_one(&*request.id);
         let service = route.service(draw).ok_or(Refusal::NoRoute)?.clone();
@@ -90,15 +92,15 @@
             route: route.clone(),
             service,
             content: request.content(workspace.as_deref().map(|workspace| &*workspace.name)),
-            rank: plan.rank(workspace.as_deref(), route),
+            rank: configuration.rank(workspace.as_deref(), route),
             workspace,
             comes_back: before > Duration::ZERO,
             due: (request.arrived + route.target)
                 .checked_sub(before)
                 .unwrap_or(request.arrived),
             deadline: request.arrived + patience,
-            uncounted: self.pause.uncounted(),
-            plan,
+            suspended: self.pause.suspended(),
+            configuration,
         })
     }
 
@@ -110,7 +112,7 @@
         let elapsed = job.request.arrived.elapsed();
         info!(self.log, "answered"; "request" => &*job.request.id, "route" => &job.route.name,
             "status" => answer.status, "after_ms" => millis(elapsed),
-            "configuration" => job.plan.version);
+            "configuration" => job.configuration.version);
         self.count(job, answer.status);
         Ok(answer)
     }
@@ -142,8 +144,8 @@
     fn refuse(&self, request: &Request, job: Option<&Job<D>>, refusal: &Refusal) -> Answer {
         let answer = Answer::own(refusal);
         let version = job
-            .map(|job| job.plan.version)
-            .or_else(|| Some(self.plan()?.version));
+            .map(|job| job.configuration.version)
+            .or_else(|| Some(self.configuration()?.version));
         info!(self.log, "refused"; "request" => &*request.id,
             "route" => job.map(|job| job.route.name.clone()),
             "status" => answer.status, "reason" => %refusal,
@@ -167,8 +169,8 @@
         "workspace" => job.workspace.as_ref().map(|workspace| workspace.name.to_string()),
         "rank" => job.rank, "comes_back" => job.comes_back, "expected_ms" => millis(expected),
         "left_ms" => millis(left),
-        "on_time_ms" => millis(on_time), "configuration" => job.plan.version,
-        "runners_age_ms" => job.relay.list_age().map(millis), "admitted" => admitted);
+        "on_time_ms" => millis(on_time), "configuration" => job.configuration.version,
+        "runners_age_ms" => job.relay.runner_list_age().map(millis), "admitted" => admitted);
     if admitted {
         return Ok(());
     }
@@ -211,9 +213,9 @@
     /// steady clock: a runner would be given time that nobody waits.
     #[must_use]
     pub fn left(&self) -> Duration {
-        self.relay.look();
+        self.relay.check_for_pause();
         let left = self.deadline.saturating_duration_since(Instant::now());
-        left.saturating_sub(self.relay.pause.uncounted() - self.uncounted)
+        left.saturating_sub(self.relay.pause.suspended() - self.suspended)
     }
 
     /// What the request asks for of one stage.
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -4,12 +4,12 @@
 //! another runner goes on after the last one that was passed on.
 
 use crate::attempt::{self, Flight, Progress};
+use crate::configuration::FIRST_RANK;
 use crate::downstream::{Downstream, Reply};
 use crate::event::{Events, Splitter};
 use crate::graph::Inputs;
-use crate::memory::Memory;
-use crate::plan::FIRST_RANK;
-use crate::quarantine::SILENCE;
+use crate::memory::MemoryBudget;
+use crate::quarantine::SILENCE_TIMEOUT;
 use crate::request::{Broken, EventId};
 use crate::serve::Job;
 use crate::telemetry::millis;
@@ -52,7 +52,7 @@
     progress: Progress,
     parts: Parts,
     /// Memory for what waits for the caller.
-    memory: Memory,
+    memory: MemoryBudget,
     /// Whether the runner's stream was not read for so long that it may break off for that.
     unread: bool,
     last: Option<EventId>,
@@ -68,7 +68,7 @@
             inputs,
             progress,
             parts,
-            memory: Memory::new(STREAM_BYTES),
+            memory: MemoryBudget::new(STREAM_BYTES),
             unread: false,
             last,
             events: 0,
@@ -114,7 +114,7 @@
                 part = body.next() => part,
                 () = self.parts.closed() => return End::Left,
                 () = sleep_until(self.job.deadline) => return End::Late,
-                () = sleep_until(silent_since + SILENCE), if !is_noted => {
+                () = sleep_until(silent_since + SILENCE_TIMEOUT), if !is_noted => {
                     is_noted = true;
                     flight.waited();
                     continue;
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -1,8 +1,8 @@
 //! Runners that have just started and bear few requests a second until they are warm.
 
+use crate::configuration::{ServiceId, Warmup};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
-use crate::plan::{ServiceId, Warmup};
 use crate::runner::{Fleet, Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -79,7 +79,7 @@
     }
 
     fn warmup(&self, service: &str) -> Option<Warmup> {
-        self.plan()?.services.get(service)?.warmup
+        self.configuration()?.services.get(service)?.warmup
     }
 
     /// Runners of a service that this process must not send to now: cold ones that others send to, or
@@ -87,7 +87,7 @@
     ///
     /// Those that are open compete with warm ones. Left alone as long as there is a warm one, they
     /// would stand idle beside a few that are overrun when most of a service starts anew.
-    pub(crate) fn closed(&self, service: &ServiceId) -> Vec<RunnerId> {
+    pub(crate) fn throttled(&self, service: &ServiceId) -> Vec<RunnerId> {
         let naive = self.options.policy.warmup == Policy::Naive;
         let Some(warmup) = self.warmup(service).filter(|_| !naive) else {
             return Vec::new();
@@ -127,7 +127,7 @@
 
     /// This process's part of what a cold runner bears; none if it cannot know who else sends.
     fn share(&self, rate: f64) -> Option<Share> {
-        self.look();
+        self.check_for_pause();
         let bound = self.bound(rate);
         let now = self.now();
         self.peers.members(|members| {
--- a/crates/relay/tests/cold_runners.rs
+++ b/crates/relay/tests/cold_runners.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, plan, ready, request, runner};
+use common::{Fake, configuration, ready, request, runner};
+use relay::configuration::{Configuration, Limits, Service, Warmup};
 use relay::drain::Drains;
-use relay::plan::{Limits, Plan, Service, Warmup};
 use relay::runner::{Change, Runner};
 use relay::{Relay, member};
 use serde_json::{Value, json};
@@ -23,9 +23,9 @@
     (String::leak(id.to_owned()), Some(member))
 }
 
-/// Routes of [`plan`] before runners that bear two requests a second after their start.
-fn warming() -> Plan {
-    let whole = plan(2);
+/// Routes of [`configuration`] before runners that bear two requests a second after their start.
+fn warming() -> Configuration {
+    let whole = configuration(2);
     let route = whole.route("host", "/safe/x").expect("there").as_ref();
     let service = Service {
         name: "plain".into(),
@@ -36,11 +36,11 @@
             rate: 2.0,
         }),
     };
-    let public = relay::plan::Route {
+    let public = relay::configuration::Route {
         public: true,
         ..route.clone()
     };
-    Plan::new(
+    Configuration::new(
         2,
         vec![public],
         vec![service],
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -1,9 +1,9 @@
 //! A feed that tells what a test gave it.
 
-use super::{plan, plan_with, runner};
+use super::{configuration, plan_with, runner};
 use relay::follow::{Source, Unreadable};
 use relay::runner::DomainId;
-use relay::{Plan, Runner};
+use relay::{Configuration, Runner};
 use serde_json::Value;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -106,7 +106,7 @@
     }
 
     /// A version, or one with the names of more routes.
-    fn plan(_key: &str, value: &Value) -> Result<Option<Plan>, Unreadable> {
+    fn configuration(_key: &str, value: &Value) -> Result<Option<Configuration>, Unreadable> {
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
             let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
@@ -115,7 +115,7 @@
         let version = value.as_u64().ok_or_else(|| Unreadable {
             reason: "no number".to_owned(),
         })?;
-        Ok(Some(plan(version)))
+        Ok(Some(configuration(version)))
     }
 
     fn runner(key: &str, value: &Value) -> Result<Runner, Unreadable> {
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use decide::retry::window::Bound;
 use parts::{Parts, parts};
-pub(crate) use plans::{plan, plan_with};
+pub(crate) use plans::{configuration, plan_with};
 use relay::downstream::{
     Batch, Call, Failure, Handle, Item, Made, NotRun, Reply, Source as Origin,
 };
@@ -62,7 +62,7 @@
 /// Time of a call none of whose pieces has room.
 pub(crate) const REFUSAL: Duration = Duration::from_millis(5);
 
-/// A request to a route of [`plan`].
+/// A request to a route of [`configuration`].
 pub(crate) fn request(id: &str, route: &str) -> Request {
     Request {
         id: id.into(),
@@ -376,7 +376,7 @@
     pub(crate) static SINCE_START: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-fn since_start() -> Duration {
+fn time_since_boot() -> Duration {
     SINCE_START.get()
 }
 
@@ -409,7 +409,7 @@
 fn options(member: Member) -> Options {
     Options {
         domain: "a".into(),
-        repeats: Bound {
+        retry_bound: Bound {
             ratio: 0.2,
             slack: 40.0,
             window: Duration::from_secs(10),
@@ -420,7 +420,7 @@
         policy: setting::relay::Policies::default(),
         warmup: setting::relay::Warmup::default(),
         regions: decide::Map::default(),
-        clock: since_start,
+        clock: time_since_boot,
         memory: MEMORY,
         first_start: true,
         drain: Duration::from_secs(3),
@@ -437,9 +437,9 @@
     )
 }
 
-/// A relay with [`plan`] in force and two runners of each service.
+/// A relay with [`configuration`] in force and two runners of each service.
 pub(crate) fn ready(fake: Fake) -> Arc<Relay<Fake>> {
-    informed(blank(fake))
+    configured(blank(fake))
 }
 
 /// A relay that knows nothing yet but which regions failure domains are in.
@@ -458,12 +458,12 @@
         policy,
         ..options(member())
     };
-    informed(start(fake, options))
+    configured(start(fake, options))
 }
 
-/// The same with [`plan`] in force and two runners of each service.
-pub(crate) fn informed(relay: Arc<Relay<Fake>>) -> Arc<Relay<Fake>> {
-    relay.adopt(plan(1));
+/// The same with [`configuration`] in force and two runners of each service.
+pub(crate) fn configured(relay: Arc<Relay<Fake>>) -> Arc<Relay<Fake>> {
+    relay.adopt(configuration(1));
     let runners = [
         ("p-1", "plain"),
         ("p-2", "plain"),
--- a/crates/relay/tests/common/plans.rs
+++ b/crates/relay/tests/common/plans.rs
@@ -1,23 +1,23 @@
 //! Configurations.
 
 use super::{CALL, PIECE};
-use relay::Plan;
-use relay::plan::{Batches, Kind, Limits, Route, Service, Share, Stage, Workspace};
+use relay::Configuration;
+use relay::configuration::{BatchSettings, Kind, Limits, Route, Service, Share, Stage, Workspace};
 use std::time::Duration;
 
 /// The plan with these routes besides, which hold nothing but their names.
-pub(crate) fn plan_with(version: u64, names: &[&str]) -> Plan {
+pub(crate) fn plan_with(version: u64, names: &[&str]) -> Configuration {
     let more = names.iter().map(|name| route(name, Kind::Safe));
     plan_of(version, more)
 }
 
 /// A plan with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a
 /// stream that is not) and `/staged/`.
-pub(crate) fn plan(version: u64) -> Plan {
+pub(crate) fn configuration(version: u64) -> Configuration {
     plan_of(version, [])
 }
 
-fn plan_of(version: u64, more: impl IntoIterator<Item = Route>) -> Plan {
+fn plan_of(version: u64, more: impl IntoIterator<Item = Route>) -> Configuration {
     let staged = Route {
         stages: vec![Stage {
             service: "stage".into(),
@@ -53,7 +53,7 @@
         chained,
     ];
     routes.extend(more);
-    let batches = Batches {
+    let batches = BatchSettings {
         slots: 1,
         shape: decide::batch::Shape {
             size: 4,
@@ -82,7 +82,7 @@
         name: "coop".into(),
         rank: None,
     };
-    Plan::new(
+    Configuration::new(
         version,
         routes,
         services,
--- a/crates/relay/tests/common/poison.rs
+++ b/crates/relay/tests/common/poison.rs
@@ -166,8 +166,8 @@
 }
 
 /// Whether an attempt that asks for this would be refused since it is held back.
-pub(crate) fn holds_back(relay: &Relay<Fake>, text: &str) -> bool {
-    relay.holds_back(asking("x", text).content(Some(WORKSPACE)))
+pub(crate) fn is_quarantined(relay: &Relay<Fake>, text: &str) -> bool {
+    relay.is_quarantined(asking("x", text).content(Some(WORKSPACE)))
 }
 
 /// Runners that answer each request, as many of the stage and of the service as said; there are at
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -3,7 +3,7 @@
 use super::feed::Script;
 use relay::follow::{Source, Unreadable};
 use relay::runner::DomainId;
-use relay::{Plan, Runner};
+use relay::{Configuration, Runner};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -142,8 +142,8 @@
         Script::drained(key)
     }
 
-    fn plan(key: &str, value: &Value) -> Result<Option<Plan>, Unreadable> {
-        Script::plan(key, value)
+    fn configuration(key: &str, value: &Value) -> Result<Option<Configuration>, Unreadable> {
+        Script::configuration(key, value)
     }
 
     fn runner(key: &str, value: &Value) -> Result<Runner, Unreadable> {
--- a/crates/relay/tests/fleet_start.rs
+++ b/crates/relay/tests/fleet_start.rs
@@ -66,7 +66,7 @@
     async fn informed(&self, runners: usize) {
         self.until(|relay| {
             let known = relay.fleet(|fleet| fleet.of("plain").len());
-            relay.informed() && known == Some(runners)
+            relay.is_ready() && known == Some(runners)
         })
         .await;
     }
@@ -123,7 +123,11 @@
     }
     fleet.service.put("plans", "config", Some(json!(2)));
     fleet.informed(2 * RUNNERS).await;
-    let is_new = |relay: &Relay<Fake>| relay.plan().is_some_and(|plan| plan.version == 2);
+    let is_new = |relay: &Relay<Fake>| {
+        relay
+            .configuration()
+            .is_some_and(|configuration| configuration.version == 2)
+    };
     fleet.until(is_new).await;
     let lists = |calls: &std::collections::BTreeMap<String, usize>| {
         let lists = calls.iter().filter(|(name, _)| name.starts_with("list"));
--- a/crates/relay/tests/home_regions.rs
+++ b/crates/relay/tests/home_regions.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{Fake, plan, regional, request, runner};
-use relay::plan::{Homes, Limits, Plan, Route, Service, Workspace};
+use common::{Fake, configuration, regional, request, runner};
+use relay::configuration::{AllowedRegions, Configuration, Limits, Route, Service, Workspace};
 use relay::runner::{Change, Runner};
 use relay::{Answer, Body};
 
@@ -24,13 +24,13 @@
     (fake, answer)
 }
 
-fn homes(regions: &[&str]) -> Homes {
+fn homes(regions: &[&str]) -> AllowedRegions {
     regions.iter().map(|region| (*region).into()).collect()
 }
 
-/// Routes of [`plan`] with these homes of route and workspace.
-fn confined(route: &[&str], workspace: &[&str]) -> Plan {
-    let whole = plan(2);
+/// Routes of [`configuration`] with these homes of route and workspace.
+fn confined(route: &[&str], workspace: &[&str]) -> Configuration {
+    let whole = configuration(2);
     let safe = whole.route("host", "/safe/x").expect("there");
     let route = Route {
         homes: homes(route),
@@ -48,7 +48,7 @@
         homes: homes(workspace),
     };
     let keys = vec![(workspace, vec!["key".to_owned()])];
-    Plan::new(2, vec![route], vec![service], keys, Limits::default())
+    Configuration::new(2, vec![route], vec![service], keys, Limits::default())
 }
 
 fn ran_at(fake: &Fake) -> Vec<String> {
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -63,7 +63,7 @@
 async fn nothing_spent() {
     let relay = ready(Fake::default());
     // As many as the budget allows beside none that were sent first.
-    while relay.may_repeat(&"stage".into()) {}
+    while relay.try_retry(&"stage".into()) {}
     let made = submit_and_leave(&relay).await;
     assert_eq!(made.map(|made| made.len()), Ok(4));
 }
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -133,7 +133,9 @@
     }
 
     fn version(&self) -> Option<u64> {
-        self.last().plan().map(|plan| plan.version)
+        self.last()
+            .configuration()
+            .map(|configuration| configuration.version)
     }
 
     fn knows_runner(&self) -> bool {
--- a/crates/relay/tests/older_copy.rs
+++ b/crates/relay/tests/older_copy.rs
@@ -169,7 +169,12 @@
         Told::At(new(6), vec![("plan", Some(json!(4)))]),
     ];
     let relay = plans(told, SOON * 3).await;
-    assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
+    assert_eq!(
+        relay
+            .configuration()
+            .map(|configuration| configuration.version),
+        Some(5)
+    );
 }
 
 /// What a peer says from before the copy came back is older than what is known since.
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fake, blank_as, informed, link};
+use common::{Fake, blank_as, configured, link};
 use protocol::quarantine::Crash;
 use relay::Relay;
 use relay::member::{Member, Members};
@@ -35,7 +35,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member(number, listener.address().expect("bound"));
-    let relay = informed(blank_as(Fake::default(), member.clone()));
+    let relay = configured(blank_as(Fake::default(), member.clone()));
     tokio::spawn(peer::serve(relay.clone(), listener));
     (relay, member)
 }
@@ -72,7 +72,10 @@
     }
     relays[0].0.merge_suspicion(&suspicion(), "test");
     let everywhere = async {
-        while !relays.iter().all(|(relay, _)| relay.holds_back(CONTENT)) {
+        while !relays
+            .iter()
+            .all(|(relay, _)| relay.is_quarantined(CONTENT))
+        {
             sleep(Duration::from_millis(5)).await;
         }
     };
--- a/crates/relay/tests/peer_orders.rs
+++ b/crates/relay/tests/peer_orders.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Act, End, Fake, blank, body, member_at, plan, request, runner};
+use common::{Act, End, Fake, blank, body, configuration, member_at, request, runner};
 use relay::batch::Cell;
 use relay::downstream::Handle;
 use relay::member::Member;
@@ -35,7 +35,7 @@
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member_at(id, listener.address().expect("bound"));
     let relay = common::blank_as(fake.clone(), member.clone());
-    relay.adopt(plan(1));
+    relay.adopt(configuration(1));
     let runners = [("p-1", "plain"), ("s-1", "stage"), ("s-2", "stage")];
     relay.update(
         runners
@@ -139,9 +139,14 @@
 async fn configuration_from_peer() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
-    owner.relay.adopt(plan(7));
+    owner.relay.adopt(configuration(7));
     let told = || async {
-        while asking.relay.plan().map(|plan| plan.version) != Some(7) {
+        while asking
+            .relay
+            .configuration()
+            .map(|configuration| configuration.version)
+            != Some(7)
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, blank, body, plan, ready, request, runner};
+use common::{Fake, blank, body, configuration, ready, request, runner};
+use relay::configuration::{Configuration, LAST_RANK, Limits, Route, Workspace};
 use relay::follow;
-use relay::plan::{LAST_RANK, Limits, Plan, Route, Workspace};
 use relay::runner::Change;
 use serde_json::json;
 use std::time::Duration;
@@ -25,7 +25,12 @@
     let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
     sleep(Duration::from_secs(5)).await;
     following.abort();
-    assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
+    assert_eq!(
+        relay
+            .configuration()
+            .map(|configuration| configuration.version),
+        Some(5)
+    );
 }
 
 /// A process that has just started knows no configuration. It must not say that a route or key does
@@ -36,10 +41,10 @@
     let answer = relay.serve(request("a", "safe")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    relay.adopt(plan(1));
-    assert!(!relay.informed(), "runners are not known yet");
+    relay.adopt(configuration(1));
+    assert!(!relay.is_ready(), "runners are not known yet");
     relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
-    assert!(relay.informed());
+    assert!(relay.is_ready());
 }
 
 /// Unknown keys and routes get their own refusals, and nothing is sent.
@@ -96,12 +101,12 @@
 /// that fits holds.
 #[test]
 fn longest_prefix() {
-    let plan = plan(1);
-    let found = plan
+    let configuration = configuration(1);
+    let found = configuration
         .route("HOST", "/safe/x")
         .map(|route| route.name.clone());
     assert_eq!(found.as_deref(), Some("safe"));
-    assert!(plan.route("host", "/safe").is_none());
+    assert!(configuration.route("host", "/safe").is_none());
 }
 
 /// A caller comes back after a refusal with less time than others of its route. Its pieces go
@@ -151,7 +156,11 @@
 fn ranks_combine() {
     let route = |name: &str, rank| Route {
         rank,
-        ..Route::clone(plan(1).route("host", &format!("/{name}/")).expect("listed"))
+        ..Route::clone(
+            configuration(1)
+                .route("host", &format!("/{name}/"))
+                .expect("listed"),
+        )
     };
     let (urgent, patient) = (route("safe", 0), route("stream", 2));
     let workspace = |rank| Workspace {
@@ -162,13 +171,13 @@
     let workspaces = [Some(0), Some(1)].map(workspace);
     let keys = workspaces.clone().map(|workspace| (workspace, Vec::new()));
     let routes = vec![urgent.clone(), patient.clone()];
-    let plan = Plan::new(1, routes, Vec::new(), keys.into(), Limits::default());
+    let configuration = Configuration::new(1, routes, Vec::new(), keys.into(), Limits::default());
     let [first, second] = workspaces.each_ref().map(Some);
     let ranks = [
-        plan.rank(first, &urgent),
-        plan.rank(first, &patient),
-        plan.rank(second, &urgent),
-        plan.rank(second, &patient),
+        configuration.rank(first, &urgent),
+        configuration.rank(first, &patient),
+        configuration.rank(second, &urgent),
+        configuration.rank(second, &patient),
     ];
     assert_eq!(ranks, [0, 1, 2, 3]);
 }
@@ -177,7 +186,7 @@
 /// and none may be more than the last rank, which runners would not understand.
 #[test]
 fn many_ranks() {
-    let shape = plan(1);
+    let shape = configuration(1);
     let route = |rank: u8| Route {
         name: format!("route-{rank}"),
         prefix: format!("/{rank}/"),
@@ -191,10 +200,10 @@
         rank: Some(3),
     };
     let keys = vec![(workspace.clone(), Vec::new())];
-    let plan = Plan::new(1, routes.clone(), Vec::new(), keys, Limits::default());
+    let configuration = Configuration::new(1, routes.clone(), Vec::new(), keys, Limits::default());
     let ranks = routes
         .iter()
-        .map(|route| plan.rank(Some(&workspace), route));
+        .map(|route| configuration.rank(Some(&workspace), route));
     let ranks: Vec<u8> = ranks.collect();
     assert!(ranks.is_sorted(), "{ranks:?}");
     assert_eq!((ranks.first(), ranks.last()), (Some(&0), Some(&LAST_RANK)));
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -5,7 +5,7 @@
 use common::pair::{Node, pair};
 use common::poison::{
     INNOCENT, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused, assert_served,
-    calls, falls, holds_back, keep_list, repeat, share_call,
+    calls, falls, is_quarantined, keep_list, repeat, share_call,
 };
 use common::ward::{Effect, Harm, Spot};
 use protocol::quarantine::CRASHES;
@@ -130,6 +130,7 @@
     assert!(
         INNOCENT
             .iter()
-            .all(|text| !holds_back(&admitting.relay, text) && !holds_back(&owner.relay, text))
+            .all(|text| !is_quarantined(&admitting.relay, text)
+                && !is_quarantined(&owner.relay, text))
     );
 }
--- a/crates/relay/tests/poison_pieces.rs
+++ b/crates/relay/tests/poison_pieces.rs
@@ -4,7 +4,7 @@
 
 use common::poison::{
     INNOCENT, PATIENCE, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused,
-    assert_served, calls, falls, holds_back, keep_list, occupy, relay, repeat, replies, reply,
+    assert_served, calls, falls, is_quarantined, keep_list, occupy, relay, repeat, replies, reply,
     send, share_call,
 };
 use common::ward::{Effect, Harm, Spot};
@@ -83,7 +83,7 @@
     let falls = falls(&relay);
     assert!(falls.len() <= CRASHES as usize, "{falls:?}");
     assert_refused(&relay, asking("poison-last", POISON)).await;
-    assert!(INNOCENT.iter().all(|text| !holds_back(&relay, text)));
+    assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
 /// Guards against pieces of others that wait for long after the end of their runner, or for as long as the
@@ -140,7 +140,7 @@
         sleep(WINDOW).await;
     }
     assert_eq!(falls(&relay).len(), 2 * ROUNDS);
-    assert!(TEXTS.iter().all(|text| !holds_back(&relay, text)));
+    assert!(TEXTS.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
 /// Guards against a stage of three runners that one request shuts for everybody, and against callers that
@@ -189,7 +189,7 @@
         let id = format!("{POISON}-{round}");
         let poison = send(&relay, asking(&id, &id)).await;
         assert_served(&replies(popular).await);
-        assert!(!holds_back(&relay, "popular"));
+        assert!(!is_quarantined(&relay, "popular"));
         replies(busy.into_iter().chain([poison])).await;
         sleep(WINDOW).await;
     }
@@ -237,5 +237,5 @@
     let falls = falls(&relay);
     assert!(falls.len() <= CRASHES as usize, "{falls:?}");
     assert_refused(&relay, large(100)).await;
-    assert!(INNOCENT.iter().all(|text| !holds_back(&relay, text)));
+    assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -331,7 +331,7 @@
 async fn row_kept() {
     let relay = poisoned().await;
     let table = store::Memory::default();
-    let keeping = tokio::spawn(relay::quarantine::keep(relay.clone(), table.clone()));
+    let keeping = tokio::spawn(relay::quarantine::write_rows(relay.clone(), table.clone()));
     let (key, _) = row(None).remove(0);
     sleep(PAUSE).await;
     let written = table.read("relay", key).await.expect("there");
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -4,8 +4,8 @@
 
 use common::Fake;
 use common::poison::{
-    INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, falls, holds_back,
-    keep_list, relay, repeat, replies, share_call,
+    INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, falls,
+    is_quarantined, keep_list, relay, repeat, replies, share_call,
 };
 use common::ward::{Effect, Harm, Spot};
 use protocol::quarantine::CRASHES;
@@ -117,7 +117,7 @@
     assert_served(&innocent);
     assert_eq!(replies(sent).await[0].status, 503);
     assert_few(&relay);
-    assert!(INNOCENT.iter().all(|text| !holds_back(&relay, text)));
+    assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
 /// Guards against callers that leave before their time is over, so that no answer counts as lost.
@@ -149,7 +149,7 @@
         let sent = relay.downstream.sent();
         answer_another(&relay, &sent.last().expect("sent").runner, number).await;
     }
-    assert!(!holds_back(&relay, "popular"));
+    assert!(!is_quarantined(&relay, "popular"));
     relay.downstream.ward.set([]);
     assert_served(&[ask(&relay, popular(100)).await]);
 }
@@ -189,6 +189,6 @@
         sleep(LISTED).await;
     }
     relay.downstream.ward.set([]);
-    assert!(!holds_back(&relay, "popular"));
+    assert!(!is_quarantined(&relay, "popular"));
     assert_served(&[ask(&relay, asking("popular-last", "popular")).await]);
 }
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Act, Fake, SINCE_START, blank, body, entry, plan, request};
+use common::{Act, Fake, SINCE_START, blank, body, configuration, entry, request};
 use relay::downstream::NotRun;
 use relay::{Relay, follow};
 use std::sync::Arc;
@@ -30,10 +30,10 @@
 /// A relay that has heard the first of what the feed tells.
 async fn following(fake: &Fake, told: Vec<Told>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
     let relay = blank(fake.clone());
-    relay.adopt(plan(1));
+    relay.adopt(configuration(1));
     let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
     sleep(Duration::from_millis(700)).await;
-    assert!(relay.informed());
+    assert!(relay.is_ready());
     (relay, following)
 }
 
@@ -58,11 +58,11 @@
     let fake = Fake::default();
     let (relay, _following) = following(&fake, replaced()).await;
     suspend();
-    assert!(!relay.caught_up(), "no callers are wanted yet");
+    assert!(!relay.is_caught_up(), "no callers are wanted yet");
     let answer = body(relay.serve(request("a", "safe")).await).await;
     assert_eq!(answer, (200, "done".to_owned(), true));
     assert_eq!(runners(&fake), ["p-2"]);
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
 }
 
 /// The same where the process was stopped by a signal, so that its timers are late.
@@ -92,7 +92,7 @@
     assert_eq!(answer.0, 200);
     assert!(begun.elapsed() >= WAIT, "news was waited for");
     assert!(begun.elapsed() < 2 * WAIT);
-    assert!(relay.caught_up(), "one that cannot know more serves on");
+    assert!(relay.is_caught_up(), "one that cannot know more serves on");
 }
 
 /// A process that is busy for a few hundred milliseconds, or just has little of its processor, has
@@ -102,9 +102,9 @@
     let fake = Fake::default();
     let (relay, _following) =
         following(&fake, vec![Told::Rows(vec![("p-1", entry("plain"))])]).await;
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
     stop(Duration::from_millis(400)).await;
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
 }
 
 /// The VM is suspended while a runner refuses a request. The caller has waited all that time; told
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fake, body, ready, request, runner};
-use relay::limit::Notice;
+use relay::limit::LimitNotice;
 use relay::member::{Member, Members};
 use relay::runner::Change;
 use relay::{Relay, Runner, peer};
@@ -98,7 +98,7 @@
     ];
     for (spacing, ago) in turns {
         for id in ["p-1", "p-2"] {
-            let notice = Notice {
+            let notice = LimitNotice {
                 runner: id.into(),
                 spacing,
                 ago,
@@ -143,7 +143,7 @@
             since: None,
         };
         let relay = common::blank_as(Fake::default(), member(own));
-        relay.adopt(common::plan(1));
+        relay.adopt(common::configuration(1));
         relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
         relay.peers.members(|members| {
             for number in 0..20 {
--- a/crates/relay/tests/urgent_kind.rs
+++ b/crates/relay/tests/urgent_kind.rs
@@ -5,9 +5,9 @@
 
 mod common;
 
-use common::{Fake, blank, plan, request, runner};
+use common::{Fake, blank, configuration, request, runner};
 use relay::Relay;
-use relay::plan::{Kind, Limits, Plan, Route, Service, Workspace};
+use relay::configuration::{Configuration, Kind, Limits, Route, Service, Workspace};
 use relay::runner::Change;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 const AIM: Duration = Duration::from_secs(1);
 
 /// A plan in which `/urgent/` comes before `/other/`, for a workspace whose rank all others have.
-fn ranked() -> Plan {
-    let shape = plan(1);
+fn ranked() -> Configuration {
+    let shape = configuration(1);
     let staged = shape.route("host", "/staged/x").expect("listed");
     let route = |name: &str, rank| Route {
         name: name.to_owned(),
@@ -35,7 +35,7 @@
         rank: Some(1),
     };
     let services: Vec<Service> = shape.services.values().cloned().collect();
-    Plan::new(
+    Configuration::new(
         2,
         vec![route("urgent", 0), route("other", 2)],
         services,
