--- a/crates/relay/tests/at_most_once.rs
+++ b/crates/relay/tests/at_most_once.rs
@@ -2,17 +2,20 @@
 
 mod common;
 
-use common::{Act, Fake, body, ready, request};
+use common::{Behavior, Fake, body, ready, request};
 use relay::downstream::NotRun;
 
-const FAILED: Act = Act::Answer {
+const FAILED: Behavior = Behavior::Answer {
     status: 500,
     proven: true,
     body: "failed",
 };
 
-async fn serve(route: &str, acts: impl IntoIterator<Item = Act>) -> (Fake, (u16, String, bool)) {
-    let fake = Fake::doing(acts);
+async fn serve(
+    route: &str,
+    behaviors: impl IntoIterator<Item = Behavior>,
+) -> (Fake, (u16, String, bool)) {
+    let fake = Fake::with_behaviors(behaviors);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", route)).await;
     (fake, body(answer).await)
@@ -22,14 +25,14 @@
 /// that two looms carry one serial; the caller hears that it may have run.
 #[tokio::test(start_paused = true)]
 async fn answer_lost() {
-    let (fake, (status, ..)) = serve("unsafe", [Act::Lose]).await;
+    let (fake, (status, ..)) = serve("unsafe", [Behavior::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
 /// The same for a request that may be repeated: another runner answers it.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_safe() {
-    let (fake, (status, text, _)) = serve("safe", [Act::Lose]).await;
+    let (fake, (status, text, _)) = serve("safe", [Behavior::Lose]).await;
     assert_eq!((status, text.as_str()), (200, "done"));
     let sent = fake.sent();
     assert_eq!(sent.len(), 2);
@@ -40,7 +43,7 @@
 /// again.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_once() {
-    let (fake, (status, ..)) = serve("once", [Act::Lose]).await;
+    let (fake, (status, ..)) = serve("once", [Behavior::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
@@ -54,7 +57,7 @@
             reason: "reset".to_owned(),
         },
     ] {
-        let (fake, (status, ..)) = serve("unsafe", [Act::Refuse(reason)]).await;
+        let (fake, (status, ..)) = serve("unsafe", [Behavior::Refuse(reason)]).await;
         assert_eq!((status, fake.sent().len()), (200, 2));
     }
 }
@@ -62,9 +65,9 @@
 /// Every runner refuses: the caller hears that the request has not run, and when to come back.
 #[tokio::test(start_paused = true)]
 async fn refused_by_all() {
-    let fake = Fake::doing([
-        Act::Refuse(NotRun::Full { spacing: None }),
-        Act::Refuse(NotRun::Full { spacing: None }),
+    let fake = Fake::with_behaviors([
+        Behavior::Refuse(NotRun::Full { spacing: None }),
+        Behavior::Refuse(NotRun::Full { spacing: None }),
     ]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "unsafe")).await;
@@ -78,7 +81,10 @@
 async fn refused_then_lost() {
     let (_, (status, ..)) = serve(
         "unsafe",
-        [Act::Refuse(NotRun::Full { spacing: None }), Act::Lose],
+        [
+            Behavior::Refuse(NotRun::Full { spacing: None }),
+            Behavior::Lose,
+        ],
     )
     .await;
     assert_eq!(status, 502);
@@ -88,7 +94,7 @@
 /// request has not run.
 #[tokio::test(start_paused = true)]
 async fn silent_runner() {
-    let (fake, (status, ..)) = serve("unsafe", [Act::Silent]).await;
+    let (fake, (status, ..)) = serve("unsafe", [Behavior::Silent]).await;
     assert_eq!((status, fake.sent().len()), (504, 1));
 }
 
@@ -110,7 +116,7 @@
 /// An answer without the runner's proof is nobody's answer, whatever its status says.
 #[tokio::test(start_paused = true)]
 async fn answer_without_proof() {
-    let forged = || Act::Answer {
+    let forged = || Behavior::Answer {
         status: 200,
         proven: false,
         body: "forged",
@@ -141,7 +147,7 @@
 /// double the load just when runners fail.
 #[tokio::test(start_paused = true)]
 async fn budget_spent() {
-    let fake = Fake::doing((0..200).map(|_| Act::Lose));
+    let fake = Fake::with_behaviors((0..200).map(|_| Behavior::Lose));
     let relay = ready(fake.clone());
     for index in 0..100 {
         relay.serve(request(&index.to_string(), "safe")).await;
--- a/crates/relay/tests/common/plans.rs
+++ b/crates/relay/tests/common/configurations.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 /// The plan with these routes besides, which hold nothing but their names.
-pub(crate) fn plan_with(version: u64, names: &[&str]) -> Configuration {
+pub(crate) fn configuration_with_routes(version: u64, names: &[&str]) -> Configuration {
     let more = names.iter().map(|name| route(name, Kind::Safe));
-    plan_of(version, more)
+    configuration_of(version, more)
 }
 
 /// A plan with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a
 /// stream that is not) and `/staged/`.
 pub(crate) fn configuration(version: u64) -> Configuration {
-    plan_of(version, [])
+    configuration_of(version, [])
 }
 
-fn plan_of(version: u64, more: impl IntoIterator<Item = Route>) -> Configuration {
+fn configuration_of(version: u64, more: impl IntoIterator<Item = Route>) -> Configuration {
     let staged = Route {
         stages: vec![Stage {
             service: "stage".into(),
--- a/crates/relay/tests/common/ward.rs
+++ b/crates/relay/tests/common/faults.rs
@@ -16,7 +16,7 @@
 
 /// Where a request is worked on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Spot {
+pub(crate) enum FaultSite {
     Stage(usize),
     /// Before its answer begins.
     Model,
@@ -37,10 +37,10 @@
 
 /// What requests do to the runners that work on them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Harm {
+pub(crate) struct Fault {
     /// Beginning of the requests' names.
     pub(crate) prefix: &'static str,
-    pub(crate) spot: Spot,
+    pub(crate) site: FaultSite,
     /// The piece that does it; each of them if none is named.
     pub(crate) piece: Option<u32>,
     pub(crate) effect: Effect,
@@ -49,25 +49,25 @@
 /// What a request does to its runner, and its name.
 pub(crate) type Cause = (Effect, String);
 
-impl Harm {
-    pub(crate) fn new(prefix: &'static str, spot: Spot, effect: Effect) -> Self {
+impl Fault {
+    pub(crate) fn new(prefix: &'static str, site: FaultSite, effect: Effect) -> Self {
         Self {
             prefix,
-            spot,
+            site,
             piece: None,
             effect,
         }
     }
 
-    fn is_of(&self, (id, spot, piece): (&str, Spot, u32)) -> bool {
+    fn is_of(&self, (id, site, piece): (&str, FaultSite, u32)) -> bool {
         let piece = self.piece.is_none_or(|deadly| deadly == piece);
-        id.starts_with(self.prefix) && self.spot == spot && piece
+        id.starts_with(self.prefix) && self.site == site && piece
     }
 }
 
 /// A runner that has failed.
 #[derive(Clone, Debug)]
-pub(crate) struct Fall {
+pub(crate) struct RunnerFailure {
     pub(crate) runner: String,
     pub(crate) at: Instant,
     /// The request that harmed it; none if it failed by itself.
@@ -82,7 +82,7 @@
 }
 
 impl Health {
-    fn fall(&self, runner: &str) -> Option<Effect> {
+    fn failure(&self, runner: &str) -> Option<Effect> {
         if self.ended.contains(runner) {
             return Some(Effect::Ends);
         }
@@ -92,34 +92,34 @@
 
 /// All runners' health; clones share it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ward {
-    harms: Arc<Mutex<Vec<Harm>>>,
-    falls: Arc<Mutex<Vec<Fall>>>,
+pub(crate) struct RunnerFaults {
+    faults: Arc<Mutex<Vec<Fault>>>,
+    failures: Arc<Mutex<Vec<RunnerFailure>>>,
     health: watch::Sender<Health>,
 }
 
-impl Ward {
+impl RunnerFaults {
     /// From now on these requests harm runners, and no others.
-    pub(crate) fn set(&self, harms: impl IntoIterator<Item = Harm>) {
-        *self.harms.lock().expect("no holder panics") = harms.into_iter().collect();
+    pub(crate) fn set(&self, faults: impl IntoIterator<Item = Fault>) {
+        *self.faults.lock().expect("no holder panics") = faults.into_iter().collect();
     }
 
     /// What the first request that does harm does to a runner, and its name.
-    pub(crate) fn harm<'a>(
+    pub(crate) fn fault<'a>(
         &self,
-        work: impl IntoIterator<Item = (&'a str, Spot, u32)>,
+        work: impl IntoIterator<Item = (&'a str, FaultSite, u32)>,
     ) -> Option<Cause> {
-        let harms = self.harms.lock().expect("no holder panics");
-        let of = |one: (&'a str, Spot, u32)| {
-            let harm = harms.iter().find(|harm| harm.is_of(one))?;
-            Some((harm.effect, one.0.to_owned()))
+        let faults = self.faults.lock().expect("no holder panics");
+        let of = |one: (&'a str, FaultSite, u32)| {
+            let fault = faults.iter().find(|fault| fault.is_of(one))?;
+            Some((fault.effect, one.0.to_owned()))
         };
         work.into_iter().find_map(of)
     }
 
     /// Runners that have failed, in the order in which they did.
-    pub(crate) fn falls(&self) -> Vec<Fall> {
-        self.falls.lock().expect("no holder panics").clone()
+    pub(crate) fn failures(&self) -> Vec<RunnerFailure> {
+        self.failures.lock().expect("no holder panics").clone()
     }
 
     /// The runner ends by itself.
@@ -140,7 +140,7 @@
     }
 
     pub(crate) fn is_well(&self, runner: &str) -> bool {
-        self.health.borrow().fall(runner).is_none()
+        self.health.borrow().failure(runner).is_none()
     }
 
     pub(crate) fn watch(&self) -> watch::Receiver<Health> {
@@ -151,11 +151,14 @@
         if effect == Effect::Stalls || !self.is_well(runner) {
             return;
         }
-        self.falls.lock().expect("no holder panics").push(Fall {
-            runner: runner.to_owned(),
-            at: Instant::now(),
-            request,
-        });
+        self.failures
+            .lock()
+            .expect("no holder panics")
+            .push(RunnerFailure {
+                runner: runner.to_owned(),
+                at: Instant::now(),
+                request,
+            });
         self.health.send_modify(|health| {
             let failed = match effect {
                 Effect::Ends => &mut health.ended,
@@ -174,7 +177,7 @@
     }
 
     /// Waits until a call is not worked on any more, which the harm of its own requests may do.
-    pub(crate) async fn fall(&self, runner: &str, cause: Option<Cause>) -> Effect {
+    pub(crate) async fn failure(&self, runner: &str, cause: Option<Cause>) -> Effect {
         if self.is_well(runner)
             && let Some((effect, request)) = cause
         {
@@ -185,9 +188,9 @@
             }
         }
         let mut health = self.watch();
-        let fallen = health.wait_for(|health| health.fall(runner).is_some());
-        let fallen = fallen.await.expect("the ward is there");
-        fallen.fall(runner).expect("it has failed")
+        let failed = health.wait_for(|health| health.failure(runner).is_some());
+        let failed = failed.await.expect("the ward is there");
+        failed.failure(runner).expect("it has failed")
     }
 
     /// What a call at the runner ends with.
@@ -228,17 +231,17 @@
         let next = move |state: Option<(Parts, Self, String)>| {
             let cause = cause.clone();
             async move {
-                let (mut parts, ward, runner) = state?;
+                let (mut parts, faults, runner) = state?;
                 let part = tokio::select! {
                     biased;
-                    effect = ward.fall(&runner, cause) => {
-                        let failure = ward.outcome(&runner, effect, Duration::MAX).await;
+                    effect = faults.failure(&runner, cause) => {
+                        let failure = faults.outcome(&runner, effect, Duration::MAX).await;
                         let reason = failure.to_string();
                         return Some((Err(Broken { reason }), None));
                     }
                     part = parts.next() => part?,
                 };
-                Some((part, Some((parts, ward, runner))))
+                Some((part, Some((parts, faults, runner))))
             }
         };
         Box::pin(stream::unfold(start, next))
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -1,6 +1,6 @@
 //! A feed that tells what a test gave it.
 
-use super::{configuration, plan_with, runner};
+use super::{configuration, configuration_with_routes, runner};
 use relay::follow::{Source, Unreadable};
 use relay::runner::DomainId;
 use relay::{Configuration, Runner};
@@ -110,7 +110,7 @@
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
             let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
-            return Ok(Some(plan_with(version, &names)));
+            return Ok(Some(configuration_with_routes(version, &names)));
         }
         let version = value.as_u64().ok_or_else(|| Unreadable {
             reason: "no number".to_owned(),
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,21 +1,22 @@
 //! Fakes at the relay's interfaces.
 #![allow(dead_code)]
 
+mod configurations;
+pub(crate) mod faults;
 pub(crate) mod feed;
 pub(crate) mod link;
 pub(crate) mod narrow;
 pub(crate) mod pair;
 mod parts;
-mod plans;
 pub(crate) mod poison;
 pub(crate) mod service;
 pub(crate) mod stage;
-pub(crate) mod ward;
 
 use bytes::Bytes;
+pub(crate) use configurations::{configuration, configuration_with_routes};
 use decide::retry::window::Bound;
+use faults::{FaultSite, RunnerFaults};
 use parts::{Parts, parts};
-pub(crate) use plans::{configuration, plan_with};
 use relay::downstream::{
     Batch, Call, Failure, Handle, Item, Made, NotRun, Reply, Source as Origin,
 };
@@ -30,7 +31,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use ward::{Spot, Ward};
 
 /// An entry of a runner.
 pub(crate) fn entry(service: &str) -> Option<Value> {
@@ -85,7 +85,7 @@
 
 /// What the fake does with one call.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Behavior {
     /// Answers with this status, with or without proof, and this body.
     Answer {
         status: u16,
@@ -93,7 +93,10 @@
         body: &'static str,
     },
     /// Streams these parts, one every 10 ms, and then ends as told.
-    Stream { parts: Vec<&'static str>, end: End },
+    Stream {
+        parts: Vec<&'static str>,
+        end: StreamEnd,
+    },
     /// Refuses.
     Refuse(NotRun),
     /// Takes the call and loses the answer.
@@ -106,7 +109,7 @@
 
 /// How a stream ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum StreamEnd {
     Whole,
     Broken,
     Silent,
@@ -127,22 +130,22 @@
 
 /// A call that carried pieces.
 #[derive(Clone, Debug)]
-pub(crate) struct Carried {
+pub(crate) struct StageCall {
     pub(crate) at: Instant,
     pub(crate) runner: String,
     pub(crate) items: Vec<Item>,
 }
 
 /// What the fake does with one call that carries pieces.
-pub(crate) type StageAct = Result<Vec<Made>, Failure>;
+pub(crate) type StageBehavior = Result<Vec<Made>, Failure>;
 
 /// Runners that do what they were told, call by call, whichever of them is called.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fake {
-    pub(crate) acts: Arc<Mutex<VecDeque<Act>>>,
-    pub(crate) stage_acts: Arc<Mutex<VecDeque<StageAct>>>,
+    pub(crate) behaviors: Arc<Mutex<VecDeque<Behavior>>>,
+    pub(crate) stage_behaviors: Arc<Mutex<VecDeque<StageBehavior>>>,
     pub(crate) sent: Arc<Mutex<Vec<Sent>>>,
-    pub(crate) carried: Arc<Mutex<Vec<Carried>>>,
+    pub(crate) stage_calls: Arc<Mutex<Vec<StageCall>>>,
     pub(crate) released: Arc<Mutex<Vec<Handle>>>,
     /// Time that a runner takes to note results that are given back.
     pub(crate) release_time: Arc<Mutex<Duration>>,
@@ -161,13 +164,16 @@
     /// Whether calls that runners were told nothing about are answered by streams.
     pub(crate) streams: Arc<Mutex<bool>>,
     /// Runners that fail, and requests that harm them.
-    pub(crate) ward: Ward,
+    pub(crate) faults: RunnerFaults,
 }
 
 impl Fake {
-    pub(crate) fn doing(acts: impl IntoIterator<Item = Act>) -> Self {
+    pub(crate) fn with_behaviors(behaviors: impl IntoIterator<Item = Behavior>) -> Self {
         let fake = Self::default();
-        fake.acts.lock().expect("no holder panics").extend(acts);
+        fake.behaviors
+            .lock()
+            .expect("no holder panics")
+            .extend(behaviors);
         fake
     }
 
@@ -175,20 +181,20 @@
         self.sent.lock().expect("no holder panics").clone()
     }
 
-    pub(crate) fn carried(&self) -> Vec<Carried> {
-        self.carried.lock().expect("no holder panics").clone()
+    pub(crate) fn stage_calls(&self) -> Vec<StageCall> {
+        self.stage_calls.lock().expect("no holder panics").clone()
     }
 
     /// An event after those that the caller has, if calls are answered by streams.
-    fn stream(&self, resume_after: Option<u64>) -> Option<Act> {
+    fn stream(&self, resume_after: Option<u64>) -> Option<Behavior> {
         let event = match resume_after {
             None => "id: 1\ndata: x\n\n",
             Some(_) => "id: 2\ndata: y\n\n",
         };
         let streams = *self.streams.lock().expect("no holder panics");
-        streams.then(|| Act::Stream {
+        streams.then(|| Behavior::Stream {
             parts: vec![event],
-            end: End::Whole,
+            end: StreamEnd::Whole,
         })
     }
 
@@ -228,18 +234,18 @@
             return Err(Failure::NotRun { reason });
         }
         let deadly = self.deadly.lock().expect("no holder panics").clone();
-        let act = match deadly.is_some_and(|deadly| deadly == call.message.body) {
-            true => Some(Act::Crash),
-            false => self.acts.lock().expect("no holder panics").pop_front(),
+        let behavior = match deadly.is_some_and(|deadly| deadly == call.message.body) {
+            true => Some(Behavior::Crash),
+            false => self.behaviors.lock().expect("no holder panics").pop_front(),
         };
-        let act = act.or_else(|| self.stream(call.resume_after));
-        let harm = |spot| self.ward.harm([(&*call.id, spot, 0)]);
-        let cause = harm(Spot::Model);
+        let behavior = behavior.or_else(|| self.stream(call.resume_after));
+        let fault = |site| self.faults.fault([(&*call.id, site, 0)]);
+        let cause = fault(FaultSite::Model);
         let is_answered = cause.is_none();
         tokio::select! {
             biased;
-            effect = self.ward.fall(&runner.id, cause) => {
-                let failure = self.ward.outcome(&runner.id, effect, Duration::MAX);
+            effect = self.faults.failure(&runner.id, cause) => {
+                let failure = self.faults.outcome(&runner.id, effect, Duration::MAX);
                 return Err(failure.await);
             }
             () = sleep(ANSWER), if is_answered => {}
@@ -251,38 +257,38 @@
             spacing: *self.spacing.lock().expect("no holder panics"),
             body,
         };
-        match act.unwrap_or(Act::Answer {
+        match behavior.unwrap_or(Behavior::Answer {
             status: 200,
             proven: true,
             body: "done",
         }) {
-            Act::Answer {
+            Behavior::Answer {
                 status,
                 proven,
                 body,
-            } => Ok(reply(status, proven, parts(vec![body], End::Whole))),
-            Act::Stream { parts: events, end } => {
-                let parts = self
-                    .ward
-                    .guard(&runner.id, parts(events, end), harm(Spot::Answer));
+            } => Ok(reply(status, proven, parts(vec![body], StreamEnd::Whole))),
+            Behavior::Stream { parts: events, end } => {
+                let parts =
+                    self.faults
+                        .guard(&runner.id, parts(events, end), fault(FaultSite::Answer));
                 Ok(reply(200, true, parts))
             }
-            Act::Refuse(reason) => Err(Failure::NotRun { reason }),
-            Act::Lose => Err(Failure::Lost {
+            Behavior::Refuse(reason) => Err(Failure::NotRun { reason }),
+            Behavior::Lose => Err(Failure::Lost {
                 reason: "reset".to_owned(),
             }),
-            Act::Silent => {
+            Behavior::Silent => {
                 let id = runner.id.to_string();
                 self.silent.lock().expect("no holder panics").push(id);
                 std::future::pending().await
             }
-            Act::Crash => {
+            Behavior::Crash => {
                 let mut ended = self.ended.lock().expect("no holder panics");
                 ended.push(runner.id.to_string());
                 Ok(reply(
                     200,
                     true,
-                    parts(vec!["id: 1\ndata: x\n\n"], End::Broken),
+                    parts(vec!["id: 1\ndata: x\n\n"], StreamEnd::Broken),
                 ))
             }
         }
@@ -297,13 +303,16 @@
     ) -> Result<Batch, Failure> {
         self.connect(is_open).await?;
         let count = u32::try_from(items.len()).expect("few items");
-        let carried = Carried {
+        let stage_calls = StageCall {
             at: Instant::now(),
             runner: runner.id.to_string(),
             items: items.clone(),
         };
-        self.carried.lock().expect("no holder panics").push(carried);
-        self.ward.connect(&runner.id)?;
+        self.stage_calls
+            .lock()
+            .expect("no holder panics")
+            .push(stage_calls);
+        self.faults.connect(&runner.id)?;
         let deadly = self.deadly_piece.lock().expect("no holder panics").clone();
         if deadly.is_some_and(|deadly| items.iter().any(|item| *item.id == *deadly)) {
             let mut ended = self.ended.lock().expect("no holder panics");
@@ -311,25 +320,25 @@
             let reason = "reset".to_owned();
             return Err(Failure::Lost { reason });
         }
-        let act = self
-            .stage_acts
+        let behavior = self
+            .stage_behaviors
             .lock()
             .expect("no holder panics")
             .pop_front();
         let refused = |made: &Vec<Made>| made.iter().all(|made| *made == Made::NoRoom);
-        let time = match &act {
+        let time = match &behavior {
             // Pieces without room are not worked on.
             Some(Ok(made)) if refused(made) => REFUSAL,
             _ => CALL + PIECE * count,
         };
         let work = items
             .iter()
-            .map(|item| (&*item.id, Spot::Stage(item.stage), item.piece));
-        let cause = self.ward.harm(work);
+            .map(|item| (&*item.id, FaultSite::Stage(item.stage), item.piece));
+        let cause = self.faults.fault(work);
         tokio::select! {
             biased;
-            effect = self.ward.fall(&runner.id, cause) => {
-                let failure = self.ward.outcome(&runner.id, effect, patience);
+            effect = self.faults.failure(&runner.id, cause) => {
+                let failure = self.faults.outcome(&runner.id, effect, patience);
                 return Err(failure.await);
             }
             () = sleep(time.min(patience)) => {}
@@ -341,7 +350,7 @@
             );
             Made::Done(name.into())
         };
-        let made = act.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
+        let made = behavior.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
         let spacing = *self.spacing.lock().expect("no holder panics");
         Ok(Batch { made, spacing })
     }
@@ -358,12 +367,12 @@
 
     async fn has_ended(&self, runner: &Runner) -> bool {
         let ended = self.ended.lock().expect("no holder panics");
-        ended.iter().any(|id| **id == *runner.id) || self.ward.has_ended(&runner.id)
+        ended.iter().any(|id| **id == *runner.id) || self.faults.has_ended(&runner.id)
     }
 
     async fn answers(&self, runner: &Runner) -> bool {
         let silent = self.silent.lock().expect("no holder panics");
-        self.ward.is_well(&runner.id) && silent.iter().all(|id| **id != *runner.id)
+        self.faults.is_well(&runner.id) && silent.iter().all(|id| **id != *runner.id)
     }
 
     fn holder(&self, handle: &Handle) -> Option<SocketAddr> {
@@ -381,8 +390,8 @@
 }
 
 /// A relay that knows nothing yet.
-pub(crate) fn blank(fake: Fake) -> Arc<Relay<Fake>> {
-    blank_as(fake, member())
+pub(crate) fn unconfigured(fake: Fake) -> Arc<Relay<Fake>> {
+    unconfigured_member(fake, member())
 }
 
 fn member() -> Member {
@@ -402,7 +411,7 @@
 }
 
 /// The same as one of several processes.
-pub(crate) fn blank_as(fake: Fake, member: Member) -> Arc<Relay<Fake>> {
+pub(crate) fn unconfigured_member(fake: Fake, member: Member) -> Arc<Relay<Fake>> {
     start(fake, options(member))
 }
 
@@ -439,11 +448,11 @@
 
 /// A relay with [`configuration`] in force and two runners of each service.
 pub(crate) fn ready(fake: Fake) -> Arc<Relay<Fake>> {
-    configured(blank(fake))
+    configured(unconfigured(fake))
 }
 
 /// A relay that knows nothing yet but which regions failure domains are in.
-pub(crate) fn regional(fake: Fake, domains: &[(&str, &str)]) -> Arc<Relay<Fake>> {
+pub(crate) fn with_regions(fake: Fake, domains: &[(&str, &str)]) -> Arc<Relay<Fake>> {
     let region = |(domain, region): &(&str, &str)| ((*domain).into(), (*region).into());
     let options = Options {
         regions: domains.iter().map(region).collect(),
@@ -453,7 +462,7 @@
 }
 
 /// The same with other decisions than those that ship.
-pub(crate) fn choosing(fake: Fake, policy: setting::relay::Policies) -> Arc<Relay<Fake>> {
+pub(crate) fn with_policies(fake: Fake, policy: setting::relay::Policies) -> Arc<Relay<Fake>> {
     let options = Options {
         policy,
         ..options(member())
--- a/crates/relay/tests/common/pair.rs
+++ b/crates/relay/tests/common/pair.rs
@@ -1,7 +1,7 @@
 //! Two relays that are linked, in virtual time.
 
 use super::poison::{add_runners, fake};
-use super::{Fake, blank_as, configured, member_at};
+use super::{Fake, configured, member_at, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, peer};
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member_at(id, listener.address().expect("bound"));
-    let relay = configured(blank_as(fake.clone(), member.clone()));
+    let relay = configured(unconfigured_member(fake.clone(), member.clone()));
     add_runners(&relay, stage, plain);
     tokio::spawn(peer::serve(relay.clone(), listener));
     Node { relay, member }
--- a/crates/relay/tests/common/parts.rs
+++ b/crates/relay/tests/common/parts.rs
@@ -1,6 +1,6 @@
 //! Bodies of the fake's answers.
 
-use super::End;
+use super::StreamEnd;
 use bytes::Bytes;
 use futures::stream::{self, Stream};
 use relay::request::Broken;
@@ -12,7 +12,7 @@
 pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>> + Send>>;
 
 /// Parts that come one every 10 ms.
-pub(crate) fn parts(parts: Vec<&'static str>, end: End) -> Parts {
+pub(crate) fn parts(parts: Vec<&'static str>, end: StreamEnd) -> Parts {
     let parts = parts
         .into_iter()
         .map(|part| Ok(Bytes::from_static(part.as_bytes())));
@@ -25,11 +25,11 @@
         reason: "reset".to_owned(),
     };
     match end {
-        End::Whole => Box::pin(parts),
-        End::Broken => Box::pin(futures::StreamExt::chain(
+        StreamEnd::Whole => Box::pin(parts),
+        StreamEnd::Broken => Box::pin(futures::StreamExt::chain(
             parts,
             stream::iter([Err(broken)]),
         )),
-        End::Silent => Box::pin(futures::StreamExt::chain(parts, stream::pending())),
+        StreamEnd::Silent => Box::pin(futures::StreamExt::chain(parts, stream::pending())),
     }
 }
--- a/crates/relay/tests/common/poison.rs
+++ b/crates/relay/tests/common/poison.rs
@@ -1,6 +1,6 @@
 //! Callers of the staged route, beside one whose request harms runners.
 
-use super::ward::Ward;
+use super::faults::RunnerFaults;
 use super::{Fake, body, ready, request, runner};
 use relay::request::Message;
 use relay::runner::Change;
@@ -131,8 +131,12 @@
     let reply = ask(relay, request).await;
     assert_eq!((reply.status, reply.after), (503, Duration::ZERO));
     assert!(reply.retry_after > Some(Duration::ZERO), "{reply:?}");
-    let carried = calls(relay).into_iter().flatten();
-    assert!(carried.into_iter().all(|carried| carried != *id));
+    let stage_calls = calls(relay).into_iter().flatten();
+    assert!(
+        stage_calls
+            .into_iter()
+            .all(|stage_calls| stage_calls != *id)
+    );
     let mut sent = relay.downstream.sent().into_iter();
     assert!(sent.all(|call| call.id != *id));
 }
@@ -144,9 +148,9 @@
 }
 
 /// Runners that have failed so far, with the requests that did it.
-pub(crate) fn falls(relay: &Relay<Fake>) -> Vec<(String, String)> {
-    let falls = relay.downstream.ward.falls().into_iter();
-    let names = falls.map(|fall| (fall.runner, fall.request.unwrap_or_default()));
+pub(crate) fn failures(relay: &Relay<Fake>) -> Vec<(String, String)> {
+    let failures = relay.downstream.faults.failures().into_iter();
+    let names = failures.map(|failure| (failure.runner, failure.request.unwrap_or_default()));
     names.collect()
 }
 
@@ -196,15 +200,15 @@
 /// Takes runners that have failed from the list, and starts them anew if so wanted.
 pub(crate) fn keep_list(relays: &[&Arc<Relay<Fake>>], back: Option<Duration>) {
     let relays: Vec<Arc<Relay<Fake>>> = relays.iter().map(|relay| Arc::clone(relay)).collect();
-    let ward = relays[0].downstream.ward.clone();
+    let faults = relays[0].downstream.faults.clone();
     tokio::spawn(async move {
-        let mut health = ward.watch();
+        let mut health = faults.watch();
         let mut seen = 0;
         loop {
-            for fall in ward.falls().split_off(seen) {
+            for failure in faults.failures().split_off(seen) {
                 seen += 1;
-                let (relays, ward) = (relays.clone(), ward.clone());
-                tokio::spawn(replace(relays, ward, fall.runner, back, seen as u64));
+                let (relays, faults) = (relays.clone(), faults.clone());
+                tokio::spawn(replace(relays, faults, failure.runner, back, seen as u64));
             }
             if health.changed().await.is_err() {
                 return;
@@ -215,7 +219,7 @@
 
 async fn replace(
     relays: Vec<Arc<Relay<Fake>>>,
-    ward: Ward,
+    faults: RunnerFaults,
     id: String,
     back: Option<Duration>,
     start: u64,
@@ -229,7 +233,7 @@
     }
     let Some(back) = back else { return };
     sleep(back).await;
-    ward.start(&id);
+    faults.start(&id);
     let anew = Runner {
         started: Some(start),
         ..Runner::clone(&known)
@@ -241,10 +245,10 @@
 
 /// Names of the requests whose pieces each call has carried.
 pub(crate) fn calls(relay: &Relay<Fake>) -> Vec<Vec<String>> {
-    let ids = |call: &super::Carried| {
+    let ids = |call: &super::StageCall| {
         let mut ids: Vec<String> = call.items.iter().map(|item| item.id.to_string()).collect();
         ids.dedup();
         ids
     };
-    relay.downstream.carried().iter().map(ids).collect()
+    relay.downstream.stage_calls().iter().map(ids).collect()
 }
--- a/crates/relay/tests/domain_drained.rs
+++ b/crates/relay/tests/domain_drained.rs
@@ -127,7 +127,7 @@
 /// the first list, the drain would never hold there.
 #[tokio::test]
 async fn told_before_the_list() {
-    let relay = common::blank(Fake::default());
+    let relay = common::unconfigured(Fake::default());
     relay.drain(&drains(1, &[DOMAIN]), "test");
     relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
     assert_eq!(known(&relay), 0);
--- a/crates/relay/tests/event_streams.rs
+++ b/crates/relay/tests/event_streams.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Act, End, Fake, body, ready, request};
+use common::{Behavior, Fake, StreamEnd, body, ready, request};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -10,15 +10,15 @@
 const TWO: &str = "id: 2\ndata: b\n\n";
 const THREE: &str = "id: 3\ndata: c\n\n";
 
-fn stream(parts: &[&'static str], end: End) -> Act {
-    Act::Stream {
+fn stream(parts: &[&'static str], end: StreamEnd) -> Behavior {
+    Behavior::Stream {
         parts: parts.to_vec(),
         end,
     }
 }
 
-async fn serve(route: &str, acts: Vec<Act>) -> (Fake, (u16, String, bool)) {
-    let fake = Fake::doing(acts);
+async fn serve(route: &str, behaviors: Vec<Behavior>) -> (Fake, (u16, String, bool)) {
+    let fake = Fake::with_behaviors(behaviors);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", route)).await;
     (fake, body(answer).await)
@@ -28,8 +28,8 @@
 /// caller sees one stream without a gap or a repeat.
 #[tokio::test(start_paused = true)]
 async fn broken_within_event() {
-    let first = stream(&[ONE, "id: 2\nda"], End::Broken);
-    let second = stream(&[TWO, THREE], End::Whole);
+    let first = stream(&[ONE, "id: 2\nda"], StreamEnd::Broken);
+    let second = stream(&[TWO, THREE], StreamEnd::Whole);
     let (fake, answer) = serve("stream", vec![first, second]).await;
     assert_eq!(answer, (200, [ONE, TWO, THREE].concat(), true));
     assert_eq!(fake.sent()[1].resume_after, Some(1));
@@ -39,8 +39,8 @@
 /// the deadline would leave the caller with half an answer.
 #[tokio::test(start_paused = true)]
 async fn silent_within_stream() {
-    let first = stream(&[ONE], End::Silent);
-    let second = stream(&[TWO], End::Whole);
+    let first = stream(&[ONE], StreamEnd::Silent);
+    let second = stream(&[TWO], StreamEnd::Whole);
     let (_, answer) = serve("stream", vec![first, second]).await;
     assert_eq!(answer, (200, [ONE, TWO].concat(), true));
 }
@@ -49,7 +49,7 @@
 /// whole.
 #[tokio::test(start_paused = true)]
 async fn not_resumable() {
-    let (fake, (_, text, whole)) = serve("once", vec![stream(&[ONE], End::Broken)]).await;
+    let (fake, (_, text, whole)) = serve("once", vec![stream(&[ONE], StreamEnd::Broken)]).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
     assert_eq!(fake.sent().len(), 1);
 }
@@ -57,15 +57,15 @@
 /// No other runner can go on: what the caller has is not whole either.
 #[tokio::test(start_paused = true)]
 async fn resumed_in_vain() {
-    let acts = vec![
-        stream(&[ONE], End::Broken),
-        Act::Answer {
+    let behaviors = vec![
+        stream(&[ONE], StreamEnd::Broken),
+        Behavior::Answer {
             status: 500,
             proven: true,
             body: "",
         },
     ];
-    let (_, (_, text, whole)) = serve("stream", acts).await;
+    let (_, (_, text, whole)) = serve("stream", behaviors).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
 }
 
@@ -73,11 +73,14 @@
 /// the text twice and take it for a whole answer.
 #[tokio::test(start_paused = true)]
 async fn resumed_elsewhere() {
-    let acts = vec![stream(&[ONE], End::Broken), stream(&[ONE, TWO], End::Whole)];
-    let (_, (_, text, whole)) = serve("stream", acts).await;
+    let behaviors = vec![
+        stream(&[ONE], StreamEnd::Broken),
+        stream(&[ONE, TWO], StreamEnd::Whole),
+    ];
+    let (_, (_, text, whole)) = serve("stream", behaviors).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
-    let first = stream(&[ONE], End::Broken);
-    let both = stream(&["id: 2\ndata: b\n\nid: 3\ndata: c\n\n"], End::Whole);
+    let first = stream(&[ONE], StreamEnd::Broken);
+    let both = stream(&["id: 2\ndata: b\n\nid: 3\ndata: c\n\n"], StreamEnd::Whole);
     let (_, answer) = serve("stream", vec![first, both]).await;
     assert_eq!(answer, (200, [ONE, TWO, THREE].concat(), true));
 }
@@ -85,7 +88,8 @@
 /// The stream ends well, but within an event. That is no whole answer.
 #[tokio::test(start_paused = true)]
 async fn ends_within_event() {
-    let (_, (_, text, whole)) = serve("once", vec![stream(&[ONE, "id: 2\n"], End::Whole)]).await;
+    let (_, (_, text, whole)) =
+        serve("once", vec![stream(&[ONE, "id: 2\n"], StreamEnd::Whole)]).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
 }
 
@@ -93,7 +97,7 @@
 /// next event: it works for nobody meanwhile.
 #[tokio::test(start_paused = true)]
 async fn caller_left() {
-    let fake = Fake::doing([stream(&[ONE], End::Silent)]);
+    let fake = Fake::with_behaviors([stream(&[ONE], StreamEnd::Silent)]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "once")).await;
     drop(answer);
@@ -110,7 +114,7 @@
 /// A caller goes on with a stream that it has the beginning of. The runner hears after which event.
 #[tokio::test(start_paused = true)]
 async fn caller_resumes() {
-    let fake = Fake::doing([stream(&[THREE], End::Whole)]);
+    let fake = Fake::with_behaviors([stream(&[THREE], StreamEnd::Whole)]);
     let relay = ready(fake.clone());
     let mut request = request("a", "stream");
     request.resume_after = Some(2);
@@ -123,7 +127,7 @@
 /// other without it.
 #[tokio::test(start_paused = true)]
 async fn without_proof() {
-    let forged = || Act::Answer {
+    let forged = || Behavior::Answer {
         status: 200,
         proven: false,
         body: ONE,
@@ -131,6 +135,6 @@
     let (_, (status, text, _)) = serve("once", vec![forged()]).await;
     assert_eq!(status, 502);
     assert!(!text.contains("data"));
-    let (_, answer) = serve("stream", vec![forged(), stream(&[ONE], End::Whole)]).await;
+    let (_, answer) = serve("stream", vec![forged(), stream(&[ONE], StreamEnd::Whole)]).await;
     assert_eq!(answer, (200, ONE.to_owned(), true));
 }
--- a/crates/relay/tests/fleet_start.rs
+++ b/crates/relay/tests/fleet_start.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::service::Service;
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, follow, member, peer};
 use serde_json::json;
@@ -51,7 +51,7 @@
             weight: 1.0,
             since: None,
         };
-        let relay = blank_as(Fake::default(), own);
+        let relay = unconfigured_member(Fake::default(), own);
         let service = self.service.clone();
         self.tasks.spawn(peer::serve(relay.clone(), listener));
         self.tasks
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -11,8 +11,8 @@
 
 /// Answers of runners that are full of what nobody knows of.
 fn full(fake: &Fake, calls: usize) {
-    let mut acts = fake.stage_acts.lock().expect("free");
-    acts.extend(std::iter::repeat_n(Ok(vec![Made::NoRoom]), calls));
+    let mut behaviors = fake.stage_behaviors.lock().expect("free");
+    behaviors.extend(std::iter::repeat_n(Ok(vec![Made::NoRoom]), calls));
 }
 
 fn patient(id: &str) -> Order {
@@ -32,7 +32,7 @@
     let relay = ready(fake.clone());
     let outcome = relay.batcher(&cell()).submit(&relay, patient("a")).await;
     assert_eq!(outcome, Ok(Err(Spoiled::Late)));
-    let calls = fake.carried().len();
+    let calls = fake.stage_calls().len();
     assert!((4..=16).contains(&calls), "{calls} calls to two runners");
 }
 
@@ -104,7 +104,7 @@
     };
     let made = batcher.submit(&relay, large).await;
     assert!(made.expect("an outcome").is_ok());
-    let most = fake.carried().iter().map(|call| call.items.len()).max();
+    let most = fake.stage_calls().iter().map(|call| call.items.len()).max();
     assert!(
         most >= Some(3),
         "{most:?} of 4 pieces that there is room for"
--- a/crates/relay/tests/home_regions.rs
+++ b/crates/relay/tests/home_regions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fake, configuration, regional, request, runner};
+use common::{Fake, configuration, request, runner, with_regions};
 use relay::configuration::{AllowedRegions, Configuration, Limits, Route, Service, Workspace};
 use relay::runner::{Change, Runner};
 use relay::{Answer, Body};
@@ -11,7 +11,7 @@
 /// known.
 async fn serve(route: &[&str], workspace: &[&str]) -> (Fake, Answer) {
     let fake = Fake::default();
-    let relay = regional(fake.clone(), &[("a", "north"), ("b", "south")]);
+    let relay = with_regions(fake.clone(), &[("a", "north"), ("b", "south")]);
     relay.adopt(confined(route, workspace));
     let listed = [("p-n", "a"), ("p-s", "b"), ("p-u", "c")].map(|(id, domain)| {
         Change::Listed(Runner {
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Carried, Fake, choosing, ready, request};
+use common::{Fake, StageCall, ready, request, with_policies};
 use relay::Relay;
 use relay::batch::{Order, Spent};
 use relay::downstream::Handle;
@@ -84,7 +84,7 @@
             fetched,
             ..Policies::default()
         };
-        let relay = choosing(fake.clone(), policy);
+        let relay = with_policies(fake.clone(), policy);
         for number in 0..4 {
             make(&relay, &format!("kept-{number}")).await;
         }
@@ -92,7 +92,7 @@
             let relay = relay.clone();
             async move { relay.serve(request("chained", "chained")).await }
         });
-        while !fake.carried().iter().any(is_second) {
+        while !fake.stage_calls().iter().any(is_second) {
             sleep(Duration::from_millis(5)).await;
         }
         sleep(Duration::from_millis(80)).await;
@@ -111,6 +111,6 @@
     }
 }
 
-fn is_second(call: &Carried) -> bool {
+fn is_second(call: &StageCall) -> bool {
     call.items.iter().any(|item| item.stage == 1)
 }
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -53,8 +53,8 @@
     let relay = ready(Fake::default());
     let made = submit_and_leave(&relay).await.expect("made elsewhere");
     assert_eq!(made.len(), 4);
-    let carried = relay.downstream.carried();
-    let runners: Vec<&str> = carried.iter().map(|call| &*call.runner).collect();
+    let stage_calls = relay.downstream.stage_calls();
+    let runners: Vec<&str> = stage_calls.iter().map(|call| &*call.runner).collect();
     assert_eq!(runners, ["s-2"]);
 }
 
@@ -86,8 +86,8 @@
         relay.update(vec![leaving(&left, service), listed]);
         assert_eq!(waiting.await.expect("it ends"), 200, "{route}");
         let sent = relay.downstream.sent().into_iter().map(|call| call.runner);
-        let carried = relay.downstream.carried().into_iter();
-        let called: Vec<String> = sent.chain(carried.map(|call| call.runner)).collect();
+        let stage_calls = relay.downstream.stage_calls().into_iter();
+        let called: Vec<String> = sent.chain(stage_calls.map(|call| call.runner)).collect();
         assert!(
             !called.contains(&left) && called.contains(&other),
             "{called:?}"
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -5,7 +5,7 @@
 use common::feed::{Script, Told};
 use common::narrow::{Direction, Narrow};
 use common::service::Service;
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, follow, peer};
 use serde_json::{Value, json};
@@ -64,7 +64,7 @@
                 weight: 1.0,
                 since: None,
             };
-            let relay = blank_as(Fake::default(), member.clone());
+            let relay = unconfigured_member(Fake::default(), member.clone());
             tokio::spawn(peer::serve(relay.clone(), listener));
             relays.push(relay);
             members.push(member);
--- a/crates/relay/tests/older_copy.rs
+++ b/crates/relay/tests/older_copy.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, blank, entry, ready};
+use common::{Fake, entry, ready, unconfigured};
 use relay::drain::Drains;
 use relay::{Relay, follow, member};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 }
 
 async fn runners(told: Vec<Told>, time: Duration) -> Vec<String> {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
     sleep(time).await;
     following.abort();
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fake, blank_as, configured, link};
+use common::{Fake, configured, link, unconfigured_member};
 use protocol::quarantine::Crash;
 use relay::Relay;
 use relay::member::{Member, Members};
@@ -35,7 +35,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member(number, listener.address().expect("bound"));
-    let relay = configured(blank_as(Fake::default(), member.clone()));
+    let relay = configured(unconfigured_member(Fake::default(), member.clone()));
     tokio::spawn(peer::serve(relay.clone(), listener));
     (relay, member)
 }
--- a/crates/relay/tests/peer_orders.rs
+++ b/crates/relay/tests/peer_orders.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{Act, End, Fake, blank, body, configuration, member_at, request, runner};
+use common::{
+    Behavior, Fake, StreamEnd, body, configuration, member_at, request, runner, unconfigured,
+};
 use relay::batch::Cell;
 use relay::downstream::Handle;
 use relay::member::Member;
@@ -26,15 +28,15 @@
 
 /// A process that knows the plan and the runners, and takes links.
 async fn node(id: &str) -> Node {
-    let events = (0..8).map(|_| Act::Stream {
+    let events = (0..8).map(|_| Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
-        end: End::Whole,
+        end: StreamEnd::Whole,
     });
-    let fake = Fake::doing(events);
+    let fake = Fake::with_behaviors(events);
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member_at(id, listener.address().expect("bound"));
-    let relay = common::blank_as(fake.clone(), member.clone());
+    let relay = common::unconfigured_member(fake.clone(), member.clone());
     relay.adopt(configuration(1));
     let runners = [("p-1", "plain"), ("s-1", "stage"), ("s-2", "stage")];
     relay.update(
@@ -79,8 +81,8 @@
 async fn made_by_owner() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
-    assert!(asking.fake.carried().is_empty());
-    assert_eq!(owner.fake.carried().len(), 1);
+    assert!(asking.fake.stage_calls().is_empty());
+    assert_eq!(owner.fake.stage_calls().len(), 1);
     assert_eq!(asking.fake.sent()[0].inputs, 3);
 }
 
@@ -93,13 +95,13 @@
     owner.serving.abort();
     drop(owner.serving.await);
     // Its links are still there; it falls silent as if it were frozen.
-    owner.fake.stage_acts.lock().expect("free").clear();
+    owner.fake.stage_behaviors.lock().expect("free").clear();
     asking
         .relay
         .peers
         .members(|members| members.suspect(&owner.member));
     assert_eq!(serve(&asking).await.0, 200);
-    assert_eq!(asking.fake.carried().len(), 1);
+    assert_eq!(asking.fake.stage_calls().len(), 1);
 }
 
 /// The process that forms the calls is asked to stop. It says so: new pieces go elsewhere at once,
@@ -111,12 +113,14 @@
         let relay = asking.relay.clone();
         async move { body(relay.serve(request("b", "staged")).await).await }
     });
-    let carried = || async {
-        while owner.fake.carried().is_empty() {
+    let stage_calls = || async {
+        while owner.fake.stage_calls().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, carried()).await.expect("the order arrives");
+    timeout(LONG, stage_calls())
+        .await
+        .expect("the order arrives");
     owner.relay.peers.leave(&owner.member);
     timeout(LONG, owner.relay.peers.finish())
         .await
@@ -130,7 +134,7 @@
         200
     );
     assert_eq!(serve(&asking).await.0, 200);
-    assert_eq!(asking.fake.carried().len(), 1);
+    assert_eq!(asking.fake.stage_calls().len(), 1);
 }
 
 /// The table service turns one process away, so that it misses a configuration that takes a key
@@ -158,7 +162,7 @@
 /// A process that is alone forms all calls itself.
 #[tokio::test]
 async fn alone() {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let owner = relay.peers.members(|members| members.owner("stage/0"));
     assert_eq!(owner.id, relay.options.member.id);
 }
@@ -184,7 +188,7 @@
         .members(|members| members.suspect(&owner.member));
     assert_eq!(serve(&asking).await.0, 200);
     // Room for one more result there, and all three pieces of the request fit elsewhere.
-    assert_eq!(asking.fake.carried()[0].runner, "s-2");
+    assert_eq!(asking.fake.stage_calls()[0].runner, "s-2");
 }
 
 /// All processes are asked to stop at the same time. They still agree on one that forms the calls;
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, blank, body, configuration, ready, request, runner};
+use common::{Fake, body, configuration, ready, request, runner, unconfigured};
 use relay::configuration::{Configuration, LAST_RANK, Limits, Route, Workspace};
 use relay::follow;
 use relay::runner::Change;
@@ -21,7 +21,7 @@
         Told::Rows(vec![("config", Some(json!("rubbish")))]),
         Told::Rows(vec![("config", None)]),
     ];
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
     sleep(Duration::from_secs(5)).await;
     following.abort();
@@ -37,7 +37,7 @@
 /// not exist: callers would not come back.
 #[tokio::test(start_paused = true)]
 async fn nothing_known() {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let answer = relay.serve(request("a", "safe")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
+use common::faults::{Effect, Fault, FaultSite};
 use common::pair::{Node, pair};
 use common::poison::{
     INNOCENT, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused, assert_served,
-    calls, falls, is_quarantined, keep_list, repeat, share_call,
+    calls, failures, is_quarantined, keep_list, repeat, share_call,
 };
-use common::ward::{Effect, Harm, Spot};
 use protocol::quarantine::CRASHES;
 use relay::Request;
 use std::time::Duration;
@@ -28,10 +28,15 @@
 const RELAYS: usize = 2;
 
 /// Two relays, with a request that does harm to runners there.
-async fn harmed(spot: Spot, effect: Effect, stage: usize, back: Option<Duration>) -> (Node, Node) {
+async fn harmed(
+    site: FaultSite,
+    effect: Effect,
+    stage: usize,
+    back: Option<Duration>,
+) -> (Node, Node) {
     let (asking, owner) = pair(stage, PLAIN).await;
-    let harm = Harm::new(POISON, spot, effect);
-    asking.relay.downstream.ward.set([harm]);
+    let fault = Fault::new(POISON, site, effect);
+    asking.relay.downstream.faults.set([fault]);
     keep_list(&[&asking.relay, &owner.relay], back);
     (asking, owner)
 }
@@ -44,15 +49,18 @@
 /// forms the calls.
 #[tokio::test(start_paused = true)]
 async fn announced_to_admitting() {
-    let (admitting, owner) = harmed(Spot::Stage(0), Effect::Ends, STAGE, None).await;
+    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, None).await;
     let innocent = |number: usize| asking(&format!("one-{number}"), "one");
     let (_, served) = tokio::join!(
         repeat(&admitting.relay, REPEATED, poison),
         repeat(&admitting.relay, REPEATED, innocent),
     );
     assert_served(&served);
-    let falls = falls(&owner.relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    let failures = failures(&owner.relay);
+    assert!(
+        (1..=CRASHES as usize).contains(&failures.len()),
+        "{failures:?}"
+    );
     assert_refused(&admitting.relay, poison(100)).await;
     assert_refused(&owner.relay, poison(101)).await;
 }
@@ -61,9 +69,9 @@
 #[tokio::test(start_paused = true)]
 async fn owner_changes() {
     // Two of four are all that it may end before some are back.
-    let (admitting, owner) = harmed(Spot::Stage(0), Effect::Ends, 4, Some(RETURN)).await;
+    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, 4, Some(RETURN)).await;
     ask(&admitting.relay, poison(0)).await;
-    assert!(!falls(&owner.relay).is_empty());
+    assert!(!failures(&owner.relay).is_empty());
     owner.relay.peers.leave(&owner.member);
     sleep(PAUSE).await;
     let next = admitting
@@ -72,15 +80,15 @@
         .members(|members| members.owner("stage/0"));
     assert_eq!(next.id, admitting.member.id);
     repeat(&admitting.relay, CHANGED, |number| poison(number + 1)).await;
-    let falls = falls(&owner.relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    let failures = failures(&owner.relay);
+    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
     assert_refused(&admitting.relay, poison(100)).await;
 }
 
 /// Guards against crashes that count at the relay alone which admitted the attempt.
 #[tokio::test(start_paused = true)]
 async fn ended_by_turns() {
-    let (one, other) = harmed(Spot::Stage(0), Effect::Ends, STAGE, None).await;
+    let (one, other) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, None).await;
     let begun = Instant::now();
     let mut number = 0;
     while begun.elapsed() < REPEATED {
@@ -89,8 +97,11 @@
         sleep(PAUSE).await;
         number += 1;
     }
-    let falls = falls(&one.relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    let failures = failures(&one.relay);
+    assert!(
+        (1..=CRASHES as usize).contains(&failures.len()),
+        "{failures:?}"
+    );
     assert_refused(&one.relay, poison(100)).await;
     assert_refused(&other.relay, poison(101)).await;
 }
@@ -98,7 +109,7 @@
 /// Guards against runners that a request silences at each relay apart, since none of them tells of it.
 #[tokio::test(start_paused = true)]
 async fn silenced_by_turns() {
-    let (one, other) = harmed(Spot::Model, Effect::Silent, STAGE, None).await;
+    let (one, other) = harmed(FaultSite::Model, Effect::Silent, STAGE, None).await;
     let attempt = |number: usize| Request {
         patience: Some(SHORT),
         ..poison(number)
@@ -108,16 +119,16 @@
         repeat(&other.relay, SILENT, |number| attempt(100 + number)).await
     };
     tokio::join!(repeat(&one.relay, SILENT, attempt), later);
-    let falls = falls(&one.relay);
+    let failures = failures(&one.relay);
     let most = RELAYS * CRASHES as usize;
-    assert!((1..=most).contains(&falls.len()), "{falls:?}");
+    assert!((1..=most).contains(&failures.len()), "{failures:?}");
 }
 
 /// Guards against pieces of others that the relay which forms the calls has lost with a call of the poison
 /// request: the relay that admitted them gets them all the same.
 #[tokio::test(start_paused = true)]
 async fn others_of_admitting() {
-    let (admitting, owner) = harmed(Spot::Stage(0), Effect::Ends, STAGE, Some(RETURN)).await;
+    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, Some(RETURN)).await;
     let beside = async {
         sleep(BUSY).await;
         ask(&owner.relay, poison(0)).await
--- a/crates/relay/tests/poison_pieces.rs
+++ b/crates/relay/tests/poison_pieces.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
+use common::faults::{Effect, Fault, FaultSite};
 use common::poison::{
     INNOCENT, PATIENCE, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused,
-    assert_served, calls, falls, is_quarantined, keep_list, occupy, relay, repeat, replies, reply,
-    send, share_call,
+    assert_served, calls, failures, is_quarantined, keep_list, occupy, relay, repeat, replies,
+    reply, send, share_call,
 };
-use common::ward::{Effect, Harm, Spot};
-use common::{Carried, Fake};
+use common::{Fake, StageCall};
 use protocol::quarantine::CRASHES;
 use relay::{Relay, Request};
 use std::time::Duration;
@@ -29,8 +29,8 @@
 /// Time within which a runner that has ended may still come back.
 const AWAITED: Duration = Duration::from_secs(7);
 
-fn deadly(prefix: &'static str) -> Harm {
-    Harm::new(prefix, Spot::Stage(0), Effect::Ends)
+fn deadly(prefix: &'static str) -> Fault {
+    Fault::new(prefix, FaultSite::Stage(0), Effect::Ends)
 }
 
 /// An attempt of the poison request.
@@ -40,12 +40,16 @@
 
 /// The longest time from the loss of a call until a piece of it that does no harm is sent again.
 fn longest_unmade(relay: &Relay<Fake>) -> Duration {
-    let (falls, carried) = (relay.downstream.ward.falls(), relay.downstream.carried());
+    let (failures, stage_calls) = (
+        relay.downstream.faults.failures(),
+        relay.downstream.stage_calls(),
+    );
     let mut longest = Duration::ZERO;
-    for fall in falls {
-        let is_lost =
-            |(_, call): &(usize, &Carried)| call.runner == fall.runner && call.at <= fall.at;
-        let Some((position, lost)) = carried.iter().enumerate().rfind(is_lost) else {
+    for failure in failures {
+        let is_lost = |(_, call): &(usize, &StageCall)| {
+            call.runner == failure.runner && call.at <= failure.at
+        };
+        let Some((position, lost)) = stage_calls.iter().enumerate().rfind(is_lost) else {
             continue;
         };
         for item in lost
@@ -53,12 +57,12 @@
             .iter()
             .filter(|item| !item.id.starts_with(POISON))
         {
-            let is_same = |again: &&Carried| {
+            let is_same = |again: &&StageCall| {
                 let mut items = again.items.iter();
                 items.any(|other| (&other.id, other.piece) == (&item.id, item.piece))
             };
-            let again = carried[position + 1..].iter().find(is_same);
-            let again = again.map_or(Duration::MAX, |again| again.at - fall.at);
+            let again = stage_calls[position + 1..].iter().find(is_same);
+            let again = again.map_or(Duration::MAX, |again| again.at - failure.at);
             longest = longest.max(again);
         }
     }
@@ -70,7 +74,7 @@
 #[tokio::test(start_paused = true)]
 async fn shared_call() {
     let relay = relay(STAGE, 2);
-    relay.downstream.ward.set([deadly(POISON)]);
+    relay.downstream.faults.set([deadly(POISON)]);
     keep_list(&[&relay], None);
     let (innocent, sent) = share_call(&relay, 0, vec![poison(0)]).await;
     let first = calls(&relay).into_iter();
@@ -80,8 +84,8 @@
     assert_served(&innocent);
     replies(sent).await;
     repeat(&relay, REPEATED, |number| poison(number + 1)).await;
-    let falls = falls(&relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    let failures = failures(&relay);
+    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
     assert_refused(&relay, asking("poison-last", POISON)).await;
     assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
@@ -91,7 +95,7 @@
 #[tokio::test(start_paused = true)]
 async fn made_again() {
     let relay = relay(STAGE, 2);
-    relay.downstream.ward.set([deadly(POISON)]);
+    relay.downstream.faults.set([deadly(POISON)]);
     keep_list(&[&relay], Some(RETURN));
     let begun = Instant::now();
     let (mut round, mut poisoning) = (0, Vec::new());
@@ -105,10 +109,10 @@
         sleep_until(next).await;
         round += 1;
     }
-    let falls = falls(&relay);
+    let failures = failures(&relay);
     assert!(
-        (1..=CRASHES as usize + TRIALS).contains(&falls.len()),
-        "{falls:?}"
+        (1..=CRASHES as usize + TRIALS).contains(&failures.len()),
+        "{failures:?}"
     );
     let longest = longest_unmade(&relay);
     assert!(longest <= REMADE, "{longest:?}");
@@ -130,16 +134,16 @@
         assert_served(&replies(busy).await);
         let one = format!("one-{round}");
         for _ in 0..2 {
-            let carried = relay.downstream.carried();
-            let is_one = |call: &&Carried| call.items.iter().any(|item| *item.id == *one);
-            let last = carried.iter().rfind(is_one).expect("carried");
-            relay.downstream.ward.end(&last.runner);
+            let stage_calls = relay.downstream.stage_calls();
+            let is_one = |call: &&StageCall| call.items.iter().any(|item| *item.id == *one);
+            let last = stage_calls.iter().rfind(is_one).expect("carried");
+            relay.downstream.faults.end(&last.runner);
             sleep(Duration::from_millis(100)).await;
         }
         assert_served(&replies(asked).await);
         sleep(WINDOW).await;
     }
-    assert_eq!(falls(&relay).len(), 2 * ROUNDS);
+    assert_eq!(failures(&relay).len(), 2 * ROUNDS);
     assert!(TEXTS.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
@@ -148,7 +152,7 @@
 #[tokio::test(start_paused = true)]
 async fn last_standing() {
     let relay = relay(3, 2);
-    relay.downstream.ward.set([deadly(POISON)]);
+    relay.downstream.faults.set([deadly(POISON)]);
     keep_list(&[&relay], None);
     let first = ask(&relay, poison(0)).await;
     assert_eq!(first.status, 503, "{first:?}");
@@ -169,15 +173,15 @@
         );
         assert!(poison.after <= PATIENCE / 2 + LOOK, "{poison:?}");
     }
-    let falls = falls(&relay);
-    assert!(falls.len() <= 2, "{falls:?}");
+    let failures = failures(&relay);
+    assert!(failures.len() <= 2, "{failures:?}");
 }
 
 /// Guards against a popular request that is refused since poison requests of many kinds share its calls.
 #[tokio::test(start_paused = true)]
 async fn popular_body() {
     let relay = relay(STAGE, 2);
-    relay.downstream.ward.set([deadly(POISON)]);
+    relay.downstream.faults.set([deadly(POISON)]);
     keep_list(&[&relay], Some(RETURN));
     for round in 0..5 {
         let busy = occupy(&relay, round).await;
@@ -193,14 +197,14 @@
         replies(busy.into_iter().chain([poison])).await;
         sleep(WINDOW).await;
     }
-    assert!(falls(&relay).len() >= 5);
+    assert!(failures(&relay).len() >= 5);
 }
 
 /// Guards against two poison requests in the same calls, each of which hides the other one.
 #[tokio::test(start_paused = true)]
 async fn two_poisons() {
     let relay = relay(STAGE, 2);
-    relay.downstream.ward.set([deadly(POISON)]);
+    relay.downstream.faults.set([deadly(POISON)]);
     keep_list(&[&relay], Some(RETURN));
     let other = |number: usize| asking(&format!("{POISON}-other-{number}"), "other poison");
     let (innocent, poisons) = share_call(&relay, 0, vec![poison(0), other(0)]).await;
@@ -210,8 +214,8 @@
         repeat(&relay, REPEATED, |number| poison(number + 1)),
         repeat(&relay, REPEATED, |number| other(number + 1)),
     );
-    let falls = falls(&relay);
-    assert!(falls.len() <= 2 * CRASHES as usize, "{falls:?}");
+    let failures = failures(&relay);
+    assert!(failures.len() <= 2 * CRASHES as usize, "{failures:?}");
     assert_served(&[ask(&relay, asking("one-last", "one")).await]);
 }
 
@@ -220,11 +224,11 @@
 #[tokio::test(start_paused = true)]
 async fn one_piece() {
     let relay = relay(STAGE, 2);
-    let harm = Harm {
+    let fault = Fault {
         piece: Some(5),
         ..deadly(POISON)
     };
-    relay.downstream.ward.set([harm]);
+    relay.downstream.faults.set([fault]);
     keep_list(&[&relay], Some(RETURN));
     let large = |number: usize| Request {
         pieces: vec![10],
@@ -234,8 +238,8 @@
     assert_served(&innocent);
     replies(sent).await;
     repeat(&relay, REPEATED, |number| large(number + 1)).await;
-    let falls = falls(&relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    let failures = failures(&relay);
+    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
     assert_refused(&relay, large(100)).await;
     assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
--- a/crates/relay/tests/poison_places.rs
+++ b/crates/relay/tests/poison_places.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::Fake;
+use common::faults::{Effect, Fault, FaultSite};
 use common::poison::{
-    INNOCENT, POISON, REPEATED, RETURN, STAGE, ask, asking_on, assert_served, falls, keep_list,
+    INNOCENT, POISON, REPEATED, RETURN, STAGE, ask, asking_on, assert_served, failures, keep_list,
     occupy, relay, repeat, replies, reply, send,
 };
-use common::ward::{Effect, Harm, Spot};
 use protocol::quarantine::CRASHES;
 use relay::downstream::Item;
 use relay::{Relay, Request};
@@ -22,11 +22,11 @@
 const PLACES: [&str; 2] = ["poison-first", "poison-second"];
 
 /// A relay with runners for a request that ends them at these places.
-fn harmed(spots: [Spot; 2]) -> Arc<Relay<Fake>> {
+fn harmed(sites: [FaultSite; 2]) -> Arc<Relay<Fake>> {
     let relay = relay(STAGE, STAGE);
-    let harms = PLACES.into_iter().zip(spots);
-    let harms = harms.map(|(prefix, spot)| Harm::new(prefix, spot, Effect::Ends));
-    relay.downstream.ward.set(harms);
+    let faults = PLACES.into_iter().zip(sites);
+    let faults = faults.map(|(prefix, site)| Fault::new(prefix, site, Effect::Ends));
+    relay.downstream.faults.set(faults);
     keep_list(&[&relay], Some(RETURN));
     relay
 }
@@ -50,26 +50,26 @@
     let attempt = |number| by_turns(route, number);
     let (_, innocent) = tokio::join!(repeat(relay, REPEATED, attempt), innocent);
     assert_served(&innocent);
-    let falls = falls(relay);
+    let failures = failures(relay);
     for prefix in PLACES {
-        let there = falls.iter().filter(|(_, by)| by.starts_with(prefix));
-        assert!(there.count() <= CRASHES as usize, "{prefix}: {falls:?}");
+        let there = failures.iter().filter(|(_, by)| by.starts_with(prefix));
+        assert!(there.count() <= CRASHES as usize, "{prefix}: {failures:?}");
     }
-    assert!(!falls.is_empty());
+    assert!(!failures.is_empty());
 }
 
 /// Guards against a request whose first stage is made by runners that live, which says nothing of its
 /// second one.
 #[tokio::test(start_paused = true)]
 async fn second_stage() {
-    let relay = harmed([Spot::Stage(1), Spot::Stage(1)]);
+    let relay = harmed([FaultSite::Stage(1), FaultSite::Stage(1)]);
     assert_bounded(&relay, "chained").await;
 }
 
 /// Guards against a request that is known at one stage and goes on to end the runners of another one.
 #[tokio::test(start_paused = true)]
 async fn both_stages() {
-    let relay = harmed([Spot::Stage(0), Spot::Stage(1)]);
+    let relay = harmed([FaultSite::Stage(0), FaultSite::Stage(1)]);
     assert_bounded(&relay, "chained").await;
 }
 
@@ -77,14 +77,14 @@
 /// are made for one that the model's runners do not survive.
 #[tokio::test(start_paused = true)]
 async fn stage_and_model() {
-    let relay = harmed([Spot::Stage(0), Spot::Model]);
+    let relay = harmed([FaultSite::Stage(0), FaultSite::Model]);
     assert_bounded(&relay, "staged").await;
 }
 
 /// Guards against innocent pieces of a later stage that are lost with a call of the poison request.
 #[tokio::test(start_paused = true)]
 async fn later_call_shared() {
-    let relay = harmed([Spot::Stage(1), Spot::Stage(1)]);
+    let relay = harmed([FaultSite::Stage(1), FaultSite::Stage(1)]);
     let begun = Instant::now();
     let mut asked = occupy(&relay, 0).await;
     let poison = send(&relay, by_turns("chained", 0)).await;
@@ -103,11 +103,16 @@
     }
     assert_served(&replies(asked).await);
     assert_eq!(reply(poison).await.status, 503);
-    let carried = relay.downstream.carried();
+    let stage_calls = relay.downstream.stage_calls();
     let is_deadly = |item: &Item| item.stage == 1 && item.id.starts_with(POISON);
-    let first = carried.iter().find(|call| call.items.iter().any(is_deadly));
+    let first = stage_calls
+        .iter()
+        .find(|call| call.items.iter().any(is_deadly));
     assert!(first.is_some_and(|call| call.items.len() > 1));
     assert_served(&[ask(&relay, asking_on("chained", "one-again", "one")).await]);
-    let falls = falls(&relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    let failures = failures(&relay);
+    assert!(
+        (1..=CRASHES as usize).contains(&failures.len()),
+        "{failures:?}"
+    );
 }
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Act, End, Fake, body, ready, request, runner};
+use common::{Behavior, Fake, StreamEnd, body, ready, request, runner};
 use protocol::quarantine::Crash;
 use relay::quarantine::Suspicion;
 use relay::request::Message;
@@ -48,11 +48,11 @@
 /// Serves an attempt whose stream breaks at the runner that it is sent to; gives the status and that
 /// runner.
 async fn broken(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
-    let crash = Act::Stream {
+    let crash = Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
-        end: End::Broken,
+        end: StreamEnd::Broken,
     };
-    *relay.downstream.acts.lock().expect("free") = [crash].into();
+    *relay.downstream.behaviors.lock().expect("free") = [crash].into();
     let before = relay.downstream.sent().len();
     let answer = relay.serve(request).await;
     let (status, ..) = body(answer).await;
@@ -88,11 +88,11 @@
 
 /// The next call is answered as it should be.
 fn whole(relay: &Relay<Fake>) {
-    let whole = Act::Stream {
+    let whole = Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
-        end: End::Whole,
+        end: StreamEnd::Whole,
     };
-    *relay.downstream.acts.lock().expect("free") = [whole].into();
+    *relay.downstream.behaviors.lock().expect("free") = [whole].into();
 }
 
 /// Serves an attempt whose caller asks for something else.
@@ -123,7 +123,7 @@
 async fn listed_on() {
     let relay = relay();
     for number in 0..3 {
-        *relay.downstream.acts.lock().expect("free") = [Act::Crash].into();
+        *relay.downstream.behaviors.lock().expect("free") = [Behavior::Crash].into();
         body(relay.serve(poison(&format!("q{number}"))).await).await;
         sleep(PAUSE).await;
     }
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::Fake;
+use common::faults::{Effect, Fault, FaultSite};
 use common::poison::{
-    INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, falls,
+    INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, failures,
     is_quarantined, keep_list, relay, repeat, replies, share_call,
 };
-use common::ward::{Effect, Harm, Spot};
 use protocol::quarantine::CRASHES;
 use relay::{Relay, Request};
 use std::sync::Arc;
@@ -28,10 +28,10 @@
 const FEW: usize = 6;
 
 /// A relay with runners that attempts of the poison request silence there.
-fn silenced(spot: Spot) -> Arc<Relay<Fake>> {
+fn silenced(site: FaultSite) -> Arc<Relay<Fake>> {
     let relay = relay(STAGE, PLAIN);
-    let harm = Harm::new(POISON, spot, Effect::Silent);
-    relay.downstream.ward.set([harm]);
+    let fault = Fault::new(POISON, site, Effect::Silent);
+    relay.downstream.faults.set([fault]);
     keep_list(&[&relay], None);
     relay
 }
@@ -54,7 +54,10 @@
 /// Attempts of others are refused by nobody, and served unless the model's runner had fallen silent or did so
 /// under them.
 fn assert_unharmed(relay: &Relay<Fake>, replies: &[Reply]) {
-    let silent: Vec<String> = falls(relay).into_iter().map(|(runner, _)| runner).collect();
+    let silent: Vec<String> = failures(relay)
+        .into_iter()
+        .map(|(runner, _)| runner)
+        .collect();
     let sent = relay.downstream.sent();
     for (number, reply) in replies.iter().enumerate() {
         let id = innocent(number, SHORT).id;
@@ -66,8 +69,8 @@
 }
 
 /// Repeats the request beside innocent ones; few runners fall silent, and all others are served in the end.
-async fn assert_bounded(spot: Spot, patience: Duration, time: Duration) {
-    let relay = silenced(spot);
+async fn assert_bounded(site: FaultSite, patience: Duration, time: Duration) {
+    let relay = silenced(site);
     let (_, others) = tokio::join!(
         repeat(&relay, time, |number| poison(number, patience)),
         repeat(&relay, time, |number| innocent(number, patience)),
@@ -79,40 +82,43 @@
 }
 
 fn assert_few(relay: &Relay<Fake>) {
-    let falls = falls(relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    let failures = failures(relay);
+    assert!(
+        (1..=CRASHES as usize).contains(&failures.len()),
+        "{failures:?}"
+    );
 }
 
 /// Guards against a request that silences one runner after the other before the list tells of the first
 /// one.
 #[tokio::test(start_paused = true)]
 async fn short_patience() {
-    assert_bounded(Spot::Model, SHORT, REPEATED).await;
+    assert_bounded(FaultSite::Model, SHORT, REPEATED).await;
 }
 
 /// Guards against runners that leave the list while their callers still wait: their answers are noted as
 /// lost only after that.
 #[tokio::test(start_paused = true)]
 async fn listed_first() {
-    assert_bounded(Spot::Model, LONG, REPEATED_SLOWLY).await;
+    assert_bounded(FaultSite::Model, LONG, REPEATED_SLOWLY).await;
 }
 
 /// Guards against runners that fall silent in the middle of a stream, which ends as late.
 #[tokio::test(start_paused = true)]
 async fn silent_stream() {
-    assert_bounded(Spot::Answer, SHORT, REPEATED).await;
+    assert_bounded(FaultSite::Answer, SHORT, REPEATED).await;
 }
 
 /// Guards against runners of a stage that fall silent.
 #[tokio::test(start_paused = true)]
 async fn silent_stage() {
-    assert_bounded(Spot::Stage(0), LONG, REPEATED).await;
+    assert_bounded(FaultSite::Stage(0), LONG, REPEATED).await;
 }
 
 /// Guards against pieces of others that are lost with the call of the request that silenced their runner.
 #[tokio::test(start_paused = true)]
 async fn silent_call_shared() {
-    let relay = silenced(Spot::Stage(0));
+    let relay = silenced(FaultSite::Stage(0));
     let (innocent, sent) = share_call(&relay, 0, vec![poison(0, LONG)]).await;
     assert_served(&innocent);
     assert_eq!(replies(sent).await[0].status, 503);
@@ -123,7 +129,7 @@
 /// Guards against callers that leave before their time is over, so that no answer counts as lost.
 #[tokio::test(start_paused = true)]
 async fn callers_leave() {
-    let relay = silenced(Spot::Model);
+    let relay = silenced(FaultSite::Model);
     for number in 0..7 {
         let asking = ask(&relay, poison(number, LONG));
         // It leaves then, unless it has been refused.
@@ -138,8 +144,8 @@
 #[tokio::test(start_paused = true)]
 async fn slow_runners() {
     let relay = relay(STAGE, FEW);
-    let harm = Harm::new("popular", Spot::Model, Effect::Stalls);
-    relay.downstream.ward.set([harm]);
+    let fault = Fault::new("popular", FaultSite::Model, Effect::Stalls);
+    relay.downstream.faults.set([fault]);
     let popular = |number: usize| Request {
         patience: Some(SHORT),
         ..asking(&format!("popular-{number}"), "popular")
@@ -150,7 +156,7 @@
         answer_another(&relay, &sent.last().expect("sent").runner, number).await;
     }
     assert!(!is_quarantined(&relay, "popular"));
-    relay.downstream.ward.set([]);
+    relay.downstream.faults.set([]);
     assert_served(&[ask(&relay, popular(100)).await]);
 }
 
@@ -174,8 +180,8 @@
 async fn slow_then_ended() {
     let relay = relay(STAGE, FEW);
     keep_list(&[&relay], None);
-    let harm = Harm::new("popular", Spot::Model, Effect::Stalls);
-    relay.downstream.ward.set([harm]);
+    let fault = Fault::new("popular", FaultSite::Model, Effect::Stalls);
+    relay.downstream.faults.set([fault]);
     for number in 0..4 {
         let popular = Request {
             patience: Some(SHORT),
@@ -185,10 +191,10 @@
         let sent = relay.downstream.sent();
         let slow = &sent.last().expect("sent").runner;
         answer_another(&relay, slow, number).await;
-        relay.downstream.ward.end(slow);
+        relay.downstream.faults.end(slow);
         sleep(LISTED).await;
     }
-    relay.downstream.ward.set([]);
+    relay.downstream.faults.set([]);
     assert!(!is_quarantined(&relay, "popular"));
     assert_served(&[ask(&relay, asking("popular-last", "popular")).await]);
 }
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Act, Fake, body, ready, request, runner};
+use common::{Behavior, Fake, body, ready, request, runner};
 use protocol::quarantine::CRASHES;
 use relay::Relay;
 use relay::batch::Order;
@@ -49,7 +49,7 @@
     let relay = relay();
     let mut silenced = BTreeSet::new();
     for number in 0..ATTEMPTS {
-        *relay.downstream.acts.lock().expect("free") = [Act::Silent].into();
+        *relay.downstream.behaviors.lock().expect("free") = [Behavior::Silent].into();
         let mut attempt = request(&format!("q{number}"), "once");
         attempt.patience = Some(PAUSE / 2);
         let before = relay.downstream.sent().len();
@@ -72,13 +72,13 @@
     let mut ended = BTreeSet::new();
     for number in 0..ATTEMPTS {
         *relay.downstream.deadly_piece.lock().expect("free") = Some(format!("poison-{number}"));
-        let before = relay.downstream.carried().len();
+        let before = relay.downstream.stage_calls().len();
         let deadly = Order {
             last: Instant::now() + PAUSE / 2,
             ..order(&format!("poison-{number}"), 1)
         };
         let _ = relay.batcher(&cell()).submit(&relay, deadly).await;
-        for call in relay.downstream.carried().split_off(before) {
+        for call in relay.downstream.stage_calls().split_off(before) {
             if !relay
                 .downstream
                 .ended
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Act, Fake, SINCE_START, blank, body, configuration, entry, request};
+use common::{Behavior, Fake, SINCE_START, body, configuration, entry, request, unconfigured};
 use relay::downstream::NotRun;
 use relay::{Relay, follow};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 
 /// A relay that has heard the first of what the feed tells.
 async fn following(fake: &Fake, told: Vec<Told>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
-    let relay = blank(fake.clone());
+    let relay = unconfigured(fake.clone());
     relay.adopt(configuration(1));
     let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
     sleep(Duration::from_millis(700)).await;
@@ -111,7 +111,7 @@
 /// of the time that the steady clock left, the next runner would work for nobody.
 #[tokio::test(start_paused = true)]
 async fn time_left() {
-    let fake = Fake::doing([Act::Refuse(NotRun::Full { spacing: None })]);
+    let fake = Fake::with_behaviors([Behavior::Refuse(NotRun::Full { spacing: None })]);
     let told = vec![Told::Rows(vec![
         ("p-1", entry("plain")),
         ("p-2", entry("plain")),
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -142,7 +142,7 @@
             domain: "a".into(),
             since: None,
         };
-        let relay = common::blank_as(Fake::default(), member(own));
+        let relay = common::unconfigured_member(Fake::default(), member(own));
         relay.adopt(common::configuration(1));
         relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
         relay.peers.members(|members| {
@@ -163,7 +163,7 @@
 
 /// Runners of a stage name a limit as well. The process that forms their calls keeps to it.
 #[tokio::test(start_paused = true)]
-async fn stage_calls() {
+async fn stage_limit_kept() {
     let relay = ready(Fake::default());
     limit(&relay, Some(Duration::from_secs(1)));
     let serving = (0..40).map(|number| {
@@ -175,7 +175,7 @@
     });
     let serving: Vec<_> = serving.collect();
     sleep(Duration::from_secs(4)).await;
-    let calls = relay.downstream.carried().len();
+    let calls = relay.downstream.stage_calls().len();
     assert!((6..=2 * 5).contains(&calls), "{calls}");
     serving.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/relay/tests/runner_list.rs
+++ b/crates/relay/tests/runner_list.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, blank, entry};
+use common::{Fake, entry, unconfigured};
 use relay::{Relay, follow};
 use serde_json::json;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 async fn follow_for(told: Vec<Told>, time: Duration) -> Arc<Relay<Fake>> {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
     sleep(time).await;
     following.abort();
--- a/crates/relay/tests/slow_callers.rs
+++ b/crates/relay/tests/slow_callers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Act, End, Fake, body, ready, request};
+use common::{Behavior, Fake, StreamEnd, body, ready, request};
 use relay::{Body, Relay};
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 
 fn streaming(length: usize) -> Fake {
     let parts = events(length);
-    let end = End::Whole;
-    Fake::doing([Act::Stream { parts, end }])
+    let end = StreamEnd::Whole;
+    Fake::with_behaviors([Behavior::Stream { parts, end }])
 }
 
 /// Calls that count as being at runners.
@@ -86,9 +86,9 @@
     let relay = ready(fake.clone());
     let mut answers = Vec::new();
     for caller in 0..100 {
-        let (parts, end) = (events(64 << 10), End::Whole);
-        let act = Act::Stream { parts, end };
-        fake.acts.lock().expect("free").push_back(act);
+        let (parts, end) = (events(64 << 10), StreamEnd::Whole);
+        let behavior = Behavior::Stream { parts, end };
+        fake.behaviors.lock().expect("free").push_back(behavior);
         answers.push(relay.serve(request(&format!("a{caller}"), "stream")).await);
     }
     sleep(Duration::from_secs(2)).await;
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Act, End, Fake, body, choosing, inputs, ready, request, runner};
+use common::{Behavior, Fake, StreamEnd, body, inputs, ready, request, runner, with_policies};
 use relay::Relay;
 use relay::batch::{Order, Spent};
 use relay::downstream::{Failure, Handle, Made, NotRun};
@@ -32,7 +32,11 @@
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 4]);
 }
 
@@ -46,12 +50,16 @@
         admission: Policy::Naive,
         ..Policies::default()
     };
-    let relay = choosing(fake.clone(), naive);
+    let relay = with_policies(fake.clone(), naive);
     let orders = ["a", "b", "c", "d"].map(|id| submit(&relay, order(id, 2)));
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
@@ -64,7 +72,7 @@
             admission,
             ..Policies::default()
         };
-        let relay = choosing(Fake::default(), policy);
+        let relay = with_policies(Fake::default(), policy);
         for number in 0..8 {
             let order = Order {
                 due: Instant::now() + Duration::from_secs(3),
@@ -93,9 +101,9 @@
 #[tokio::test(start_paused = true)]
 async fn results_handed_on() {
     let events = vec!["id: 1\ndata: x\n\n"];
-    let fake = Fake::doing([Act::Stream {
+    let fake = Fake::with_behaviors([Behavior::Stream {
         parts: events,
-        end: End::Whole,
+        end: StreamEnd::Whole,
     }]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "chained")).await;
@@ -104,7 +112,7 @@
         (200, "id: 1\ndata: x\n\n".to_owned(), true)
     );
     let items: Vec<_> = fake
-        .carried()
+        .stage_calls()
         .into_iter()
         .flat_map(|call| call.items)
         .collect();
@@ -122,11 +130,14 @@
     let lost = Failure::Lost {
         reason: "reset".to_owned(),
     };
-    fake.stage_acts.lock().expect("free").push_back(Err(lost));
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(Err(lost));
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_eq!(calls.len(), 2);
     assert_ne!(calls[0].runner, calls[1].runner);
 }
@@ -144,7 +155,7 @@
         assert!(outcome.await.is_ok());
     }
     sleep(Duration::from_secs(1)).await;
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert!(
         calls
             .iter()
@@ -166,7 +177,7 @@
     for outcome in busy {
         assert!(outcome.await.is_ok());
     }
-    assert_eq!(fake.carried().len(), 2);
+    assert_eq!(fake.stage_calls().len(), 2);
 }
 
 /// The process that formed a runner's calls is gone, and another one does so now. It hears of
@@ -176,7 +187,7 @@
 async fn results_of_another_owner() {
     let fake = Fake::default();
     let no_room = || Ok(vec![Made::NoRoom]);
-    fake.stage_acts
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend([no_room(), no_room()]);
@@ -204,11 +215,14 @@
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
     let no_room = Ok(vec![Made::NoRoom, Made::NoRoom]);
-    fake.stage_acts.lock().expect("free").push_back(no_room);
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(no_room);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_ne!(calls[0].runner, calls[1].runner);
 }
 
@@ -219,7 +233,7 @@
     let full = Err(Failure::NotRun {
         reason: NotRun::Full { spacing: None },
     });
-    fake.stage_acts.lock().expect("free").push_back(full);
+    fake.stage_behaviors.lock().expect("free").push_back(full);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
@@ -274,7 +288,7 @@
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
     let gone = || Ok(vec![Made::InputGone]);
-    fake.stage_acts
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend((0..4).map(|_| gone()));
@@ -286,7 +300,7 @@
     for id in ["b", "c", "d", "e"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
-    let runners: Vec<String> = fake.carried()[4..]
+    let runners: Vec<String> = fake.stage_calls()[4..]
         .iter()
         .map(|call| call.runner.clone())
         .collect();
@@ -301,15 +315,15 @@
 /// be given up: the caller is left with half an answer, after all the work that went into it.
 #[tokio::test(start_paused = true)]
 async fn remade_midway() {
-    let part = |parts: &[&'static str], end| Act::Stream {
+    let part = |parts: &[&'static str], end| Behavior::Stream {
         parts: parts.to_vec(),
         end,
     };
     let reason = NotRun::InputGone;
-    let fake = Fake::doing([
-        part(&["id: 1\ndata: x\n\n"], End::Silent),
-        Act::Refuse(reason),
-        part(&["id: 2\ndata: y\n\n"], End::Whole),
+    let fake = Fake::with_behaviors([
+        part(&["id: 1\ndata: x\n\n"], StreamEnd::Silent),
+        Behavior::Refuse(reason),
+        part(&["id: 2\ndata: y\n\n"], StreamEnd::Whole),
     ]);
     let relay = ready(fake.clone());
     relay.update(vec![Change::Listed(runner("p-3", "plain"))]);
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{Script, Told};
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::follow::{self, Source};
 use relay::member::{Member, Members};
 use relay::peer::{self, Frame, News};
@@ -56,7 +56,7 @@
             address,
             ..member(0)
         };
-        let relay = blank_as(Fake::default(), teller);
+        let relay = unconfigured_member(Fake::default(), teller);
         tokio::spawn(peer::serve(relay.clone(), listener));
         tokio::spawn(follow::runners(relay, Script::new(told)));
         let (sender, receiver) = wire::connect(address, &key).await.expect("linked");
@@ -164,7 +164,7 @@
     let told = vec![Told::At(5, vec![("r-old", entry("plain"))]), quiet];
     let asking = Asking::new(told).await;
     sleep(Duration::from_secs(2)).await;
-    let relay = blank_as(Fake::default(), member(39));
+    let relay = unconfigured_member(Fake::default(), member(39));
     relay.peers.members(|known| {
         *known = members(39, 40);
         let upstream = known.upstream().expect("one of forty");
@@ -194,7 +194,7 @@
 /// itself before what it knows is too old.
 #[tokio::test(start_paused = true)]
 async fn tellers_gone() {
-    let relay = blank_as(Fake::default(), member(39));
+    let relay = unconfigured_member(Fake::default(), member(39));
     relay.peers.members(|known| *known = members(39, 40));
     assert!(relay.peers.members(|known| known.upstream()).is_some());
     let quiet = (0..4).map(|_| Told::Quiet);
--- a/crates/relay/tests/urgent_kind.rs
+++ b/crates/relay/tests/urgent_kind.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{Fake, blank, configuration, request, runner};
+use common::{Fake, configuration, request, runner, unconfigured};
 use relay::Relay;
 use relay::configuration::{Configuration, Kind, Limits, Route, Service, Workspace};
 use relay::runner::Change;
@@ -45,7 +45,7 @@
 }
 
 fn serving() -> Arc<Relay<Fake>> {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     relay.adopt(ranked());
     let runners = [("p-1", "plain"), ("s-1", "stage"), ("s-2", "stage")];
     let listed = runners.map(|(id, service)| Change::Listed(runner(id, service)));
