--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 pub(crate) use configurations::{configuration, configuration_with_routes};
-use decide::retry::window::Bound;
+use decide::retry::window::RepeatLimit;
 use faults::{FaultSite, RunnerFaults};
 use parts::{Parts, parts};
 use relay::downstream::{
@@ -418,7 +418,7 @@
 fn options(member: Member) -> Options {
     Options {
         domain: "a".into(),
-        retry_bound: Bound {
+        retry_bound: RepeatLimit {
             ratio: 0.2,
             slack: 40.0,
             window: Duration::from_secs(10),
