--- a/crates/protocol/src/roster.rs
+++ b/crates/protocol/src/activation.rs
@@ -13,52 +13,52 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::roster::Roster;
+/// use protocol::activation::Activation;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut roster = Roster::new(second * 2, second);
-/// roster.enlisted(Duration::ZERO);
+/// let mut roster = Activation::new(second * 2, second);
+/// roster.mark_registered(Duration::ZERO);
 /// roster.read(second * 2);
-/// assert!(!roster.acts(second * 2), "others may not know it yet");
-/// assert!(roster.acts(second * 3));
-/// assert!(!roster.acts(second * 5), "its list is too old");
+/// assert!(!roster.may_act(second * 2), "others may not know it yet");
+/// assert!(roster.may_act(second * 3));
+/// assert!(!roster.may_act(second * 5), "its list is too old");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Roster {
+pub struct Activation {
     /// Greatest age of a list that is acted on.
     most: Duration,
     /// Time that lies between the last act of one process and the first of the one that takes its
     /// place, at least.
     apart: Duration,
     /// Since when the own row has been on the list.
-    enlisted: Option<Duration>,
+    registered: Option<Duration>,
     /// Whether the own row was known to all that act before the start.
     settled: bool,
     /// Moment at which the list held no row that is not known.
     current: Option<Duration>,
 }
 
-impl Roster {
+impl Activation {
     /// One whose row is not on the list yet, and that knows nothing of the list.
     #[must_use]
     pub fn new(most: Duration, apart: Duration) -> Self {
         Self {
             most,
             apart,
-            enlisted: None,
+            registered: None,
             settled: false,
             current: None,
         }
     }
 
     /// The own row is on the list.
-    pub fn enlisted(&mut self, now: Duration) {
-        self.enlisted.get_or_insert(now);
+    pub fn mark_registered(&mut self, now: Duration) {
+        self.registered.get_or_insert(now);
     }
 
     /// The own row says that an earlier start under the same name had waited for long enough.
-    pub fn settle(&mut self) {
+    pub fn mark_known(&mut self) {
         self.settled = true;
     }
 
@@ -69,23 +69,23 @@
 
     /// The process did not run for a while that its clock may not have counted: the age of what it
     /// knows cannot be told.
-    pub fn forget(&mut self) {
+    pub fn invalidate(&mut self) {
         self.current = None;
     }
 
     /// When the own row is known to all that act; `None` before it is on the list.
     #[must_use]
-    pub fn settles(&self) -> Option<Duration> {
+    pub fn known_from(&self) -> Option<Duration> {
         if self.settled {
             return Some(Duration::ZERO);
         }
-        Some(self.enlisted? + self.most + self.apart)
+        Some(self.registered? + self.most + self.apart)
     }
 
     /// Whether the process may act now, if it has a place by the names that it knows.
     #[must_use]
-    pub fn acts(&self, now: Duration) -> bool {
-        let known = self.settles().is_some_and(|moment| moment <= now);
+    pub fn may_act(&self, now: Duration) -> bool {
+        let known = self.known_from().is_some_and(|moment| moment <= now);
         let fresh = |current: Duration| now.saturating_sub(current) <= self.most;
         known && self.current.is_some_and(fresh)
     }
--- a/crates/protocol/src/fetch.rs
+++ b/crates/protocol/src/fetch.rs
@@ -12,7 +12,7 @@
 
 /// Asks a source for the next part of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question<S> {
+pub struct PartRequest<S> {
     /// Whom to ask.
     pub source: S,
     /// The version.
@@ -38,15 +38,15 @@
 
 /// What becomes of the bytes of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take<S> {
+pub enum PartAction<S> {
     /// They follow those that are there; the next question, or none if the version is complete.
-    Append(Option<Question<S>>),
+    Append(Option<PartRequest<S>>),
     /// They replace those that are there, which belong to another encoding; likewise.
-    Restart(Option<Question<S>>),
+    Restart(Option<PartRequest<S>>),
     /// They were not asked for.
     Ignore,
     /// They belong to another encoding and are not its first: it is asked for from its beginning.
-    Reset(Question<S>),
+    Reset(PartRequest<S>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::fetch::{Fetch, Part, Take};
+/// use protocol::fetch::{Fetch, Part, PartAction};
 /// use std::time::Duration;
 ///
 /// let now = Duration::ZERO;
@@ -74,7 +74,7 @@
 /// // Another source of the same version is kept in reserve.
 /// assert_eq!(fetch.offer("b", 7, now), None);
 /// let part = Part { version: 7, digest: 1, offset: 0, length: 10, total: 10 };
-/// assert_eq!(fetch.part(&"a", part, now), Take::Append(None));
+/// assert_eq!(fetch.part(&"a", part, now), PartAction::Append(None));
 /// ```
 #[derive(Debug)]
 pub struct Fetch<S> {
@@ -104,7 +104,7 @@
     }
 
     /// A source has a version; gives the question if this begins a fetch.
-    pub fn offer(&mut self, source: S, version: Version, now: Duration) -> Option<Question<S>> {
+    pub fn offer(&mut self, source: S, version: Version, now: Duration) -> Option<PartRequest<S>> {
         if self.is_known(version) {
             return None;
         }
@@ -124,7 +124,7 @@
     }
 
     /// A version has become known, by whatever way; gives the question if a newer one is left to be fetched.
-    pub fn note_known(&mut self, version: Version, now: Duration) -> Option<Question<S>> {
+    pub fn note_known(&mut self, version: Version, now: Duration) -> Option<PartRequest<S>> {
         self.known = self.known.max(Some(version));
         self.offers.retain(|(_, offered)| *offered > version);
         match &self.current {
@@ -134,7 +134,7 @@
     }
 
     /// A source is gone.
-    pub fn lost(&mut self, source: &S, now: Duration) -> Option<Question<S>> {
+    pub fn lost(&mut self, source: &S, now: Duration) -> Option<PartRequest<S>> {
         self.offers.retain(|(other, _)| other != source);
         let current = self.current.as_ref()?;
         if current.source != *source {
@@ -144,7 +144,7 @@
     }
 
     /// Goes on with another source where the present one has been silent for too long.
-    pub fn tick(&mut self, now: Duration) -> Option<Question<S>> {
+    pub fn tick(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let current = self.current.as_ref()?;
         if now < current.progress + self.patience {
             return None;
@@ -157,20 +157,20 @@
     }
 
     /// A part has arrived.
-    pub fn part(&mut self, source: &S, part: Part, now: Duration) -> Take<S> {
+    pub fn part(&mut self, source: &S, part: Part, now: Duration) -> PartAction<S> {
         if self.is_known(part.version) {
-            return Take::Ignore;
+            return PartAction::Ignore;
         }
         let Some(current) = self.current.as_mut() else {
-            return Take::Ignore;
+            return PartAction::Ignore;
         };
         if current.source != *source {
-            return Take::Ignore;
+            return PartAction::Ignore;
         }
         let same = current.version == part.version
             && current.digest.is_none_or(|digest| digest == part.digest);
         if same && part.offset != current.received {
-            return Take::Ignore;
+            return PartAction::Ignore;
         }
         if !same {
             current.received = 0;
@@ -179,7 +179,7 @@
         current.digest = Some(part.digest);
         current.progress = now;
         if part.offset != current.received {
-            return Take::Reset(question(current));
+            return PartAction::Reset(question(current));
         }
         current.received += part.length;
         let next = (current.received < part.total).then(|| question(current));
@@ -187,14 +187,14 @@
             self.current = None;
         }
         if same {
-            Take::Append(next)
+            PartAction::Append(next)
         } else {
-            Take::Restart(next)
+            PartAction::Restart(next)
         }
     }
 
     /// Begins with the source that offers the newest version.
-    fn begin(&mut self, now: Duration) -> Option<Question<S>> {
+    fn begin(&mut self, now: Duration) -> Option<PartRequest<S>> {
         self.current = None;
         let newest = self.offers.iter().map(|(_, version)| *version).max()?;
         let (source, version) = self.offers.iter().find(|(_, version)| *version == newest)?;
@@ -211,7 +211,7 @@
     }
 
     /// Goes on with the next source that has the version, or a newer one.
-    fn go_on(&mut self, now: Duration) -> Option<Question<S>> {
+    fn go_on(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let wanted = self.current.as_ref()?.version;
         let next = self.offers.iter().find(|(_, version)| *version >= wanted);
         let Some((source, _)) = next.cloned() else {
@@ -224,8 +224,8 @@
     }
 }
 
-fn question<S: Clone>(current: &Current<S>) -> Question<S> {
-    Question {
+fn question<S: Clone>(current: &Current<S>) -> PartRequest<S> {
+    PartRequest {
         source: current.source.clone(),
         version: current.version,
         offset: current.received,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,8 +15,9 @@
 //! * [`member`]: which VMs may get new work
 //! * [`quarantine`]: requests that end the runners that run them
 //! * [`reader`]: a process that hears of a table's changes from another one
-//! * [`roster`]: a process that shares a bounded number of places with others
+//! * [`activation`]: a process that shares a bounded number of places with others
 
+pub mod activation;
 pub mod call;
 pub mod claim;
 pub mod fence;
@@ -28,9 +29,10 @@
 pub mod member;
 pub mod quarantine;
 pub mod reader;
-pub mod roster;
+
 pub mod stage;
 
+pub use activation::Activation;
 pub use call::Call;
 pub use claim::Claim;
 pub use fetch::Fetch;
@@ -44,5 +46,5 @@
 pub use member::Members;
 pub use quarantine::Quarantine;
 pub use reader::Reader;
-pub use roster::Roster;
+
 pub use stage::Stage;
--- a/crates/protocol/src/quarantine.rs
+++ b/crates/protocol/src/quarantine.rs
@@ -12,15 +12,15 @@
 //! add up by runner, the latest whole answer voids all crashes before it, and the latest trial counts.
 //! Merging the same state again changes nothing.
 
+mod availability;
 mod exposure;
 mod loss;
 mod report;
 mod silence;
-mod standing;
 mod suspect;
 
-pub use report::{Crash, Merge, Pass, Report, Silence};
-pub use standing::Standing;
+pub use availability::Availability;
+pub use report::{Admission, Crash, Merge, Report, Silence};
 
 use crate::id::ContentId;
 use foldhash::fast::{FixedState, RandomState};
@@ -32,13 +32,13 @@
 use suspect::{Ends, MAX_CRASHES, Moment, Span, Suspect};
 
 /// Runners that a request may end before it is held back.
-pub const CRASHES: u32 = 3;
+pub const CRASH_THRESHOLD: u32 = 3;
 /// Time between the moments at which one process after the other may try a request that is due. A
 /// trial is known everywhere by then, unless processes are cut off from one another.
-pub const TRIAL_STEP: Duration = Duration::from_millis(500);
+pub const TRIAL_STAGGER: Duration = Duration::from_millis(500);
 /// Runners that must be silent under a request before all processes are told of it. One may be slow, or
 /// have fallen silent by itself.
-pub const ANNOUNCED: u32 = 2;
+pub const ANNOUNCE_THRESHOLD: u32 = 2;
 /// Time after which a suspect is forgotten that nobody asks for.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
 /// What is added to moments, which may lie before the start of the process.
@@ -52,19 +52,19 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::quarantine::{Pass, Quarantine};
+/// use protocol::quarantine::{Admission, Quarantine};
 /// use std::time::Duration;
 ///
 /// let mut quarantine = Quarantine::default();
 /// for second in 1..=3 {
 ///     let now = Duration::from_secs(second);
 ///     let runner = format!("runner-{second}");
-///     quarantine.lost(7, runner.clone(), now, now);
-///     quarantine.ended(&runner, now);
+///     quarantine.answer_lost(7, runner.clone(), now, now);
+///     quarantine.runner_exited(&runner, now);
 /// }
 /// let now = Duration::from_secs(4);
-/// assert!(matches!(quarantine.pass(7, 0, now), Pass::Held(_)));
-/// assert_eq!(quarantine.pass(8, 0, now), Pass::Free);
+/// assert!(matches!(quarantine.admission(7, 0, now), Admission::Held(_)));
+/// assert_eq!(quarantine.admission(8, 0, now), Admission::Free);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Quarantine<R> {
@@ -102,12 +102,18 @@
     }
 
     /// The answer to a request was lost that had been sent to a runner at a moment.
-    pub fn lost(&mut self, content: ContentId, runner: R, sent: Duration, now: Duration) {
+    pub fn answer_lost(&mut self, content: ContentId, runner: R, sent: Duration, now: Duration) {
         self.note_loss(content, runner, sent, now, false);
     }
 
     /// The same for a request that was sent there apart from all others, since runners had ended under it.
-    pub fn lost_isolated(&mut self, content: ContentId, runner: R, sent: Duration, now: Duration) {
+    pub fn isolated_answer_lost(
+        &mut self,
+        content: ContentId,
+        runner: R,
+        sent: Duration,
+        now: Duration,
+    ) {
         self.note_loss(content, runner, sent, now, true);
     }
 
@@ -133,7 +139,7 @@
     }
 
     /// A runner has ended without a word. Gives what the others must be told.
-    pub fn ended(&mut self, runner: &R, now: Duration) -> Vec<Report<R>> {
+    pub fn runner_exited(&mut self, runner: &R, now: Duration) -> Vec<Report<R>> {
         let at = now + OFFSET;
         self.silences.end_runner(runner);
         let there = self.losses.at_end(runner, at).into_iter();
@@ -199,7 +205,7 @@
     }
 
     /// Crashes are kept no more since at least `ago`: the request was answered before.
-    pub fn lapse(&mut self, content: ContentId, ago: Duration, now: Duration) -> Merge {
+    pub fn discard_restored(&mut self, content: ContentId, ago: Duration, now: Duration) -> Merge {
         if !self.is_suspect(content) {
             return Merge::Known;
         }
@@ -210,18 +216,18 @@
     }
 
     /// A runner has answered something: answers that it lost before were not lost by its end.
-    pub fn lives(&mut self, runner: &R) {
+    pub fn runner_answered(&mut self, runner: &R) {
         self.losses.forget_at(runner);
     }
 
     /// A runner has answered the request. Others must be told if anything spoke against it.
     pub fn answered(&mut self, content: ContentId, runner: &R, now: Duration) -> Merge {
-        self.lives(runner);
-        self.observed(runner, now);
+        self.runner_answered(runner);
+        self.runner_observed(runner, now);
         self.losses.forget_of(content);
         let exposure = self.exposure(content, now);
         self.silences.clear(content, now + OFFSET);
-        if !self.is_suspect(content) && exposure < ANNOUNCED {
+        if !self.is_suspect(content) && exposure < ANNOUNCE_THRESHOLD {
             return Merge::Known;
         }
         let report = Report {
@@ -285,22 +291,22 @@
     /// that may try it: the first one tries it as soon as it is due, each next one only if none before
     /// it has done so, as far as it knows.
     #[must_use]
-    pub fn pass(&self, content: ContentId, order: u32, now: Duration) -> Pass {
+    pub fn admission(&self, content: ContentId, order: u32, now: Duration) -> Admission {
         let now = now + OFFSET;
         let suspect = self.suspects.get(&content);
         let held = suspect.filter(|suspect| suspect.is_held(&self.ends));
         let crashes = suspect.map_or(0, |suspect| suspect.count(&self.ends));
         let exposure = self.silences.count(content, now);
-        if crashes + exposure < CRASHES {
-            return Pass::Free;
+        if crashes + exposure < CRASH_THRESHOLD {
+            return Admission::Free;
         }
-        let due = held.map(|held| held.due(&self.ends) + TRIAL_STEP.saturating_mul(order));
+        let due = held.map(|held| held.due(&self.ends) + TRIAL_STAGGER.saturating_mul(order));
         let resolved = self.silences.until(content, now);
         let due = due.max(resolved).unwrap_or_default();
         match (due.saturating_sub(now), held) {
-            (Duration::ZERO, Some(_)) => Pass::Trial,
-            (Duration::ZERO, None) => Pass::Free,
-            (left, _) => Pass::Held(left),
+            (Duration::ZERO, Some(_)) => Admission::Trial,
+            (Duration::ZERO, None) => Admission::Free,
+            (left, _) => Admission::Held(left),
         }
     }
 
@@ -360,7 +366,7 @@
     }
 
     /// Somebody asked for a request that is held back.
-    pub fn asked(&mut self, content: ContentId, now: Duration) {
+    pub fn touch(&mut self, content: ContentId, now: Duration) {
         if let Some(suspect) = self.suspects.get_mut(&content) {
             suspect.used = now + OFFSET;
         }
@@ -417,7 +423,7 @@
 
     /// Requests that are held back.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         let suspects = self.suspects.values();
         suspects
             .filter(|suspect| suspect.is_held(&self.ends))
--- a/crates/protocol/src/quarantine/exposure.rs
+++ b/crates/protocol/src/quarantine/exposure.rs
@@ -2,21 +2,21 @@
 
 use super::loss::Loss;
 use super::suspect::Span;
-use super::{CRASHES, OFFSET, Quarantine, Report};
+use super::{CRASH_THRESHOLD, OFFSET, Quarantine, Report};
 use crate::id::ContentId;
 use std::hash::Hash;
 use std::time::Duration;
 
 impl<R: Clone + Eq + Hash> Quarantine<R> {
     /// Something has come from a runner, whatever for.
-    pub fn observed(&mut self, runner: &R, now: Duration) {
+    pub fn runner_observed(&mut self, runner: &R, now: Duration) {
         self.silences.observe(runner, now + OFFSET);
         self.losses.observe(runner);
     }
 
     /// A request has waited for a runner for so long that it is taken for silent if nothing has come from
     /// it for anybody since the request was sent. Gives what the others must be told.
-    pub fn waited(
+    pub fn runner_unresponsive(
         &mut self,
         content: ContentId,
         runner: &R,
@@ -55,13 +55,13 @@
         self.crashes(content) + self.exposure(content, now)
     }
 
-    /// A request is sent to a runner; [`Quarantine::over`] follows.
-    pub fn begin(&mut self, content: ContentId, runner: R) {
+    /// A request is sent to a runner; [`Quarantine::attempt_ended`] follows.
+    pub fn attempt_started(&mut self, content: ContentId, runner: R) {
         self.silences.begin(content, runner);
     }
 
     /// A request is in progress at a runner no more.
-    pub fn over(&mut self, content: ContentId, runner: &R) {
+    pub fn attempt_ended(&mut self, content: ContentId, runner: &R) {
         self.silences.end(content, runner);
     }
 
@@ -71,7 +71,7 @@
     pub fn may_spread(&self, content: ContentId, now: Duration) -> bool {
         let risk = self.risk(content, now);
         let open = || self.silences.open(content, now + OFFSET);
-        risk == 0 || risk >= CRASHES || risk + open() < CRASHES
+        risk == 0 || risk >= CRASH_THRESHOLD || risk + open() < CRASH_THRESHOLD
     }
 
     /// Runners that are silent, some more than once.
--- a/crates/protocol/src/quarantine/report.rs
+++ b/crates/protocol/src/quarantine/report.rs
@@ -1,6 +1,6 @@
 //! What processes tell one another of requests under which runners have ended or fallen silent.
 
-use super::CRASHES;
+use super::CRASH_THRESHOLD;
 use crate::id::ContentId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -66,13 +66,13 @@
     /// Whether the request is held back.
     #[must_use]
     pub fn is_held(&self) -> bool {
-        self.count >= CRASHES
+        self.count >= CRASH_THRESHOLD
     }
 }
 
 /// Whether a request may be sent to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum Admission {
     /// Nothing speaks against it.
     Free,
     /// Not before this time has passed.
--- a/crates/protocol/src/quarantine/suspect.rs
+++ b/crates/protocol/src/quarantine/suspect.rs
@@ -1,6 +1,6 @@
 //! What is known of one request that has ended runners.
 
-use super::{CRASHES, Crash, Report};
+use super::{CRASH_THRESHOLD, Crash, Report};
 use crate::id::ContentId;
 use foldhash::fast::RandomState;
 use std::collections::HashMap;
@@ -183,7 +183,7 @@
     }
 
     pub(super) fn is_held(&self, ends: &Ends<R>) -> bool {
-        self.count(ends) >= CRASHES
+        self.count(ends) >= CRASH_THRESHOLD
     }
 
     /// Whether anything speaks against the request.
--- a/crates/protocol/src/reader.rs
+++ b/crates/protocol/src/reader.rs
@@ -10,7 +10,7 @@
 
 /// What a process that was asked tells of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Told {
+pub struct PeerUpdate {
     /// Revision behind which its changes begin.
     pub before: RowRevision,
     /// Revision up to which they are complete.
@@ -21,7 +21,7 @@
 
 /// What becomes of changes that were told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Take {
+pub enum UpdateAction {
     /// They count.
     Apply,
     /// All of it is known, or older than what is.
@@ -35,17 +35,17 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::reader::{Reader, Take, Told};
+/// use protocol::reader::{Reader, UpdateAction, PeerUpdate};
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
 /// let mut reader = Reader::new(second * 2);
 /// reader.read(7, second);
-/// assert_eq!(reader.trusts_until(), Some(second * 3));
-/// let told = Told { before: 7, revision: 9, current: second * 2 };
-/// assert_eq!(reader.told(told), Take::Apply);
+/// assert_eq!(reader.trusts_peers_until(), Some(second * 3));
+/// let told = PeerUpdate { before: 7, revision: 9, current: second * 2 };
+/// assert_eq!(reader.on_peer_update(told), UpdateAction::Apply);
 /// assert_eq!(reader.after(), Some(9));
-/// assert_eq!(reader.trusts_until(), Some(second * 4));
+/// assert_eq!(reader.trusts_peers_until(), Some(second * 4));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Reader {
@@ -86,7 +86,7 @@
     /// A table that could not be read is asked again after the same time. Others hear of its return
     /// as soon as this process would.
     #[must_use]
-    pub fn trusts_until(&self) -> Option<Duration> {
+    pub fn trusts_peers_until(&self) -> Option<Duration> {
         self.after?;
         let since = self.failed.map_or(self.current, |at| at.max(self.current));
         Some(since + self.most)
@@ -112,22 +112,22 @@
     /// Takes in what another process tells.
     ///
     /// One that is behind says nothing of what this process knows, nor of how old that is.
-    pub fn told(&mut self, told: Told) -> Take {
+    pub fn on_peer_update(&mut self, told: PeerUpdate) -> UpdateAction {
         let Some(after) = self.after else {
-            return Take::Gap;
+            return UpdateAction::Gap;
         };
         if told.revision < after {
-            return Take::Ignore;
+            return UpdateAction::Ignore;
         }
         if told.before > after {
-            return Take::Gap;
+            return UpdateAction::Gap;
         }
         self.after = Some(told.revision);
         self.current = self.current.max(told.current);
         self.failed = None;
         if told.revision == after {
-            return Take::Ignore;
+            return UpdateAction::Ignore;
         }
-        Take::Apply
+        UpdateAction::Apply
     }
 }
--- a/crates/protocol/tests/fetch_plays.rs
+++ b/crates/protocol/tests/fetch_plays.rs
@@ -2,7 +2,7 @@
 //! the same version differently, while newer versions come.
 #![allow(missing_docs)]
 
-use protocol::fetch::{Fetch, Part, Question, Take, Version};
+use protocol::fetch::{Fetch, Part, PartAction, PartRequest, Version};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -113,7 +113,7 @@
         version * 10 + source as u64 % 2
     }
 
-    fn ask(&mut self, question: Option<Question<Source>>) {
+    fn ask(&mut self, question: Option<PartRequest<Source>>) {
         let Some(question) = question else { return };
         if question.offset == 0 {
             self.begun += 1;
@@ -154,7 +154,7 @@
         if self.mutation == Mutation::AskAll {
             let offset = 0;
             for _ in 0..PARTS {
-                self.ask(Some(Question {
+                self.ask(Some(PartRequest {
                     source,
                     version,
                     offset,
@@ -177,16 +177,16 @@
             _ => part,
         };
         let question = match self.fetch.part(&source, shown, millis(self.now)) {
-            Take::Ignore => return,
-            Take::Reset(question) => {
+            PartAction::Ignore => return,
+            PartAction::Reset(question) => {
                 self.received.clear();
                 return self.ask(Some(question));
             }
-            Take::Restart(question) => {
+            PartAction::Restart(question) => {
                 self.received = vec![part];
                 question
             }
-            Take::Append(question) => {
+            PartAction::Append(question) => {
                 self.received.push(part);
                 question
             }
--- a/crates/protocol/tests/quarantine_exposure.rs
+++ b/crates/protocol/tests/quarantine_exposure.rs
@@ -3,26 +3,26 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pathfinding::prelude::bfs_reach;
-use protocol::quarantine::{CRASHES, Standing};
+use protocol::quarantine::{Availability, CRASH_THRESHOLD};
 
 /// Runners of the service at most.
 const RUNNERS: usize = 6;
 
 /// Whether an attempt is sent, by the guards that are left.
-type Rule = fn(Standing, u32) -> bool;
+type Rule = fn(Availability, u32) -> bool;
 
 /// What is left of the service, and how many runners have ended under the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
-    standing: Standing,
+    standing: Availability,
     crashes: u32,
 }
 
 fn steps(state: &State, rule: Rule) -> Vec<State> {
-    let Standing { up, down } = state.standing;
+    let Availability { up, down } = state.standing;
     let mut next = Vec::new();
-    if up > 0 && state.crashes < CRASHES && rule(state.standing, state.crashes) {
-        let standing = Standing {
+    if up > 0 && state.crashes < CRASH_THRESHOLD && rule(state.standing, state.crashes) {
+        let standing = Availability {
             up: up - 1,
             down: down + 1,
         };
@@ -30,7 +30,7 @@
         next.push(State { standing, crashes });
     }
     if down > 0 {
-        let standing = Standing {
+        let standing = Availability {
             up: up + 1,
             down: down - 1,
         };
@@ -42,7 +42,7 @@
 /// All that can become of a service whose runners are all there.
 fn reach(runners: usize, rule: Rule) -> Vec<State> {
     let start = State {
-        standing: Standing {
+        standing: Availability {
             up: runners,
             down: 0,
         },
@@ -65,7 +65,9 @@
     let mut sizes = 3..=RUNNERS;
     sizes.any(|runners| {
         let states = reach(runners, rule);
-        let third = states.iter().filter(|state| state.crashes == CRASHES);
+        let third = states
+            .iter()
+            .filter(|state| state.crashes == CRASH_THRESHOLD);
         third
             .into_iter()
             .any(|state| state.standing.up * 2 < runners - 1)
@@ -76,8 +78,8 @@
 /// everybody else's requests.
 #[test]
 fn last_one_stands() {
-    assert!(!ends_last(Standing::bears));
-    assert!(!ends_most(Standing::bears));
+    assert!(!ends_last(Availability::allows_attempt));
+    assert!(!ends_most(Availability::allows_attempt));
 }
 
 /// Guards against a request that is never tried again, and so never cleared, since too few runners are
@@ -85,9 +87,9 @@
 #[test]
 fn tried_again() {
     for runners in 1..=RUNNERS {
-        let states = reach(runners, Standing::bears);
+        let states = reach(runners, Availability::allows_attempt);
         assert!(
-            states.iter().any(|state| state.crashes == CRASHES),
+            states.iter().any(|state| state.crashes == CRASH_THRESHOLD),
             "{runners}"
         );
     }
@@ -97,11 +99,11 @@
 #[test]
 fn first_crash_free() {
     for runners in 3..=RUNNERS {
-        let standing = Standing {
+        let standing = Availability {
             up: runners - 1,
             down: 1,
         };
-        assert!(standing.bears(1), "{runners}");
+        assert!(standing.allows_attempt(1), "{runners}");
     }
 }
 
@@ -109,10 +111,10 @@
 #[test]
 fn guards() {
     assert!(ends_last(|_, _| true));
-    assert!(ends_last(|Standing { up, down }, crashes| {
+    assert!(ends_last(|Availability { up, down }, crashes| {
         crashes < 2 || down == 0 || up > 1 && down < up
     }));
-    assert!(ends_most(|Standing { up, down }, crashes| {
+    assert!(ends_most(|Availability { up, down }, crashes| {
         crashes == 0 || down == 0 || up > 1
     }));
 }
--- a/crates/protocol/tests/quarantine_rules.rs
+++ b/crates/protocol/tests/quarantine_rules.rs
@@ -1,7 +1,7 @@
 //! What one process believes of requests that end runners.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use protocol::quarantine::{Crash, Merge, Pass, Quarantine, Report, TRIAL_STEP};
+use protocol::quarantine::{Admission, Crash, Merge, Quarantine, Report, TRIAL_STAGGER};
 use std::time::Duration;
 
 const POISON: u64 = 7;
@@ -12,17 +12,17 @@
     let mut quarantine = Quarantine::default();
     for runner in 1..=3 {
         let now = SECOND * runner;
-        quarantine.lost(POISON, runner, now, now);
-        quarantine.ended(&runner, now);
+        quarantine.answer_lost(POISON, runner, now, now);
+        quarantine.runner_exited(&runner, now);
     }
     quarantine
 }
 
 /// Time from the last crash of [`held`] until the request is due for a trial.
 fn due(quarantine: &Quarantine<u32>) -> Duration {
-    match quarantine.pass(POISON, 0, SECOND * 3) {
-        Pass::Held(left) => SECOND * 3 + left,
-        pass => panic!("{pass:?}"),
+    match quarantine.admission(POISON, 0, SECOND * 3) {
+        Admission::Held(left) => SECOND * 3 + left,
+        admission => panic!("{admission:?}"),
     }
 }
 
@@ -31,11 +31,14 @@
 fn trial_passes_on() {
     let quarantine = held();
     let due = due(&quarantine);
-    assert_eq!(quarantine.pass(POISON, 0, due), Pass::Trial);
-    assert!(matches!(quarantine.pass(POISON, 3, due), Pass::Held(_)));
+    assert_eq!(quarantine.admission(POISON, 0, due), Admission::Trial);
+    assert!(matches!(
+        quarantine.admission(POISON, 3, due),
+        Admission::Held(_)
+    ));
     assert_eq!(
-        quarantine.pass(POISON, 3, due + TRIAL_STEP * 3),
-        Pass::Trial
+        quarantine.admission(POISON, 3, due + TRIAL_STAGGER * 3),
+        Admission::Trial
     );
 }
 
@@ -47,8 +50,8 @@
     let report = one.begin_trial(POISON, due).unwrap();
     assert!(matches!(other.merge(&report, due), Merge::New { .. }));
     assert!(matches!(
-        other.pass(POISON, 1, due + TRIAL_STEP),
-        Pass::Held(_)
+        other.admission(POISON, 1, due + TRIAL_STAGGER),
+        Admission::Held(_)
     ));
 }
 
@@ -58,21 +61,24 @@
     let mut quarantine = held();
     let due = due(&quarantine);
     quarantine.begin_trial(POISON, due);
-    assert_eq!(quarantine.pass(POISON, 0, due + SECOND * 4), Pass::Trial);
+    assert_eq!(
+        quarantine.admission(POISON, 0, due + SECOND * 4),
+        Admission::Trial
+    );
     // One that ends a runner makes the next hold four times as long.
-    quarantine.lost(POISON, 4, due, due + SECOND);
-    quarantine.ended(&4, due + SECOND);
-    let left = quarantine.pass(POISON, 0, due + SECOND);
-    assert_eq!(left, Pass::Held(SECOND * 20));
+    quarantine.answer_lost(POISON, 4, due, due + SECOND);
+    quarantine.runner_exited(&4, due + SECOND);
+    let left = quarantine.admission(POISON, 0, due + SECOND);
+    assert_eq!(left, Admission::Held(SECOND * 20));
 }
 
 /// Guards against blame for the end of a runner that had ended before the request came.
 #[test]
 fn came_later() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
-    quarantine.lost(POISON, 1, SECOND, SECOND * 2);
-    quarantine.lost(8, 1, SECOND * 3, SECOND * 3);
-    let blamed = quarantine.ended(&1, SECOND * 4);
+    quarantine.answer_lost(POISON, 1, SECOND, SECOND * 2);
+    quarantine.answer_lost(8, 1, SECOND * 3, SECOND * 3);
+    let blamed = quarantine.runner_exited(&1, SECOND * 4);
     let blamed: Vec<u64> = blamed.iter().map(|report| report.content).collect();
     assert_eq!(blamed, [POISON]);
 }
@@ -82,10 +88,10 @@
 #[test]
 fn lost_before() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
-    quarantine.lost(8, 1, SECOND, SECOND);
+    quarantine.answer_lost(8, 1, SECOND, SECOND);
     quarantine.answered(9, &1, SECOND * 2);
-    quarantine.lost(POISON, 1, SECOND * 3, SECOND * 3);
-    let blamed = quarantine.ended(&1, SECOND * 4);
+    quarantine.answer_lost(POISON, 1, SECOND * 3, SECOND * 3);
+    let blamed = quarantine.runner_exited(&1, SECOND * 4);
     assert_eq!(blamed.first().map(|report| report.content), Some(POISON));
 }
 
@@ -112,7 +118,7 @@
         ..Report::new(POISON)
     };
     assert_eq!(quarantine.merge(&late, now), Merge::Known);
-    assert_eq!(quarantine.pass(POISON, 0, now), Pass::Free);
+    assert_eq!(quarantine.admission(POISON, 0, now), Admission::Free);
 }
 
 /// Guards against messages that go round for ever: what is known is not told again, and processes that
@@ -135,9 +141,12 @@
 fn kept() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
     quarantine.restore(POISON, 3, SECOND);
-    assert!(matches!(quarantine.pass(POISON, 0, SECOND), Pass::Held(_)));
-    quarantine.lapse(POISON, SECOND, SECOND * 2);
-    assert_eq!(quarantine.pass(POISON, 0, SECOND * 2), Pass::Free);
+    assert!(matches!(
+        quarantine.admission(POISON, 0, SECOND),
+        Admission::Held(_)
+    ));
+    quarantine.discard_restored(POISON, SECOND, SECOND * 2);
+    assert_eq!(quarantine.admission(POISON, 0, SECOND * 2), Admission::Free);
 }
 
 /// Guards against a request that ends its runner and is taken for one that came after the end: shortly
@@ -146,8 +155,8 @@
 fn loss_before_end() {
     let mut quarantine = Quarantine::default();
     let half = SECOND / 2;
-    quarantine.lost(8, 1, SECOND, SECOND + half);
-    quarantine.lost(POISON, 1, SECOND * 2, SECOND * 2 + half);
-    quarantine.ended(&1, SECOND * 2 + half);
+    quarantine.answer_lost(8, 1, SECOND, SECOND + half);
+    quarantine.answer_lost(POISON, 1, SECOND * 2, SECOND * 2 + half);
+    quarantine.runner_exited(&1, SECOND * 2 + half);
     assert_eq!(quarantine.crashes(POISON), 1);
 }
--- a/crates/protocol/tests/quarantine_spread.rs
+++ b/crates/protocol/tests/quarantine_spread.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use protocol::ContentId;
-use protocol::quarantine::{CRASHES, Merge, Pass, Quarantine, Report};
+use protocol::quarantine::{Admission, CRASH_THRESHOLD, Merge, Quarantine, Report};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -162,7 +162,7 @@
             self.disturb();
             self.now += WORK;
         }
-        let third = self.poison_runs.get(CRASHES as usize - 1);
+        let third = self.poison_runs.get(CRASH_THRESHOLD as usize - 1);
         let known = third.map_or(PLAY, |(third, _)| third + KNOWN);
         let later = self.poison_runs.iter();
         let later = later.filter(|(run, is_sound)| *is_sound && *run > known);
@@ -210,12 +210,12 @@
         let now = self.clock(number);
         let order = (number + content as usize) % self.processes.len();
         let known = &self.processes[number].known;
-        let pass = known.pass(content, order as u32, now);
-        if let Pass::Held(_) = pass {
+        let admission = known.admission(content, order as u32, now);
+        if let Admission::Held(_) = admission {
             self.judge_hold(content);
             return;
         }
-        if pass == Pass::Trial {
+        if admission == Admission::Trial {
             let report = self.processes[number].known.begin_trial(content, now);
             self.announce(number, report);
         }
@@ -295,8 +295,8 @@
             Mutation::LateBlamed => time(0),
             _ => time(run.sent - born),
         };
-        known.lost(run.content, run.runner, sent, now);
-        let reports = known.ended(&run.runner, now);
+        known.answer_lost(run.content, run.runner, sent, now);
+        let reports = known.runner_exited(&run.runner, now);
         self.crashes.entry(run.content).or_default().push(self.now);
         for report in reports {
             if self.mutation != Mutation::CountAlone {
--- a/crates/protocol/tests/reader_search.rs
+++ b/crates/protocol/tests/reader_search.rs
@@ -5,7 +5,7 @@
 mod search;
 
 use protocol::RowRevision;
-use protocol::reader::{Reader, Take, Told};
+use protocol::reader::{PeerUpdate, Reader, UpdateAction};
 use search::{System, fails, holds};
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
 struct Question {
     asked: u64,
     after: RowRevision,
-    told: Option<Told>,
+    told: Option<PeerUpdate>,
     /// Revision behind which the answer has all changes, whatever it says.
     since: RowRevision,
 }
@@ -136,7 +136,7 @@
             return false;
         }
         self.now += 1;
-        let until = self.reader.trusts_until();
+        let until = self.reader.trusts_peers_until();
         let trusts = until.is_some_and(|until| ticks(self.now) < until);
         if !trusts && self.mutation != Mutation::TrustForEver {
             self.read_all();
@@ -219,7 +219,7 @@
         let hidden = self.mutation == Mutation::HideGap;
         let since = if hidden { 0 } else { teller.since };
         question.since = question.after.max(teller.since);
-        question.told = Some(Told {
+        question.told = Some(PeerUpdate {
             before: question.after.max(since),
             revision: teller.revision,
             current: ticks(teller.read),
@@ -237,7 +237,7 @@
             return false;
         }
         question.since = 0;
-        question.told = Some(Told {
+        question.told = Some(PeerUpdate {
             before: 0,
             revision: teller.revision,
             current: ticks(teller.read),
@@ -256,21 +256,21 @@
             told.current = ticks(self.now);
         }
         if self.mutation == Mutation::BehindIsCurrent && told.revision < question.after {
-            told = Told {
+            told = PeerUpdate {
                 revision: question.after,
                 current: ticks(self.now),
                 ..told
             };
         }
-        match self.reader.told(told) {
-            Take::Apply => {
+        match self.reader.on_peer_update(told) {
+            UpdateAction::Apply => {
                 let told = question.since + 1..=told.revision;
                 self.known.extend(told);
                 self.known.sort_unstable();
                 self.known.dedup();
             }
-            Take::Ignore => {}
-            Take::Gap => self.read_all(),
+            UpdateAction::Ignore => {}
+            UpdateAction::Gap => self.read_all(),
         }
         true
     }
--- a/crates/protocol/tests/roster_search.rs
+++ b/crates/protocol/tests/roster_search.rs
@@ -3,7 +3,7 @@
 
 mod search;
 
-use protocol::roster::Roster;
+use protocol::activation::Activation;
 use search::{System, fails, holds};
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    roster: Roster,
+    roster: Activation,
     known: [bool; PROCESSES],
     /// What its clock has not counted.
     uncounted: u8,
@@ -88,13 +88,13 @@
     broken: bool,
 }
 
-fn roster(mutation: Mutation) -> Roster {
+fn roster(mutation: Mutation) -> Activation {
     let apart = if mutation == Mutation::NoGap {
         0
     } else {
         APART
     };
-    Roster::new(Duration::from_secs(MOST), Duration::from_secs(apart))
+    Activation::new(Duration::from_secs(MOST), Duration::from_secs(apart))
 }
 
 impl World {
@@ -174,13 +174,13 @@
         let own = &mut self.processes[process];
         let settled = row.settled || (row.listed && self.mutation == Mutation::SettledAtOnce);
         if settled {
-            own.roster.settle();
+            own.roster.mark_known();
         }
         if self.mutation == Mutation::NoWait {
-            own.roster.settle();
+            own.roster.mark_known();
         }
         row.listed = true;
-        own.roster.enlisted(now);
+        own.roster.mark_registered(now);
         let joined = own.known[process];
         own.known[process] = true;
         !joined
@@ -188,8 +188,8 @@
 
     fn settle(&mut self, process: usize) -> bool {
         let now = ticks(self.clock(process));
-        let settles = self.processes[process].roster.settles();
-        let settled = settles.is_some_and(|moment| moment <= now);
+        let known_from = self.processes[process].roster.known_from();
+        let settled = known_from.is_some_and(|moment| moment <= now);
         let row = &mut self.rows[process];
         let news = settled && !row.settled;
         row.settled |= settled;
@@ -222,8 +222,8 @@
         let now = ticks(self.clock(process));
         let own = &mut self.processes[process];
         let first = own.known.iter().rposition(|known| *known);
-        let known = own.roster.settles().is_some_and(|moment| moment <= now);
-        let acts = own.roster.acts(now) || (known && self.mutation == Mutation::AnyAge);
+        let known = own.roster.known_from().is_some_and(|moment| moment <= now);
+        let acts = own.roster.may_act(now) || (known && self.mutation == Mutation::AnyAge);
         if first != Some(process) || !acts {
             return false;
         }
@@ -238,7 +238,7 @@
     fn resume(&mut self, process: usize) -> bool {
         let own = &mut self.processes[process];
         if self.mutation != Mutation::PauseUnnoticed {
-            own.roster.forget();
+            own.roster.invalidate();
             own.waiting = None;
         }
         std::mem::replace(&mut own.suspended, false)
--- a/crates/protocol/tests/silent_runners.rs
+++ b/crates/protocol/tests/silent_runners.rs
@@ -1,6 +1,6 @@
 //! Runners from which nothing comes while they hold a request unanswered.
 
-use protocol::quarantine::{CRASHES, Merge, Pass, Quarantine, Report};
+use protocol::quarantine::{Admission, CRASH_THRESHOLD, Merge, Quarantine, Report};
 use std::time::Duration;
 
 type Known = Quarantine<&'static str>;
@@ -13,7 +13,7 @@
     let mut last = None;
     for (number, runner) in (0..).zip(runners) {
         let sent = SECOND * number;
-        last = known.waited(7, runner, sent, sent + SECOND);
+        last = known.runner_unresponsive(7, runner, sent, sent + SECOND);
     }
     last
 }
@@ -23,11 +23,14 @@
 fn held_at_three() {
     let mut known = Known::default();
     waited(&mut known, &RUNNERS[..2]);
-    assert_eq!(known.pass(7, 0, SECOND * 3), Pass::Free);
+    assert_eq!(known.admission(7, 0, SECOND * 3), Admission::Free);
     waited(&mut known, &RUNNERS);
-    assert!(matches!(known.pass(7, 0, SECOND * 3), Pass::Held(_)));
-    assert_eq!(known.pass(8, 0, SECOND * 3), Pass::Free);
-    assert_eq!(known.pass(7, 0, SECOND * 9), Pass::Free);
+    assert!(matches!(
+        known.admission(7, 0, SECOND * 3),
+        Admission::Held(_)
+    ));
+    assert_eq!(known.admission(8, 0, SECOND * 3), Admission::Free);
+    assert_eq!(known.admission(7, 0, SECOND * 9), Admission::Free);
 }
 
 /// Guards against a request that is held back since runners were slow for it and answered others.
@@ -35,9 +38,9 @@
 fn signs_of_life() {
     let mut known = Known::default();
     waited(&mut known, &RUNNERS);
-    known.observed(&"b", SECOND * 3);
-    assert_eq!(known.pass(7, 0, SECOND * 3), Pass::Free);
-    assert_eq!(known.exposure(7, SECOND * 3), CRASHES - 1);
+    known.runner_observed(&"b", SECOND * 3);
+    assert_eq!(known.admission(7, 0, SECOND * 3), Admission::Free);
+    assert_eq!(known.exposure(7, SECOND * 3), CRASH_THRESHOLD - 1);
 }
 
 /// Guards against a request that stays held back although a runner has answered it.
@@ -83,8 +86,8 @@
 #[test]
 fn came_later() {
     let mut known = Known::default();
-    known.waited(7, &"a", Duration::ZERO, SECOND);
-    known.waited(8, &"a", SECOND, SECOND * 2);
+    known.runner_unresponsive(7, &"a", Duration::ZERO, SECOND);
+    known.runner_unresponsive(8, &"a", SECOND, SECOND * 2);
     assert_eq!(known.exposure(7, SECOND * 2), 1);
     assert_eq!(known.exposure(8, SECOND * 2), 0);
 }
@@ -93,12 +96,12 @@
 #[test]
 fn attempts_in_progress() {
     let mut known = Known::default();
-    known.begin(7, "b");
-    known.begin(7, "c");
+    known.attempt_started(7, "b");
+    known.attempt_started(7, "c");
     assert!(known.may_spread(7, SECOND));
-    known.waited(7, &"a", Duration::ZERO, SECOND);
+    known.runner_unresponsive(7, &"a", Duration::ZERO, SECOND);
     assert!(!known.may_spread(7, SECOND));
-    known.over(7, &"b");
+    known.attempt_ended(7, &"b");
     assert!(known.may_spread(7, SECOND));
 }
 
@@ -106,8 +109,8 @@
 #[test]
 fn ends_unanswered() {
     let mut known = Known::default();
-    known.waited(7, &"a", Duration::ZERO, SECOND);
-    assert_eq!(known.ended(&"a", SECOND * 3).len(), 1);
+    known.runner_unresponsive(7, &"a", Duration::ZERO, SECOND);
+    assert_eq!(known.runner_exited(&"a", SECOND * 3).len(), 1);
     assert_eq!(known.crashes(7), 1);
     assert_eq!(known.exposure(7, SECOND * 3), 0);
 }
@@ -116,8 +119,8 @@
 #[test]
 fn wait_then_crash() {
     let mut known = Known::default();
-    known.waited(8, &"a", Duration::ZERO, SECOND);
-    known.lost(7, "a", SECOND * 3 - SECOND / 10, SECOND * 3);
-    let reports = known.ended(&"a", SECOND * 3);
+    known.runner_unresponsive(8, &"a", Duration::ZERO, SECOND);
+    known.answer_lost(7, "a", SECOND * 3 - SECOND / 10, SECOND * 3);
+    let reports = known.runner_exited(&"a", SECOND * 3);
     assert!(reports.iter().any(|report| report.content == 7));
 }
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -10,7 +10,7 @@
 use crate::plan::{Batches, ServiceId};
 use crate::request::ContentId;
 use decide::batch::{Former, Space, Suspect, Ticket};
-use protocol::quarantine::{Pass, Standing};
+use protocol::quarantine::{Admission, Availability};
 use setting::Policy;
 use std::sync::Arc;
 use std::time::Duration;
@@ -84,7 +84,7 @@
         relay.suspects(|known| {
             let belief = |content: ContentId, trial: bool| {
                 let risk = known.risk(content, now);
-                let is_held = known.pass(content, 0, now) != Pass::Free;
+                let is_held = known.admission(content, 0, now) != Admission::Free;
                 match risk {
                     _ if is_held && !trial => Belief::Held,
                     0 => Belief::Innocent,
@@ -153,7 +153,7 @@
         }
         let now = Instant::now();
         let standing = relay.standing(service);
-        let may_run = |crashes: u32| standing.bears(crashes);
+        let may_run = |crashes: u32| standing.allows_attempt(crashes);
         for ticket in self.isolation.give_up(relay.at(now), may_run) {
             self.give_up(relay, ticket, standing);
         }
@@ -180,7 +180,7 @@
         })
     }
 
-    fn give_up<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket, standing: Standing) {
+    fn give_up<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket, standing: Availability) {
         if let Some(waiting) = self.waiting.get(&ticket) {
             slog::info!(relay.log, "suspect pieces given up"; "request" => &*waiting.order.id,
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -8,7 +8,7 @@
 use crate::peer::News;
 use crate::peer::tables::{Read, Table};
 use crate::telemetry::millis;
-use protocol::reader::{Reader, Take, Told};
+use protocol::reader::{PeerUpdate, Reader, UpdateAction};
 use rand::Rng;
 use slog::{info, warn};
 use std::sync::Arc;
@@ -213,7 +213,7 @@
             Some((teller, members.tree.depth(), members.tree.levels()))
         })?;
         let excess = Budget::new(relay.options.drain).excess(levels);
-        let until = self.reader.trusts_until()?.saturating_sub(excess) + STEP * depth;
+        let until = self.reader.trusts_peers_until()?.saturating_sub(excess) + STEP * depth;
         let until = relay.started() + until.saturating_sub(self.older);
         let asked = Instant::now();
         if until <= asked {
@@ -310,27 +310,27 @@
             // What a copy lacks is for the table itself to tell.
             return None;
         }
-        let told = Told {
+        let told = PeerUpdate {
             before: news.before.unwrap_or_default(),
             revision: news.revision,
             current: news.current(asked),
         };
-        let taken = self.reader.told(told);
+        let taken = self.reader.on_peer_update(told);
         if self.current() > Duration::ZERO {
             self.older = Duration::ZERO;
         }
         let changes = match taken {
-            Take::Gap => return None,
-            Take::Ignore => Changes {
+            UpdateAction::Gap => return None,
+            UpdateAction::Ignore => Changes {
                 revision: after,
                 ..Changes::default()
             },
-            Take::Apply => {
+            UpdateAction::Apply => {
                 self.note_withheld(withheld);
                 news.changes()
             }
         };
-        let before = (!is_whole || taken == Take::Ignore).then_some(after);
+        let before = (!is_whole || taken == UpdateAction::Ignore).then_some(after);
         self.keep(relay, before, &changes, self.lapse.max(lapse));
         Some(changes)
     }
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -15,7 +15,7 @@
 use decide::owner::{Candidate, choose};
 use decide::subset::{self, rank};
 use decide::warmup::Share;
-use protocol::roster::Roster;
+use protocol::activation::Activation;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
@@ -100,7 +100,7 @@
     listed: bool,
     leaving: bool,
     /// Whether this process takes part in work that only so many may do at a time.
-    pub(crate) roster: Roster,
+    pub(crate) roster: Activation,
 }
 
 impl Members {
@@ -117,7 +117,7 @@
             clock: None,
             listed: false,
             leaving: false,
-            roster: Roster::new(ROSTER_AGE, ROSTER_APART),
+            roster: Activation::new(ROSTER_AGE, ROSTER_APART),
         }
     }
 
@@ -173,7 +173,7 @@
     /// The own row is in the table as of now, and a revision.
     pub fn enlisted(&mut self, now: Duration, revision: RowRevision) {
         self.tree.put(&self.own, revision);
-        self.roster.enlisted(now);
+        self.roster.mark_registered(now);
     }
 
     /// When a row of this name was first written, by the table service's clock, and whether that is so
@@ -320,7 +320,7 @@
     relay.peers.members(|members| {
         members.enlisted(relay.now(), revision);
         if is_settled {
-            members.roster.settle();
+            members.roster.mark_known();
         }
     });
     relay.peers.note_enlisted();
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -12,7 +12,7 @@
 use crate::runner::{Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
-use protocol::quarantine::Standing;
+use protocol::quarantine::Availability;
 use setting::Policy;
 use slog::info;
 use std::collections::{BTreeSet, VecDeque};
@@ -106,14 +106,14 @@
     }
 
     /// The runners of a service, as far as this process knows.
-    pub(crate) fn standing(&self, service: &ServiceId) -> Standing {
+    pub(crate) fn standing(&self, service: &ServiceId) -> Availability {
         let listed = self.fleet(|fleet| fleet.of(service).len()).unwrap_or(0);
         let mut silent = self.silent(service);
         let mut outages = lock(&self.outages);
         let absent = outages.absent(service);
         silent.retain(|id| absent.iter().all(|(absent, _)| absent != id));
         let away = absent.len() + silent.len();
-        Standing {
+        Availability {
             up: listed.saturating_sub(away),
             down: outages.down(service, Instant::now()) + silent.len(),
         }
--- a/crates/relay/src/pause.rs
+++ b/crates/relay/src/pause.rs
@@ -154,7 +154,7 @@
         if let Some(pause) = self.pause.look() {
             warn!(self.log, "paused, asking for news"; "paused_ms" => millis(pause),
                 "runners_age_ms" => self.list_age().map(millis));
-            self.peers.members(|members| members.roster.forget());
+            self.peers.members(|members| members.roster.invalidate());
         }
     }
 
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -11,7 +11,7 @@
 use flate2::write::DeflateEncoder;
 use foldhash::fast::FixedState;
 use protocol::Fetch;
-use protocol::fetch::{self, Question, Take};
+use protocol::fetch::{self, PartAction, PartRequest};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use snafu::{ResultExt, Snafu};
@@ -224,14 +224,14 @@
     let mut state = lock(&relay.peers.transfer.state);
     let taken = state.fetch.part(sender, part.outline(), now);
     let question = match taken {
-        Take::Ignore => return,
-        Take::Reset(question) => Some(question),
-        Take::Restart(question) => {
+        PartAction::Ignore => return,
+        PartAction::Reset(question) => Some(question),
+        PartAction::Restart(question) => {
             state.received.clear();
             state.received.extend_from_slice(&part.bytes);
             question
         }
-        Take::Append(question) => {
+        PartAction::Append(question) => {
             state.received.extend_from_slice(&part.bytes);
             question
         }
@@ -274,7 +274,7 @@
 }
 
 /// Asks a source, or the next one where its link is gone or full.
-fn ask<D: Downstream>(relay: &Relay<D>, mut question: Option<Question<Sender<Frame>>>) {
+fn ask<D: Downstream>(relay: &Relay<D>, mut question: Option<PartRequest<Sender<Frame>>>) {
     while let Some(asked) = question {
         let (version, offset) = (asked.version, asked.offset);
         if offset == 0 {
@@ -295,7 +295,7 @@
 fn next_source<D: Downstream>(
     relay: &Relay<D>,
     source: &Sender<Frame>,
-) -> Option<Question<Sender<Frame>>> {
+) -> Option<PartRequest<Sender<Frame>>> {
     let now = relay.now();
     let mut state = lock(&relay.peers.transfer.state);
     let question = state.fetch.lost(source, now);
@@ -334,9 +334,9 @@
     /// Drops what has come before where a question begins a fetch anew.
     fn note_asked(
         &mut self,
-        question: Option<Question<Sender<Frame>>>,
+        question: Option<PartRequest<Sender<Frame>>>,
         now: Duration,
-    ) -> Option<Question<Sender<Frame>>> {
+    ) -> Option<PartRequest<Sender<Frame>>> {
         if question
             .as_ref()
             .is_some_and(|question| question.offset == 0)
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -16,7 +16,7 @@
 use crate::runner::{Runner, RunnerId};
 use crate::serve::{Job, content_name};
 use crate::telemetry::millis;
-use protocol::quarantine::{ANNOUNCED, Merge, Pass, Quarantine, Report};
+use protocol::quarantine::{ANNOUNCE_THRESHOLD, Admission, Merge, Quarantine, Report};
 use serde::{Deserialize, Serialize};
 use setting::Policy;
 use slog::{info, warn};
@@ -82,16 +82,16 @@
         let (sent, now) = (self.at(sent), self.now());
         let mut known = lock(&self.quarantine.known);
         if isolated {
-            known.lost_isolated(content, start(runner), sent, now);
+            known.isolated_answer_lost(content, start(runner), sent, now);
         } else {
-            known.lost(content, start(runner), sent, now);
+            known.answer_lost(content, start(runner), sent, now);
         }
     }
 
     /// A runner has ended without a word.
     pub(crate) fn note_ended(&self, runner: &Runner) {
         let now = self.now();
-        let reports = lock(&self.quarantine.known).ended(&start(runner), now);
+        let reports = lock(&self.quarantine.known).runner_exited(&start(runner), now);
         for report in reports {
             info!(self.log, "runner ended under a request"; "runner" => &*runner.id,
                 "content" => content_name(report.content), "crashes" => report.count);
@@ -112,7 +112,7 @@
     pub(crate) fn note_served(self: &Arc<Self>, content: ContentId, runner: &Runner) {
         let merged = {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&start(runner), self.now());
+            known.runner_observed(&start(runner), self.now());
             if known.is_idle() {
                 return;
             }
@@ -128,11 +128,11 @@
     pub(crate) fn note_made(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
         {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&start(runner), self.now());
+            known.runner_observed(&start(runner), self.now());
             if known.is_idle() {
                 return;
             }
-            known.lives(&start(runner));
+            known.runner_answered(&start(runner));
         }
         for content in complete {
             self.note_served(content, runner);
@@ -168,7 +168,9 @@
             self.peers
                 .members(|members| members.owner(&key(content)).id)
         };
-        if report.silences.len() >= ANNOUNCED as usize && is_home() == self.options.member.id {
+        if report.silences.len() >= ANNOUNCE_THRESHOLD as usize
+            && is_home() == self.options.member.id
+        {
             self.check_silent(&report);
         }
         if was_held != is_held && self.order(content) == 0 {
@@ -177,7 +179,8 @@
     }
 
     fn announce(&self, report: &Suspicion) {
-        self.telemetry.held(lock(&self.quarantine.known).held());
+        self.telemetry
+            .held(lock(&self.quarantine.known).held_count());
         self.peers.announce_suspicion(report);
     }
 
@@ -208,22 +211,22 @@
         self.peers.members(|members| members.order(&row))
     }
 
-    fn pass(&self, content: ContentId) -> Pass {
+    fn admission(&self, content: ContentId) -> Admission {
         let now = self.now();
         // The place is looked up only where it matters.
-        let pass = lock(&self.quarantine.known).pass(content, 0, now);
-        if pass == Pass::Free {
-            return pass;
+        let admission = lock(&self.quarantine.known).admission(content, 0, now);
+        if admission == Admission::Free {
+            return admission;
         }
         let order = self.order(content);
-        lock(&self.quarantine.known).pass(content, order, now)
+        lock(&self.quarantine.known).admission(content, order, now)
     }
 }
 
 /// Whether all processes must know of it: one silent runner may be slow.
 fn is_announced(report: &Suspicion) -> bool {
     let concerns_all = !report.crashes.is_empty() || report.cleared.is_some();
-    concerns_all || report.tried.is_some() || report.silences.len() >= ANNOUNCED as usize
+    concerns_all || report.tried.is_some() || report.silences.len() >= ANNOUNCE_THRESHOLD as usize
 }
 
 /// Whether a request may be worked for.
@@ -241,10 +244,10 @@
 
 /// For how long a content of a request is still held back.
 fn held<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
-    let Pass::Held(left) = job.relay.pass(content) else {
+    let Admission::Held(left) = job.relay.admission(content) else {
         return None;
     };
-    lock(&job.relay.quarantine.known).asked(content, job.relay.now());
+    lock(&job.relay.quarantine.known).touch(content, job.relay.now());
     Some(left)
 }
 
@@ -256,10 +259,10 @@
 /// [`Spoiled::Poison`] if they are held back.
 pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, Spoiled> {
     let content = job.stage_content(stage);
-    match job.relay.pass(content) {
-        Pass::Free => Ok(false),
-        Pass::Held(_) => Err(Spoiled::Poison),
-        Pass::Trial => {
+    match job.relay.admission(content) {
+        Admission::Free => Ok(false),
+        Admission::Held(_) => Err(Spoiled::Poison),
+        Admission::Trial => {
             begin_trial(job, content);
             Ok(true)
         }
@@ -300,11 +303,11 @@
             let now = job.relay.now();
             let risk = match known.risk(job.content, now) {
                 // A single answer was lost, or is late, at a runner that may live.
-                risk if risk < ANNOUNCED && known.crashes(job.content) == 0 => 0,
+                risk if risk < ANNOUNCE_THRESHOLD && known.crashes(job.content) == 0 => 0,
                 risk => risk,
             };
             let may_spread = known.may_spread(job.content, now);
-            (may_spread && standing.bears(risk), risk)
+            (may_spread && standing.allows_attempt(risk), risk)
         };
         let waited = since.elapsed();
         let outcome = match (may_run, waited >= patience) {
@@ -340,10 +343,10 @@
     if job.relay.options.policy.suspects == Policy::Shipped {
         await_runners(job).await?;
     }
-    match job.relay.pass(job.content) {
-        Pass::Free => {}
-        Pass::Trial => begin_trial(job, job.content),
-        Pass::Held(retry_after) => return Err(Refusal::Poison { retry_after }),
+    match job.relay.admission(job.content) {
+        Admission::Free => {}
+        Admission::Trial => begin_trial(job, job.content),
+        Admission::Held(retry_after) => return Err(Refusal::Poison { retry_after }),
     }
     Ok(())
 }
@@ -365,7 +368,7 @@
     let merged = match change.value.as_ref().map(Row::deserialize) {
         Some(Ok(row)) => lock(&relay.quarantine.known).restore(content, row.crashes, now),
         // Links tell sooner. What is newer than this says has been announced there as well.
-        None => lock(&relay.quarantine.known).lapse(content, member::MAX_AGE, now),
+        None => lock(&relay.quarantine.known).discard_restored(content, member::MAX_AGE, now),
         Some(Err(error)) => {
             warn!(relay.log, "row of a poison request unreadable"; "row" => &change.key, "error" => %error);
             return true;
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -23,7 +23,7 @@
     /// Something has come from a runner, whatever for.
     pub(crate) fn note_sign(&self, runner: &Runner, moment: Instant) {
         let at = self.at(moment);
-        lock(&self.quarantine.known).observed(&start(runner), at);
+        lock(&self.quarantine.known).runner_observed(&start(runner), at);
     }
 
     /// Asks runners that are taken for silent under one request whether they live: a runner may be slow for
@@ -46,12 +46,12 @@
 
     /// A request is sent to a runner.
     pub(crate) fn note_begun(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).begin(content, start(runner));
+        lock(&self.quarantine.known).attempt_started(content, start(runner));
     }
 
     /// A request is in progress at a runner no more.
     pub(crate) fn note_over(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).over(content, &start(runner));
+        lock(&self.quarantine.known).attempt_ended(content, &start(runner));
     }
 
     /// A request that was sent to a runner at a moment has waited for so long that the runner is silent if
@@ -71,7 +71,7 @@
         let (sent, now) = (self.at(sent), self.now());
         let report = {
             let mut known = lock(&self.quarantine.known);
-            known.waited(content, &start(runner), sent, now)
+            known.runner_unresponsive(content, &start(runner), sent, now)
         };
         let Some(report) = report else { return };
         info!(self.log, "runner silent under a request"; "runner" => &*runner.id,
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -132,7 +132,7 @@
         let now = self.now();
         self.peers.members(|members| {
             let share = Share::new(&bound, members.count()?)?;
-            members.roster.acts(now).then_some(share)
+            members.roster.may_act(now).then_some(share)
         })
     }
 
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -8,7 +8,7 @@
     calls, falls, holds_back, keep_list, repeat, share_call,
 };
 use common::ward::{Effect, Harm, Spot};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::Request;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -52,7 +52,10 @@
     );
     assert_served(&served);
     let falls = falls(&owner.relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    assert!(
+        (1..=CRASH_THRESHOLD as usize).contains(&falls.len()),
+        "{falls:?}"
+    );
     assert_refused(&admitting.relay, poison(100)).await;
     assert_refused(&owner.relay, poison(101)).await;
 }
@@ -73,7 +76,7 @@
     assert_eq!(next.id, admitting.member.id);
     repeat(&admitting.relay, CHANGED, |number| poison(number + 1)).await;
     let falls = falls(&owner.relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    assert!(falls.len() <= CRASH_THRESHOLD as usize, "{falls:?}");
     assert_refused(&admitting.relay, poison(100)).await;
 }
 
@@ -90,7 +93,10 @@
         number += 1;
     }
     let falls = falls(&one.relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    assert!(
+        (1..=CRASH_THRESHOLD as usize).contains(&falls.len()),
+        "{falls:?}"
+    );
     assert_refused(&one.relay, poison(100)).await;
     assert_refused(&other.relay, poison(101)).await;
 }
@@ -109,7 +115,7 @@
     };
     tokio::join!(repeat(&one.relay, SILENT, attempt), later);
     let falls = falls(&one.relay);
-    let most = RELAYS * CRASHES as usize;
+    let most = RELAYS * CRASH_THRESHOLD as usize;
     assert!((1..=most).contains(&falls.len()), "{falls:?}");
 }
 
--- a/crates/relay/tests/poison_pieces.rs
+++ b/crates/relay/tests/poison_pieces.rs
@@ -9,7 +9,7 @@
 };
 use common::ward::{Effect, Harm, Spot};
 use common::{Carried, Fake};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::{Relay, Request};
 use std::time::Duration;
 use tokio::task::JoinHandle;
@@ -81,7 +81,7 @@
     replies(sent).await;
     repeat(&relay, REPEATED, |number| poison(number + 1)).await;
     let falls = falls(&relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    assert!(falls.len() <= CRASH_THRESHOLD as usize, "{falls:?}");
     assert_refused(&relay, asking("poison-last", POISON)).await;
     assert!(INNOCENT.iter().all(|text| !holds_back(&relay, text)));
 }
@@ -107,7 +107,7 @@
     }
     let falls = falls(&relay);
     assert!(
-        (1..=CRASHES as usize + TRIALS).contains(&falls.len()),
+        (1..=CRASH_THRESHOLD as usize + TRIALS).contains(&falls.len()),
         "{falls:?}"
     );
     let longest = longest_unmade(&relay);
@@ -211,7 +211,7 @@
         repeat(&relay, REPEATED, |number| other(number + 1)),
     );
     let falls = falls(&relay);
-    assert!(falls.len() <= 2 * CRASHES as usize, "{falls:?}");
+    assert!(falls.len() <= 2 * CRASH_THRESHOLD as usize, "{falls:?}");
     assert_served(&[ask(&relay, asking("one-last", "one")).await]);
 }
 
@@ -235,7 +235,7 @@
     replies(sent).await;
     repeat(&relay, REPEATED, |number| large(number + 1)).await;
     let falls = falls(&relay);
-    assert!(falls.len() <= CRASHES as usize, "{falls:?}");
+    assert!(falls.len() <= CRASH_THRESHOLD as usize, "{falls:?}");
     assert_refused(&relay, large(100)).await;
     assert!(INNOCENT.iter().all(|text| !holds_back(&relay, text)));
 }
--- a/crates/relay/tests/poison_places.rs
+++ b/crates/relay/tests/poison_places.rs
@@ -8,7 +8,7 @@
     occupy, relay, repeat, replies, reply, send,
 };
 use common::ward::{Effect, Harm, Spot};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::downstream::Item;
 use relay::{Relay, Request};
 use std::sync::Arc;
@@ -53,7 +53,10 @@
     let falls = falls(relay);
     for prefix in PLACES {
         let there = falls.iter().filter(|(_, by)| by.starts_with(prefix));
-        assert!(there.count() <= CRASHES as usize, "{prefix}: {falls:?}");
+        assert!(
+            there.count() <= CRASH_THRESHOLD as usize,
+            "{prefix}: {falls:?}"
+        );
     }
     assert!(!falls.is_empty());
 }
@@ -109,5 +112,8 @@
     assert!(first.is_some_and(|call| call.items.len() > 1));
     assert_served(&[ask(&relay, asking_on("chained", "one-again", "one")).await]);
     let falls = falls(&relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    assert!(
+        (1..=CRASH_THRESHOLD as usize).contains(&falls.len()),
+        "{falls:?}"
+    );
 }
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -8,7 +8,7 @@
     keep_list, relay, repeat, replies, share_call,
 };
 use common::ward::{Effect, Harm, Spot};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::{Relay, Request};
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,7 +80,10 @@
 
 fn assert_few(relay: &Relay<Fake>) {
     let falls = falls(relay);
-    assert!((1..=CRASHES as usize).contains(&falls.len()), "{falls:?}");
+    assert!(
+        (1..=CRASH_THRESHOLD as usize).contains(&falls.len()),
+        "{falls:?}"
+    );
 }
 
 /// Guards against a request that silences one runner after the other before the list tells of the first
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -4,7 +4,7 @@
 
 use common::stage::{cell, order};
 use common::{Act, Fake, body, ready, request, runner};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::Relay;
 use relay::batch::Order;
 use relay::runner::Change;
@@ -61,7 +61,7 @@
         }
         sleep(PAUSE / 2).await;
     }
-    assert!(silenced.len() <= CRASHES as usize, "{silenced:?}");
+    assert!(silenced.len() <= CRASH_THRESHOLD as usize, "{silenced:?}");
 }
 
 /// Guards against a piece that ends each runner of its stage: calls carry the pieces of several requests,
@@ -94,5 +94,5 @@
         }
         sleep(PAUSE).await;
     }
-    assert!(ended.len() <= CRASHES as usize, "{ended:?}");
+    assert!(ended.len() <= CRASH_THRESHOLD as usize, "{ended:?}");
 }
