--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -102,7 +102,7 @@
         let mut state = self.state();
         let mut orphans = Vec::new();
         for call in state.orphans(link) {
-            let dropped = state.withdraw(call, Event::Lost, Refusal::Revoked);
+            let dropped = state.withdraw(call, Event::LinkLost, Refusal::Revoked);
             if dropped.is_none() && state.running(call).is_some_and(|(_, cut)| cut) {
                 orphans.push(call);
             }
@@ -308,7 +308,7 @@
     }
 
     /// Passes an order on to the task that carries them out.
-    pub(crate) async fn order(&self, fence: protocol::Fence, body: Bytes, sender: &Sender) {
+    pub(crate) async fn order(&self, fence: protocol::FencingToken, body: Bytes, sender: &Sender) {
         let order = Order {
             fence,
             body,
@@ -327,7 +327,7 @@
     pub(crate) fn query(
         &self,
         number: u64,
-        fence: Option<protocol::Fence>,
+        fence: Option<protocol::FencingToken>,
         wanted: Vec<String>,
         sender: &Sender,
     ) {
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -30,7 +30,7 @@
 /// An order from an entry.
 #[derive(Debug)]
 pub(crate) struct Order {
-    pub(crate) fence: protocol::Fence,
+    pub(crate) fence: protocol::FencingToken,
     pub(crate) body: Bytes,
     /// Where the answer goes.
     pub(crate) link: Sender,
@@ -39,7 +39,7 @@
 /// The part of the lease row that matters here.
 #[derive(Deserialize)]
 struct Lease {
-    fence: protocol::Fence,
+    fence: protocol::FencingToken,
 }
 
 /// What becomes of an order.
@@ -88,7 +88,7 @@
 
     /// What the engine holds. To a lease holder it is told only once no order of an earlier one
     /// can pass any more: the holder would plan with what such an order then takes away.
-    pub(crate) async fn ask(&self, fence: Option<protocol::Fence>) -> Option<Models> {
+    pub(crate) async fn ask(&self, fence: Option<protocol::FencingToken>) -> Option<Models> {
         if let Some(fence) = fence {
             self.admit(fence, None).await.ok()?;
         }
@@ -96,7 +96,11 @@
     }
 
     /// Judges an order, with the current number from the table if none is known yet.
-    async fn admit(&self, number: protocol::Fence, order: Option<&[u8]>) -> Result<(), Answer> {
+    async fn admit(
+        &self,
+        number: protocol::FencingToken,
+        order: Option<&[u8]>,
+    ) -> Result<(), Answer> {
         let mut verdict = self.engine.admit(number, order);
         if verdict == Verdict::Unknown {
             self.engine.learn(current(&self.table).await?);
@@ -115,7 +119,7 @@
 
 /// The number in force. A holder writes its row before it gives orders, so without a row there is
 /// nobody to take orders from.
-async fn current(table: &impl Table) -> Result<protocol::Fence, Answer> {
+async fn current(table: &impl Table) -> Result<protocol::FencingToken, Answer> {
     let row = table
         .read(TABLE, KEY)
         .await
--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -55,13 +55,13 @@
 
 impl Engine {
     /// Takes in the current number as read from the table.
-    pub(crate) fn learn(&self, current: protocol::Fence) {
+    pub(crate) fn learn(&self, current: protocol::FencingToken) {
         self.lock().fence.learn(current);
     }
 
     /// Judges an order, which is under way from then on if it may pass; no body only raises the
     /// number.
-    pub(crate) fn admit(&self, number: protocol::Fence, order: Option<&[u8]>) -> Verdict {
+    pub(crate) fn admit(&self, number: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
         let mut state = self.lock();
         let verdict = state.fence.admit(number);
         if verdict == Verdict::Pass
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -119,7 +119,7 @@
         let work = &job.work;
         let place = self.queue.push(job.call, work.priority, work.remaining);
         let tracked = Tracked {
-            gate: Gate::hold(!work.repeatable),
+            gate: Gate::new(!work.repeatable),
             link,
             place,
             repeatable: work.repeatable,
@@ -151,7 +151,7 @@
             let Some(job) = tracked.job.clone() else {
                 continue;
             };
-            match tracked.gate.on(Event::Slot) {
+            match tracked.gate.on(Event::SlotFree) {
                 Action::Ask => turns.push(Turn::Ask(job)),
                 Action::Start => turns.push(Turn::Start(job)),
                 _ => continue,
@@ -183,7 +183,7 @@
             return None;
         }
         match before {
-            GateState::Held => self.queue.remove(tracked.place),
+            GateState::Queued => self.queue.remove(tracked.place),
             _ => self.taken -= 1,
         }
         self.memory.bar(call, why);
@@ -242,7 +242,7 @@
         let Some(tracked) = self.calls.get_mut(&call) else {
             return;
         };
-        tracked.gate.on(Event::Answered);
+        tracked.gate.on(Event::Finished);
         tracked.job = None;
         if started {
             self.memory.keep(call, tracked.repeatable, bytes);
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -3,7 +3,7 @@
 use crate::config::rows;
 use crate::writes::{Fate, Place, Writes};
 use protocol::RequestId;
-use protocol::claim::{self, Action, Claim, Event, Kept, Verdict};
+use protocol::claim::{self, Action, Claim, Event, StoredRow, Verdict};
 use std::time::Duration;
 use store::table::RowRevision;
 use store::{Objects, Row, Table};
@@ -60,7 +60,7 @@
         let (mut claim, mut action) = Claim::open(rand::random(), request, digest);
         loop {
             match action {
-                Action::Tell(verdict) => {
+                Action::Resolve(verdict) => {
                     return Settled {
                         claim,
                         key,
@@ -80,7 +80,7 @@
     pub async fn close(&self, mut settled: Settled, event: Event) {
         let mut action = settled.claim.on(event);
         while !settled.claim.is_settled() {
-            if action == Action::Later {
+            if action == Action::RetryLater {
                 tokio::time::sleep(LATER).await;
             }
             let event = self.carry_out(&settled.key, action).await;
@@ -92,7 +92,7 @@
         match action {
             Action::Write { check, row } => self.write(key, check, row).await,
             Action::Read => self.read(key).await,
-            Action::Later | Action::Ignore | Action::Tell(_) => Event::Retry,
+            Action::RetryLater | Action::Ignore | Action::Resolve(_) => Event::Retry,
         }
     }
 
@@ -123,7 +123,7 @@
     };
     let revision = row.revision;
     match rows::parse(row) {
-        Ok(row) => Event::Found(Some(Kept { row, revision })),
+        Ok(row) => Event::Found(Some(StoredRow { row, revision })),
         Err(_) => Event::Unavailable,
     }
 }
--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -1,6 +1,6 @@
 //! What one target's engine holds, as it says itself, and the order that it has been given.
 
-use protocol::Fence;
+use protocol::FencingToken;
 use serde::Serialize;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -37,7 +37,7 @@
 /// An order as engines read it.
 #[derive(Serialize)]
 struct Fenced<'a> {
-    fence: Fence,
+    fence: FencingToken,
     #[serde(flatten)]
     order: &'a Order,
 }
@@ -54,7 +54,7 @@
     /// assert_eq!(order.body(7), br#"{"fence":7,"order":"load","model":"draft"}"#);
     /// ```
     #[must_use]
-    pub fn body(&self, fence: Fence) -> Vec<u8> {
+    pub fn body(&self, fence: FencingToken) -> Vec<u8> {
         let fenced = Fenced { fence, order: self };
         // Numbers and strings always make JSON.
         serde_json::to_vec(&fenced).unwrap_or_default()
@@ -105,7 +105,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Question {
     at: Instant,
-    fence: Option<Fence>,
+    fence: Option<FencingToken>,
 }
 
 #[derive(Debug)]
@@ -147,7 +147,7 @@
     ///
     /// Any other answer may have been overtaken by an order, of this entry or of an earlier holder
     /// of the lease, and a plan made from it could give up the last replica of a model.
-    pub fn view(&self, fence: Fence) -> Option<View> {
+    pub fn view(&self, fence: FencingToken) -> Option<View> {
         let state = self.lock();
         let held = state.held.as_ref()?;
         let Question { at, fence: under } = held.asked;
@@ -156,7 +156,7 @@
     }
 
     /// Number for the next question, unless the same one is open.
-    pub fn ask(&self, fence: Option<Fence>) -> Option<u64> {
+    pub fn ask(&self, fence: Option<FencingToken>) -> Option<u64> {
         let mut state = self.lock();
         let at = Instant::now();
         let open = |asked: Question| asked.fence == fence && at < asked.at + ASK_AGAIN;
--- a/crates/entry/src/placement/fleet.rs
+++ b/crates/entry/src/placement/fleet.rs
@@ -5,7 +5,7 @@
 use crate::target::Target;
 use decide::place::{self, ModelName};
 use decide::route::TargetId;
-use protocol::Fence;
+use protocol::FencingToken;
 use record::{Map, Service, Set};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 impl Fleet {
     /// The engines of these targets, with what they have said under a fencing number.
-    pub fn survey(targets: &[Arc<Target>], set: &Set, fence: Fence) -> Self {
+    pub fn survey(targets: &[Arc<Target>], set: &Set, fence: FencingToken) -> Self {
         let open = |target: &&Arc<Target>| target.is_open() && !set.drained(&target.vm.id);
         let mut engines: Vec<_> = targets
             .iter()
--- a/crates/entry/src/placement/lease.rs
+++ b/crates/entry/src/placement/lease.rs
@@ -2,8 +2,8 @@
 
 use crate::config::rows;
 use crate::core::{Core, Platform};
-use protocol::Fence;
-use protocol::lease::{Action, Event, Kept, Lease as Machine, Term};
+use protocol::FencingToken;
+use protocol::lease::{Action, Event, Lease as Machine, StoredRow, Timing};
 use slog::info;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -39,23 +39,23 @@
     /// Whether the table has ever been asked.
     contends: bool,
     /// What was last logged.
-    told: Option<Fence>,
+    told: Option<FencingToken>,
 }
 
 impl Lease {
     /// A lease of which nothing is known yet.
     #[must_use]
     pub fn new(duration: Duration) -> Self {
-        let term = Term {
+        let timing = Timing {
             duration,
             margin: duration * MARGIN_PARTS / PARTS,
             period: duration / PERIODS,
         };
         Self {
             started: Instant::now(),
-            pause: term.period / LOOKS,
+            pause: timing.period / LOOKS,
             state: Mutex::new(State {
-                machine: Machine::new(rand::random(), term),
+                machine: Machine::new(rand::random(), timing),
                 contends: false,
                 told: None,
             }),
@@ -63,7 +63,7 @@
     }
 
     /// The fencing number to give an order under, or `None` while this entry must not give any.
-    pub fn may_act(&self) -> Option<Fence> {
+    pub fn may_act(&self) -> Option<FencingToken> {
         let now = self.now();
         self.lock().machine.may_act(now)
     }
@@ -96,7 +96,7 @@
     }
 
     /// Whether the lease has been won or lost since this was last called, and what it is now.
-    fn changed(&self) -> Option<Option<Fence>> {
+    fn changed(&self) -> Option<Option<FencingToken>> {
         let held = self.may_act();
         let told = std::mem::replace(&mut self.lock().told, held);
         (told != held).then_some(held)
@@ -183,7 +183,7 @@
     };
     let revision = row.revision;
     match rows::parse(row) {
-        Ok(row) => Event::Found(Some(Kept { row, revision })),
+        Ok(row) => Event::Found(Some(StoredRow { row, revision })),
         Err(_) => Event::Unavailable,
     }
 }
--- a/crates/entry/src/placement/plan.rs
+++ b/crates/entry/src/placement/plan.rs
@@ -11,7 +11,7 @@
 use crate::target::Target;
 use decide::place::{self, Model, ModelName, Placement};
 use decide::route::TargetId;
-use protocol::Fence;
+use protocol::FencingToken;
 use record::Map;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 /// Plans of all services under one lease.
 #[derive(Debug)]
 pub struct Planner {
-    fence: Option<Fence>,
+    fence: Option<FencingToken>,
     since: Instant,
     rate: Rate,
     /// Service that got the last load.
@@ -61,7 +61,7 @@
 
     /// Takes in the fencing number that is held. Under a new one nothing is known of the engines:
     /// other holders may have given orders in between.
-    pub fn begin(&mut self, held: Option<Fence>) {
+    pub fn begin(&mut self, held: Option<FencingToken>) {
         if self.fence == held {
             return;
         }
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -238,7 +238,7 @@
     /// Takes in messages until an answer is committed or every attempt has ended.
     async fn follow(&mut self) -> Option<Output> {
         let mut hedge_at = self.hedge_at();
-        while self.machine.end().is_none() {
+        while self.machine.outcome().is_none() {
             let message = match hedge_at {
                 None => self.messages.recv().await,
                 Some(at) => tokio::select! {
@@ -324,7 +324,7 @@
                 self.cancel_others(index);
                 Ok(())
             }
-            Action::Over(end) => {
+            Action::Ended(end) => {
                 self.over(index, end, frame);
                 Ok(())
             }
--- a/crates/entry/src/stage/meaning.rs
+++ b/crates/entry/src/stage/meaning.rs
@@ -6,12 +6,12 @@
 /// What a frame means to the state machine; no frame means that the link is lost.
 pub(super) fn event(frame: Option<&Frame>) -> Event {
     match frame {
-        None => Event::Lost,
+        None => Event::LinkLost,
         Some(Frame::Ask { .. }) => Event::Ask,
         Some(Frame::Refuse {
             reason: Refusal::Forgotten,
             ..
-        }) => Event::Forget,
+        }) => Event::Forgotten,
         Some(Frame::Refuse { .. }) => Event::Refuse,
         Some(Frame::Chunk { sequence, data, .. }) => Event::Chunk {
             sequence: *sequence,
@@ -22,7 +22,7 @@
             length: *length,
         },
         Some(Frame::Fail { .. }) => Event::Fail,
-        Some(Frame::Break { .. }) => Event::Break,
+        Some(Frame::Break { .. }) => Event::RunnerLost,
         Some(_) => Event::Started,
     }
 }
--- a/crates/entry/src/stage/retry.rs
+++ b/crates/entry/src/stage/retry.rs
@@ -22,7 +22,7 @@
 impl<P: Platform> Run<'_, P> {
     /// Decides whether the stage is tried again, and waits before it is.
     pub(super) async fn again(&mut self) -> Result<(), End> {
-        let end = self.machine.end().unwrap_or(call::End::Unknown);
+        let end = self.machine.outcome().unwrap_or(call::Outcome::Unknown);
         let blameless = matches!(&self.failure, Some((status, _)) if *status < SERVER_ERROR);
         if !self.machine.may_start() || blameless {
             return Err(self.end());
@@ -30,7 +30,7 @@
         let last = self.tries.len().saturating_sub(1);
         let attempt = Attempt::try_from(last).unwrap_or(Attempt::MAX);
         let failure = match self.machine.call(attempt).map(protocol::Call::state) {
-            Some(call::State::Ended(call::End::NotRun)) => Failure::NotRun,
+            Some(call::State::Ended(call::Outcome::NotRun)) => Failure::NotRun,
             _ => Failure::Ran,
         };
         // Work that no runner has started is never given up for lack of a budget.
@@ -43,7 +43,7 @@
         };
         match pause {
             Some(pause) => tokio::time::sleep(pause).await,
-            None if end == call::End::NotRun => return self.rest().await,
+            None if end == call::Outcome::NotRun => return self.rest().await,
             None => return Err(self.end()),
         }
         Ok(())
@@ -81,17 +81,17 @@
     /// What the caller is told when the stage is not tried again.
     pub(super) fn end(&self) -> End {
         let stage = &self.spec.name;
-        match (self.machine.end(), &self.failure) {
-            (Some(call::End::Failed), Some((status, body))) => End::Failed {
+        match (self.machine.outcome(), &self.failure) {
+            (Some(call::Outcome::Failed), Some((status, body))) => End::Failed {
                 stage: stage.clone(),
                 status: *status,
                 body: body.clone(),
             },
-            (Some(call::End::NotRun) | None, _) if !self.ran => End::NotRun {
+            (Some(call::Outcome::NotRun) | None, _) if !self.ran => End::NotRun {
                 detail: format!("stage {stage}: no target would take it"),
                 retry_after: PAUSE_MOST,
             },
-            (Some(call::End::NotRun) | None, _) => End::Unknown {
+            (Some(call::Outcome::NotRun) | None, _) => End::Unknown {
                 detail: format!("stage {stage}: no target would take it; earlier stages have run"),
             },
             _ => End::Unknown {
--- a/crates/entry/src/stage/tries.rs
+++ b/crates/entry/src/stage/tries.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes how an attempt ended that brought no answer.
-    pub(super) fn over(&mut self, index: usize, end: call::End, frame: Option<&Frame>) {
+    pub(super) fn over(&mut self, index: usize, end: call::Outcome, frame: Option<&Frame>) {
         let call = self.call(index as Attempt);
         let one = &mut self.tries[index];
         one.over = true;
@@ -68,23 +68,23 @@
         let outcome = match end {
             // The agent answers at once for a runner that is gone, and would look idle: every call
             // would go there first.
-            call::End::NotRun if is_unreachable(frame) => {
+            call::Outcome::NotRun if is_unreachable(frame) => {
                 self.service.failed(id);
                 "not_run"
             }
-            call::End::NotRun => {
+            call::Outcome::NotRun => {
                 let (load, full) = refusal(frame);
                 self.service.returned(id, load, full);
                 "not_run"
             }
-            call::End::Failed => {
+            call::Outcome::Failed => {
                 if let Some(Frame::Fail { status, body, .. }) = frame {
                     self.failure = Some((*status, body.clone()));
                 }
                 self.service.failed(id);
                 "failed"
             }
-            call::End::Unknown | call::End::Whole => {
+            call::Outcome::Unknown | call::Outcome::Complete => {
                 self.service.failed(id);
                 "unknown"
             }
--- a/crates/entry/src/target.rs
+++ b/crates/entry/src/target.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Engine, Order};
 use foldhash::fast::RandomState;
-use protocol::{CallId, Fence};
+use protocol::{CallId, FencingToken};
 use slog::{Logger, error, info};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -154,7 +154,7 @@
 
     /// Asks what its engine holds, under the lease's fencing number if this entry holds it, and says
     /// which models callers have lacked.
-    pub fn query(&self, fence: Option<Fence>, wanted: impl IntoIterator<Item = String>) {
+    pub fn query(&self, fence: Option<FencingToken>, wanted: impl IntoIterator<Item = String>) {
         if self.is_linked()
             && let Some(number) = self.engine.ask(fence)
         {
@@ -171,7 +171,7 @@
     ///
     /// A link that does not take it soon is no way for it: the order would leave long after the
     /// lease was looked at.
-    pub async fn order(&self, fence: Fence, order: &Order) -> bool {
+    pub async fn order(&self, fence: FencingToken, order: &Order) -> bool {
         let link = self.link().clone();
         let body = order.body(fence).into();
         let Some(link) = link else {
--- a/crates/protocol/examples/takeover.rs
+++ b/crates/protocol/examples/takeover.rs
@@ -3,18 +3,18 @@
 
 use protocol::Lease;
 use protocol::fence::Fence;
-use protocol::lease::{Action, Event, Kept, Term};
+use protocol::lease::{Action, Event, StoredRow, Timing};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn main() {
-    let term = Term {
+    let timing = Timing {
         duration: SECOND * 10,
         margin: SECOND * 3,
         period: SECOND * 2,
     };
-    let (mut first, mut second) = (Lease::new(1, term), Lease::new(2, term));
+    let (mut first, mut second) = (Lease::new(1, timing), Lease::new(2, timing));
 
     first.tick(SECOND);
     first.on(Event::Found(None), SECOND);
@@ -25,7 +25,7 @@
     println!("the first acts under {:?}", first.may_act(SECOND));
 
     // It is paused; the second sees the row unchanged for the whole duration and takes over.
-    let kept = Kept { row, revision: 1 };
+    let kept = StoredRow { row, revision: 1 };
     for now in (1..=13).map(|seconds| SECOND * seconds) {
         match second.tick(now) {
             Some(Action::Read) => second.on(Event::Found(Some(kept)), now),
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -19,16 +19,16 @@
     /// The agent may have started, or may start at any later time.
     Granted,
     /// Over; nothing that arrives later changes the end.
-    Ended(End),
+    Ended(Outcome),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum Outcome {
     /// No runner started it and none ever will.
     NotRun,
     /// Every chunk of the answer has arrived.
-    Whole,
+    Complete,
     /// The runner answered with an error.
     Failed,
     /// It may have run, may be running, or may yet run.
@@ -43,7 +43,7 @@
     /// The agent says that it did not start the attempt and never will.
     Refuse,
     /// The agent has no memory of the attempt and will not start it.
-    Forget,
+    Forgotten,
     /// The agent says that the runner has the work.
     Started,
     /// A chunk of the answer.
@@ -63,9 +63,9 @@
     /// The runner answered with an error.
     Fail,
     /// The agent lost the runner after it had started the attempt.
-    Break,
+    RunnerLost,
     /// The link to the agent is gone.
-    Lost,
+    LinkLost,
     /// The entry no longer wants the attempt to start.
     GiveUp,
 }
@@ -84,7 +84,7 @@
     /// Count the message as a duplicate or stray and drop it.
     Drop,
     /// The attempt is over.
-    End(End),
+    End(Outcome),
 }
 
 /// One attempt, as seen by the entry that offered it.
@@ -92,10 +92,10 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::call::{Action, Call, End, Event};
+/// use protocol::call::{Action, Call, Outcome, Event};
 ///
 /// let mut call = Call::offer(false, 0);
-/// assert_eq!(call.on(Event::GiveUp), [Some(Action::Revoke), Some(Action::End(End::NotRun))]);
+/// assert_eq!(call.on(Event::GiveUp), [Some(Action::Revoke), Some(Action::End(Outcome::NotRun))]);
 /// assert_eq!(call.on(Event::Ask), [Some(Action::Deny), None]);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -146,13 +146,13 @@
         }
         match event {
             Event::Ask => self.ask(),
-            Event::Refuse => self.end(End::NotRun),
+            Event::Refuse => self.end(Outcome::NotRun),
             Event::Started => self.started(),
             Event::Chunk { sequence, length } => self.chunk(sequence, length),
             Event::Done { chunks, length } => self.done(chunks, length),
-            Event::Fail => self.end(End::Failed),
-            Event::Break => self.end(End::Unknown),
-            Event::Forget | Event::Lost => self.lost(),
+            Event::Fail => self.end(Outcome::Failed),
+            Event::RunnerLost => self.end(Outcome::Unknown),
+            Event::Forgotten | Event::LinkLost => self.lost(),
             Event::GiveUp => self.give_up(),
         }
     }
@@ -162,7 +162,7 @@
     fn after_end(event: Event) -> Actions {
         match event {
             Event::Ask => [Some(Action::Deny), None],
-            Event::Lost | Event::GiveUp => [None, None],
+            Event::LinkLost | Event::GiveUp => [None, None],
             _ => [Some(Action::Drop), None],
         }
     }
@@ -196,9 +196,9 @@
     /// reported as unknown, never passed on as whole.
     fn done(&mut self, chunks: Sequence, length: u64) -> Actions {
         if chunks == self.next && length == self.bytes {
-            return self.end(End::Whole);
+            return self.end(Outcome::Complete);
         }
-        self.end(End::Unknown)
+        self.end(Outcome::Unknown)
     }
 
     /// A restarted agent remembers nothing, so its word that it does not know the attempt says
@@ -206,9 +206,9 @@
     /// none has certainly not run.
     fn lost(&mut self) -> Actions {
         if self.state == State::Offered && !self.repeatable {
-            return self.end(End::NotRun);
+            return self.end(Outcome::NotRun);
         }
-        self.end(End::Unknown)
+        self.end(Outcome::Unknown)
     }
 
     /// A call that runs without a grant may already run, so only the agent's refusal can still
@@ -220,11 +220,11 @@
         if self.repeatable {
             return [Some(Action::Revoke), None];
         }
-        let [end, _] = self.end(End::NotRun);
+        let [end, _] = self.end(Outcome::NotRun);
         [Some(Action::Revoke), end]
     }
 
-    fn end(&mut self, end: End) -> Actions {
+    fn end(&mut self, end: Outcome) -> Actions {
         self.state = State::Ended(end);
         [Some(Action::End(end)), None]
     }
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -40,7 +40,7 @@
 
 /// A row together with the transaction that last wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct StoredRow {
     /// Content.
     pub row: Row,
     /// Transaction that last wrote it.
@@ -69,7 +69,7 @@
     /// The write took effect as this transaction.
     Written(RowRevision),
     /// The write did nothing, since the row is as given; or the row as it was read.
-    Found(Option<Kept>),
+    Found(Option<StoredRow>),
     /// The table refused the write or read before it did anything.
     Unavailable,
     /// No answer came; the write may have taken effect or may yet.
@@ -95,9 +95,9 @@
     /// Read the row.
     Read,
     /// Tell the caller, or start the call.
-    Tell(Verdict),
+    Resolve(Verdict),
     /// Feed [`Event::Retry`] after a while.
-    Later,
+    RetryLater,
     /// Nothing to do.
     Ignore,
 }
@@ -125,8 +125,8 @@
 /// assert!(matches!(write, Action::Write { check: None, .. }));
 /// assert_eq!(claim.on(Event::Unsure), Action::Read);
 /// let Action::Write { row, .. } = write else { unreachable!() };
-/// let found = protocol::claim::Kept { row, revision: 12 };
-/// assert_eq!(claim.on(Event::Found(Some(found))), Action::Tell(Verdict::Granted));
+/// let found = protocol::claim::StoredRow { row, revision: 12 };
+/// assert_eq!(claim.on(Event::Found(Some(found))), Action::Resolve(Verdict::Granted));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
@@ -185,7 +185,7 @@
 
     /// An absent row leaves the first write's fate open: it may yet take effect, so the same row
     /// is written again, and whichever write comes second does nothing.
-    fn found(&mut self, kept: Option<Kept>) -> Action {
+    fn found(&mut self, kept: Option<StoredRow>) -> Action {
         let Some(kept) = kept else {
             self.check = None;
             return self.write(Progress::Claimed);
@@ -203,14 +203,14 @@
             Progress::Answered => Verdict::Answered(kept.row.request),
         };
         self.state = State::Settled;
-        Action::Tell(told)
+        Action::Resolve(told)
     }
 
     fn granted(&mut self, revision: RowRevision) -> Action {
         self.check = Some(revision);
         self.unsure = false;
         self.state = State::Granted;
-        Action::Tell(Verdict::Granted)
+        Action::Resolve(Verdict::Granted)
     }
 
     /// The table is down. A write whose answer was lost may have left, or may yet leave, a claim
@@ -222,7 +222,7 @@
         } else {
             State::Settled
         };
-        Action::Tell(Verdict::Unavailable)
+        Action::Resolve(Verdict::Unavailable)
     }
 
     fn close(&mut self, progress: Progress) -> Action {
@@ -235,7 +235,7 @@
             Event::Written(_) => self.settle(),
             Event::Found(kept) => self.found_closing(progress, kept),
             Event::Unsure => self.read(),
-            Event::Unavailable => Action::Later,
+            Event::Unavailable => Action::RetryLater,
             Event::Retry => Action::Read,
             Event::NotRun | Event::Answered => Action::Ignore,
         }
@@ -244,7 +244,7 @@
     /// Another claim's row is left alone once it has moved on from the revision that this claim's
     /// open writes expect. Before that, such a write may yet take effect and leave a claim that
     /// nobody runs, so the row is written over at that very revision.
-    fn found_closing(&mut self, progress: Progress, kept: Option<Kept>) -> Action {
+    fn found_closing(&mut self, progress: Progress, kept: Option<StoredRow>) -> Action {
         let revision = kept.map(|kept| kept.revision);
         match kept.map(|kept| kept.row) {
             Some(row) if row.token == self.row.token && row.progress == progress => self.settle(),
--- a/crates/protocol/src/fence.rs
+++ b/crates/protocol/src/fence.rs
@@ -11,7 +11,7 @@
     /// Hand it to the engine.
     Pass,
     /// Refuse it: an order with this higher number has been seen.
-    Refuse(id::Fence),
+    Refuse(id::FencingToken),
     /// Read the current number from the table first.
     Unknown,
 }
@@ -32,7 +32,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    highest: Option<id::Fence>,
+    highest: Option<id::FencingToken>,
 }
 
 impl Fence {
@@ -43,7 +43,7 @@
     }
 
     /// Takes in the current number as read from the table.
-    pub fn learn(&mut self, current: id::Fence) {
+    pub fn learn(&mut self, current: id::FencingToken) {
         self.highest = self.highest.max(Some(current));
     }
 
@@ -51,7 +51,7 @@
     ///
     /// A restarted agent has forgotten which numbers it saw. It would let an old order pass if it
     /// judged before it has read the table, so it lets none pass until then.
-    pub fn admit(&mut self, order: id::Fence) -> Verdict {
+    pub fn admit(&mut self, order: id::FencingToken) -> Verdict {
         match self.highest {
             None => Verdict::Unknown,
             Some(highest) if order < highest => Verdict::Refuse(highest),
--- a/crates/protocol/src/gate.rs
+++ b/crates/protocol/src/gate.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
     /// Waits for a free slot at the runner.
-    Held,
+    Queued,
     /// Has a slot and waits for the entry's grant.
-    Asking,
+    AwaitingGrant,
     /// The runner has, or may have, the work.
     Running,
     /// Over: refused, revoked, denied or answered.
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A slot at the runner is free for it.
-    Slot,
+    SlotFree,
     /// The entry lets it start.
     Grant,
     /// The entry forbids it to start.
@@ -27,9 +27,9 @@
     /// The agent leaves and hands back what has not started.
     Leave,
     /// The link to the entry is gone.
-    Lost,
+    LinkLost,
     /// The runner has answered, failed or broken off.
-    Answered,
+    Finished,
 }
 
 /// What the agent must do after an event.
@@ -54,8 +54,8 @@
 /// ```
 /// use protocol::gate::{Action, Event, Gate};
 ///
-/// let mut gate = Gate::hold(true);
-/// assert_eq!(gate.on(Event::Slot), Action::Ask);
+/// let mut gate = Gate::new(true);
+/// assert_eq!(gate.on(Event::SlotFree), Action::Ask);
 /// assert_eq!(gate.on(Event::Revoke), Action::Refuse);
 /// assert_eq!(gate.on(Event::Grant), Action::Ignore);
 /// ```
@@ -68,9 +68,9 @@
 impl Gate {
     /// An attempt that has just been offered and taken into the queue.
     #[must_use]
-    pub fn hold(needs_grant: bool) -> Self {
+    pub fn new(needs_grant: bool) -> Self {
         Self {
-            state: State::Held,
+            state: State::Queued,
             needs_grant,
         }
     }
@@ -84,17 +84,19 @@
     /// Takes in an event and says what to do.
     pub fn on(&mut self, event: Event) -> Action {
         match (self.state, event) {
-            (State::Held, Event::Slot) if self.needs_grant => self.to(State::Asking, Action::Ask),
-            (State::Held, Event::Slot) | (State::Asking, Event::Grant) => {
+            (State::Queued, Event::SlotFree) if self.needs_grant => {
+                self.to(State::AwaitingGrant, Action::Ask)
+            }
+            (State::Queued, Event::SlotFree) | (State::AwaitingGrant, Event::Grant) => {
                 self.to(State::Running, Action::Start)
             }
-            (State::Held | State::Asking, Event::Revoke | Event::Leave) => {
+            (State::Queued | State::AwaitingGrant, Event::Revoke | Event::Leave) => {
                 self.to(State::Ended, Action::Refuse)
             }
-            (State::Held | State::Asking, Event::Deny | Event::Lost) => {
+            (State::Queued | State::AwaitingGrant, Event::Deny | Event::LinkLost) => {
                 self.to(State::Ended, Action::Release)
             }
-            (State::Running, Event::Answered) => self.to(State::Ended, Action::Release),
+            (State::Running, Event::Finished) => self.to(State::Ended, Action::Release),
             _ => Action::Ignore,
         }
     }
--- a/crates/protocol/src/id.rs
+++ b/crates/protocol/src/id.rs
@@ -19,7 +19,7 @@
 /// Unique mark of one writer's row, drawn at random.
 pub type Token = u128;
 /// Fencing number of a lease; grows with each new holder.
-pub type Fence = u64;
+pub type FencingToken = u64;
 /// Number of a process's life on its VM; grows with each restart.
 pub type Incarnation = u64;
 
--- a/crates/protocol/src/lease.rs
+++ b/crates/protocol/src/lease.rs
@@ -15,7 +15,7 @@
     /// The holder's token; `None` once it has resigned.
     pub holder: Option<Holder>,
     /// Fencing number; grows with each new holder.
-    pub fence: id::Fence,
+    pub fence: id::FencingToken,
 }
 
 /// Token of a process's life, drawn at random.
@@ -25,7 +25,7 @@
 
 /// A row together with the transaction that last wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct StoredRow {
     /// Content.
     pub row: Row,
     /// Transaction that last wrote it.
@@ -34,7 +34,7 @@
 
 /// How long a lease lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Term {
+pub struct Timing {
     /// Time that a contender must have seen the row unchanged.
     pub duration: Duration,
     /// How much earlier the holder stops acting: covers clocks that run at different speeds and
@@ -50,7 +50,7 @@
     /// The write took effect as this transaction.
     Written(RowRevision),
     /// The write did nothing, since the row is as given; or the row as it was read.
-    Found(Option<Kept>),
+    Found(Option<StoredRow>),
     /// The table refused before it did anything, or a read got no answer.
     Unavailable,
     /// The write got no answer; it may have taken effect or may yet.
@@ -82,12 +82,12 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::lease::{Action, Event, Lease, Term};
+/// use protocol::lease::{Action, Event, Lease, Timing};
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let term = Term { duration: 10 * second, margin: 3 * second, period: 2 * second };
-/// let mut lease = Lease::new(77, term);
+/// let timing = Timing { duration: 10 * second, margin: 3 * second, period: 2 * second };
+/// let mut lease = Lease::new(77, timing);
 /// assert_eq!(lease.tick(second), Some(Action::Read));
 /// lease.on(Event::Found(None), second);
 /// assert!(matches!(lease.tick(second), Some(Action::Write { check: None, .. })));
@@ -98,8 +98,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     me: Holder,
-    term: Term,
-    seen: Option<Kept>,
+    timing: Timing,
+    seen: Option<StoredRow>,
     known: bool,
     since: Duration,
     flight: Option<Flight>,
@@ -115,10 +115,10 @@
 impl Lease {
     /// A process that has not read the row; `token` is drawn at random for each life.
     #[must_use]
-    pub fn new(token: Token, term: Term) -> Self {
+    pub fn new(token: Token, timing: Timing) -> Self {
         Self {
             me: Holder(token),
-            term,
+            timing,
             seen: None,
             known: false,
             since: Duration::ZERO,
@@ -136,8 +136,8 @@
     /// A paused holder learns of the lapse only when it looks at its clock, so this is asked
     /// right before each order.
     #[must_use]
-    pub fn may_act(&self, now: Duration) -> Option<id::Fence> {
-        let until = self.held? + self.term.duration.saturating_sub(self.term.margin);
+    pub fn may_act(&self, now: Duration) -> Option<id::FencingToken> {
+        let until = self.held? + self.timing.duration.saturating_sub(self.timing.margin);
         (now < until && !self.resigning).then_some(self.mine()?.row.fence)
     }
 
@@ -179,7 +179,7 @@
         };
         match (flight, event) {
             (Flight::Write(row), Event::Written(revision)) => {
-                self.written(Kept { row, revision }, now);
+                self.written(StoredRow { row, revision }, now);
             }
             (_, Event::Found(kept)) => self.found(kept, now),
             (Flight::Write(_), Event::Unsure) => self.known = false,
@@ -187,7 +187,7 @@
         }
     }
 
-    fn mine(&self) -> Option<Kept> {
+    fn mine(&self) -> Option<StoredRow> {
         self.seen.filter(|kept| kept.row.holder == Some(self.me))
     }
 
@@ -195,7 +195,7 @@
         self.prompt
             || self
                 .asked
-                .is_none_or(|asked| now >= asked + self.term.period)
+                .is_none_or(|asked| now >= asked + self.timing.period)
     }
 
     /// The row to write now, or `None` if the row is to be read.
@@ -203,7 +203,7 @@
         if !self.known {
             return None;
         }
-        let Some(Kept { row, .. }) = self.seen else {
+        let Some(StoredRow { row, .. }) = self.seen else {
             return Some(self.taken(0));
         };
         match row.holder {
@@ -212,19 +212,19 @@
                 ..row
             }),
             Some(holder) if holder == self.me => Some(row),
-            Some(_) if now < self.since + self.term.duration => None,
+            Some(_) if now < self.since + self.timing.duration => None,
             _ => Some(self.taken(row.fence)),
         }
     }
 
-    fn taken(&self, fence: id::Fence) -> Row {
+    fn taken(&self, fence: id::FencingToken) -> Row {
         Row {
             holder: Some(self.me),
             fence: fence + 1,
         }
     }
 
-    fn written(&mut self, kept: Kept, now: Duration) {
+    fn written(&mut self, kept: StoredRow, now: Duration) {
         self.seen = Some(kept);
         self.since = now;
         self.held = self.asked;
@@ -234,8 +234,8 @@
     /// A renewal whose answer was lost counts from when it was sent: a contender may have seen
     /// its effect right then, and counts the duration from there. Of several such writes the
     /// earliest counts, since the row does not tell which one it was.
-    fn found(&mut self, kept: Option<Kept>, now: Duration) {
-        let revision = |kept: Option<Kept>| kept.map(|kept| kept.revision);
+    fn found(&mut self, kept: Option<StoredRow>, now: Duration) {
+        let revision = |kept: Option<StoredRow>| kept.map(|kept| kept.revision);
         let changed = revision(kept) != revision(self.seen);
         self.known = true;
         self.seen = kept;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -39,8 +39,8 @@
 pub use follower::Follower;
 pub use gate::Gate;
 pub use id::{
-    Attempt, CallId, ContentId, Fence, Incarnation, RequestId, Revision, RowRevision, Sequence,
-    StageIndex, Token,
+    Attempt, CallId, ContentId, FencingToken, Incarnation, RequestId, Revision, RowRevision,
+    Sequence, StageIndex, Token,
 };
 pub use lease::Lease;
 pub use member::Members;
--- a/crates/protocol/src/stage.rs
+++ b/crates/protocol/src/stage.rs
@@ -4,7 +4,7 @@
 //! changes that. A streamed answer has one owner at a time; a retry goes on at the first chunk
 //! that the caller lacks.
 
-use crate::call::{self, Call, End, State};
+use crate::call::{self, Call, Outcome, State};
 use crate::id::{Attempt, Sequence};
 
 /// What sort of answer the stage gives and whether it may run more than once.
@@ -31,8 +31,8 @@
     Drop,
     /// Cancel every other attempt in [`Stage::live`]: this one has won.
     CancelOthers,
-    /// The attempt is over without being the stage's answer; see [`Stage::end`].
-    Over(End),
+    /// The attempt is over without being the stage's answer; see [`Stage::outcome`].
+    Ended(Outcome),
     /// This attempt's answer is the stage's answer.
     Commit,
 }
@@ -45,7 +45,7 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::call::{End, Event};
+/// use protocol::call::{Outcome, Event};
 /// use protocol::stage::{Action, Mode, Stage};
 ///
 /// let mut stage = Stage::new(Mode { repeatable: true, stream: false });
@@ -54,7 +54,7 @@
 /// let done = Event::Done { chunks: 0, length: 0 };
 /// assert_eq!(stage.on(hedge, done), [Some(Action::Commit), Some(Action::CancelOthers)]);
 /// assert_eq!(stage.on(first, done), [Some(Action::Drop), None]);
-/// assert_eq!(stage.end(), Some(End::Whole));
+/// assert_eq!(stage.outcome(), Some(Outcome::Complete));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Stage {
@@ -131,21 +131,21 @@
     /// It is *not run* only if every attempt is; an attempt that may still run makes the whole
     /// stage *unknown*, even beside one that failed.
     #[must_use]
-    pub fn end(&self) -> Option<End> {
+    pub fn outcome(&self) -> Option<Outcome> {
         if self.committed.is_some() {
-            return Some(End::Whole);
+            return Some(Outcome::Complete);
         }
         if self.calls.is_empty() {
-            return self.given_up.then_some(End::NotRun);
+            return self.given_up.then_some(Outcome::NotRun);
         }
-        self.ends()
-            .try_fold(End::NotRun, |worst, end| Some(worse(worst, end?)))
+        self.outcomes()
+            .try_fold(Outcome::NotRun, |worst, end| Some(worse(worst, end?)))
     }
 
     /// Attempts that have not ended.
     pub fn live(&self) -> impl Iterator<Item = Attempt> + '_ {
         (0..)
-            .zip(self.ends())
+            .zip(self.outcomes())
             .filter_map(|(attempt, end)| end.is_none().then_some(attempt))
     }
 
@@ -173,7 +173,7 @@
         self.dropped
     }
 
-    fn ends(&self) -> impl Iterator<Item = Option<End>> + '_ {
+    fn outcomes(&self) -> impl Iterator<Item = Option<Outcome>> + '_ {
         self.calls.iter().map(|call| match call.state() {
             State::Ended(end) => Some(end),
             _ => None,
@@ -181,7 +181,7 @@
     }
 
     fn all_not_run(&self) -> bool {
-        self.ends().all(|end| end == Some(End::NotRun))
+        self.outcomes().all(|end| end == Some(Outcome::NotRun))
     }
 
     /// An attempt that still asks for a grant must be denied, or its work would run after the
@@ -189,7 +189,7 @@
     fn after_commit(&mut self, event: call::Event) -> Actions {
         match event {
             call::Event::Ask => [Some(Action::Deny), None],
-            call::Event::Lost | call::Event::GiveUp => [None, None],
+            call::Event::LinkLost | call::Event::GiveUp => [None, None],
             _ => self.drop_message(),
         }
     }
@@ -218,18 +218,18 @@
         self.owner.is_none_or(|owner| owner == attempt)
     }
 
-    fn over(&mut self, attempt: Attempt, end: End) -> Actions {
-        if end == End::Whole && self.has_all_of(attempt) {
+    fn over(&mut self, attempt: Attempt, end: Outcome) -> Actions {
+        if end == Outcome::Complete && self.has_all_of(attempt) {
             self.committed = Some(attempt);
             return [Some(Action::Commit), self.losers(attempt)];
         }
         if self.owner == Some(attempt) {
             self.owner = None;
         }
-        if end == End::Whole {
+        if end == Outcome::Complete {
             self.dropped += 1;
         }
-        [Some(Action::Over(end)), None]
+        [Some(Action::Ended(end)), None]
     }
 
     /// A stream counts as whole only if the caller has every chunk of it; an attempt whose chunks
@@ -269,10 +269,12 @@
 }
 
 /// An attempt that was whole but not committed did run, though its answer is lost to the caller.
-fn worse(one: End, other: End) -> End {
+fn worse(one: Outcome, other: Outcome) -> Outcome {
     match (one, other) {
-        (End::Unknown | End::Whole, _) | (_, End::Unknown | End::Whole) => End::Unknown,
-        (End::Failed, _) | (_, End::Failed) => End::Failed,
-        (End::NotRun, End::NotRun) => End::NotRun,
+        (Outcome::Unknown | Outcome::Complete, _) | (_, Outcome::Unknown | Outcome::Complete) => {
+            Outcome::Unknown
+        }
+        (Outcome::Failed, _) | (_, Outcome::Failed) => Outcome::Failed,
+        (Outcome::NotRun, Outcome::NotRun) => Outcome::NotRun,
     }
 }
--- a/crates/protocol/tests/call_search.rs
+++ b/crates/protocol/tests/call_search.rs
@@ -4,8 +4,8 @@
 
 mod search;
 
-use protocol::call::{self, Call, End};
-use protocol::claim::{self, Claim, Kept, Progress, Row, Verdict};
+use protocol::call::{self, Call, Outcome};
+use protocol::claim::{self, Claim, Progress, Row, StoredRow, Verdict};
 use protocol::gate::{self, Gate};
 use search::{System, fails, find, holds};
 use std::collections::BTreeSet;
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Told {
-    End(End),
+    End(Outcome),
     Other,
 }
 
@@ -106,7 +106,7 @@
     mutation: Mutation,
     repeatable: bool,
     requests: Vec<Request>,
-    row: Option<Kept>,
+    row: Option<StoredRow>,
     faults: u8,
     runs: u8,
 }
@@ -144,7 +144,7 @@
             return claim::Event::Found(self.row);
         }
         let revision = check.unwrap_or(0) + 1;
-        self.row = Some(Kept { row, revision });
+        self.row = Some(StoredRow { row, revision });
         claim::Event::Written(revision)
     }
 
@@ -161,16 +161,16 @@
         let action = request.claim.as_mut().unwrap().on(event);
         request.todo = match action {
             claim::Action::Ignore => None,
-            claim::Action::Tell(Verdict::Granted) => {
+            claim::Action::Resolve(Verdict::Granted) => {
                 request.offer(false);
                 None
             }
-            claim::Action::Tell(Verdict::Unavailable) => {
-                request.told = Some(Told::End(End::NotRun));
+            claim::Action::Resolve(Verdict::Unavailable) => {
+                request.told = Some(Told::End(Outcome::NotRun));
                 request.abandoned = self.mutation == Mutation::LeaveClaim;
-                (!request.abandoned).then_some(claim::Action::Later)
+                (!request.abandoned).then_some(claim::Action::RetryLater)
             }
-            claim::Action::Tell(_) => {
+            claim::Action::Resolve(_) => {
                 request.told = Some(Told::Other);
                 None
             }
@@ -180,8 +180,8 @@
 
     fn call(&mut self, i: usize, event: call::Event) {
         let event = match event {
-            call::Event::Forget if self.is(Mutation::ForgetIsRefuse) => call::Event::Refuse,
-            call::Event::Lost if self.is(Mutation::LostIsNotRun) => call::Event::Refuse,
+            call::Event::Forgotten if self.is(Mutation::ForgetIsRefuse) => call::Event::Refuse,
+            call::Event::LinkLost if self.is(Mutation::LostIsNotRun) => call::Event::Refuse,
             event => event,
         };
         let before = self.requests[i].call.as_ref().unwrap().state();
@@ -208,15 +208,15 @@
         self.requests[i].sent.insert(message);
     }
 
-    fn end(&mut self, i: usize, end: End) {
+    fn end(&mut self, i: usize, end: Outcome) {
         self.requests[i].told = Some(Told::End(end));
         if self.repeatable {
             return;
         }
         match end {
-            End::NotRun => self.claim(i, claim::Event::NotRun),
-            End::Whole => self.claim(i, claim::Event::Answered),
-            End::Failed | End::Unknown => {}
+            Outcome::NotRun => self.claim(i, claim::Event::NotRun),
+            Outcome::Complete => self.claim(i, claim::Event::Answered),
+            Outcome::Failed | Outcome::Unknown => {}
         }
     }
 
@@ -229,7 +229,7 @@
                 self.runs += 1;
                 self.send(i, Message::Started);
             }
-            gate::Action::Release if event == gate::Event::Answered => self.send(i, Message::Done),
+            gate::Action::Release if event == gate::Event::Finished => self.send(i, Message::Done),
             gate::Action::Release | gate::Action::Ignore => {}
         }
     }
@@ -269,18 +269,18 @@
             Step::Recall => self.send(i, Message::Recall),
             Step::OfferAgain => self.send(i, Message::Offer),
             Step::GiveUp => self.fault(|world| world.call(i, call::Event::GiveUp)),
-            Step::EntryLosesLink => self.fault(|world| world.call(i, call::Event::Lost)),
-            Step::Slot => self.gate(i, gate::Event::Slot),
+            Step::EntryLosesLink => self.fault(|world| world.call(i, call::Event::LinkLost)),
+            Step::Slot => self.gate(i, gate::Event::SlotFree),
             Step::Leave => self.fault(|world| world.gate(i, gate::Event::Leave)),
-            Step::AgentLosesLink => self.fault(|world| world.gate(i, gate::Event::Lost)),
-            Step::Finish => self.gate(i, gate::Event::Answered),
+            Step::AgentLosesLink => self.fault(|world| world.gate(i, gate::Event::LinkLost)),
+            Step::Finish => self.gate(i, gate::Event::Finished),
             Step::Forget => self.send(i, Message::Forget),
             Step::Crash => self.fault(|world| world.crash(i)),
         }
     }
 
     fn hold(&self) -> Gate {
-        Gate::hold(!self.repeatable && !self.is(Mutation::StartUngranted))
+        Gate::new(!self.repeatable && !self.is(Mutation::StartUngranted))
     }
 
     fn fault(&mut self, act: impl FnOnce(&mut Self)) {
@@ -299,7 +299,7 @@
 
     fn table_steps(&self, request: &Request, steps: &mut Vec<Step>) {
         match request.todo {
-            Some(claim::Action::Later) => steps.push(Step::Retry),
+            Some(claim::Action::RetryLater) => steps.push(Step::Retry),
             Some(_) => steps.extend([Step::Table, Step::TableDown]),
             None => {}
         }
@@ -342,8 +342,8 @@
         };
         steps.push(Step::Crash);
         match gate.state() {
-            gate::State::Held => steps.extend([Step::Slot, Step::Leave, Step::AgentLosesLink]),
-            gate::State::Asking => steps.extend([Step::Leave, Step::AgentLosesLink]),
+            gate::State::Queued => steps.extend([Step::Slot, Step::Leave, Step::AgentLosesLink]),
+            gate::State::AwaitingGrant => steps.extend([Step::Leave, Step::AgentLosesLink]),
             gate::State::Running => steps.push(Step::Finish),
             gate::State::Ended => {}
         }
@@ -357,7 +357,7 @@
     match message {
         Message::Ask => call::Event::Ask,
         Message::Refuse => call::Event::Refuse,
-        Message::Forget => call::Event::Forget,
+        Message::Forget => call::Event::Forgotten,
         Message::Started => call::Event::Started,
         _ => call::Event::Done {
             chunks: 0,
@@ -407,9 +407,9 @@
     }
 
     fn violation(&self) -> Option<&'static str> {
-        let not_run = Some(Told::End(End::NotRun));
+        let not_run = Some(Told::End(Outcome::NotRun));
         let untrue = |r: &Request| r.ran && r.told == not_run;
-        let unfounded = |r: &Request| !r.ran && r.told == Some(Told::End(End::Whole));
+        let unfounded = |r: &Request| !r.ran && r.told == Some(Told::End(Outcome::Complete));
         let row = self.row.map(|kept| kept.row);
         let left = |(i, r): (usize, &Request)| {
             let settled = r.abandoned || r.claim.as_ref().is_some_and(Claim::is_settled);
--- a/crates/protocol/tests/claim_twin.rs
+++ b/crates/protocol/tests/claim_twin.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use protocol::claim::{self, Claim, Kept, Verdict};
+use protocol::claim::{self, Claim, StoredRow, Verdict};
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -47,7 +47,7 @@
 
 /// The key's row, and the requests that want it.
 struct Key {
-    row: Option<Kept>,
+    row: Option<StoredRow>,
     requests: Vec<Request>,
 }
 
@@ -76,10 +76,10 @@
     fn table(&mut self, action: claim::Action) -> claim::Event {
         let current = self.row.map(|kept| kept.revision);
         match action {
-            claim::Action::Later => claim::Event::Retry,
+            claim::Action::RetryLater => claim::Event::Retry,
             claim::Action::Write { check, row } if check == current => {
                 let revision = current.unwrap_or(0) + 1;
-                self.row = Some(Kept { row, revision });
+                self.row = Some(StoredRow { row, revision });
                 claim::Event::Written(revision)
             }
             _ => claim::Event::Found(self.row),
@@ -89,10 +89,10 @@
     fn feed(&mut self, i: usize, event: claim::Event) {
         let request = &mut self.requests[i];
         request.todo = match request.claim.on(event) {
-            claim::Action::Tell(verdict) => {
+            claim::Action::Resolve(verdict) => {
                 request.verdict = Some(verdict);
                 (!request.claim.is_settled() && verdict == Verdict::Unavailable)
-                    .then_some(claim::Action::Later)
+                    .then_some(claim::Action::RetryLater)
             }
             claim::Action::Ignore => None,
             action => Some(action),
--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -5,7 +5,7 @@
 mod search;
 
 use protocol::fence::{Fence, Verdict};
-use protocol::lease::{Action, Event, Kept, Lease, Term};
+use protocol::lease::{Action, Event, Lease, StoredRow, Timing};
 use search::{System, fails, holds};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 struct World {
     mutation: Mutation,
     processes: [Process; 2],
-    row: Option<Kept>,
+    row: Option<StoredRow>,
     turn: u8,
     orders: BTreeSet<Order>,
     fence: Fence,
@@ -77,13 +77,13 @@
     /// lost answers, restarts and planned stops.
     fn new(ordering: bool, end: u8, faults: u8, mutation: Mutation) -> Self {
         let margin = if mutation == Mutation::NoMargin { 0 } else { 1 };
-        let term = Term {
+        let timing = Timing {
             duration: seconds(3),
             margin: seconds(margin),
             period: seconds(1),
         };
         let process = |token| Process {
-            lease: Lease::new(token, term),
+            lease: Lease::new(token, timing),
             clock: 0,
             todo: None,
             open: None,
@@ -121,7 +121,7 @@
             self.processes[i].turn = self.turn;
         }
         let revision = current.unwrap_or(0) + 1;
-        self.row = Some(Kept { row, revision });
+        self.row = Some(StoredRow { row, revision });
         Event::Written(revision)
     }
 
--- a/crates/protocol/tests/stage_twin.rs
+++ b/crates/protocol/tests/stage_twin.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use protocol::call::{self, End};
+use protocol::call::{self, Outcome};
 use protocol::stage::{Action, Mode, Stage};
 use protocol::{Attempt, Sequence};
 
@@ -37,10 +37,10 @@
         2 => Just(call::Event::Ask),
         1 => Just(call::Event::Started),
         1 => Just(call::Event::Refuse),
-        1 => Just(call::Event::Forget),
+        1 => Just(call::Event::Forgotten),
         1 => Just(call::Event::Fail),
-        1 => Just(call::Event::Break),
-        1 => Just(call::Event::Lost),
+        1 => Just(call::Event::RunnerLost),
+        1 => Just(call::Event::LinkLost),
         1 => Just(call::Event::GiveUp),
     ];
     prop_oneof![
@@ -56,13 +56,13 @@
     first: Sequence,
     chunks: Vec<u32>,
     granted: bool,
-    end: Option<End>,
+    end: Option<Outcome>,
 }
 
 /// What a caller and an operator can see of a stage.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Sight {
-    end: Option<End>,
+    end: Option<Outcome>,
     committed: Option<Attempt>,
     may_start: bool,
     /// Chunks in the order in which they were taken.
@@ -74,7 +74,11 @@
     let next = one.first + u32::try_from(one.chunks.len()).unwrap();
     let bytes: u64 = one.chunks.iter().map(|length| u64::from(*length)).sum();
     let safe = !one.granted && !repeatable;
-    let lost = if safe { End::NotRun } else { End::Unknown };
+    let lost = if safe {
+        Outcome::NotRun
+    } else {
+        Outcome::Unknown
+    };
     one.end = match event {
         call::Event::Ask | call::Event::Started => {
             one.granted = true;
@@ -87,13 +91,13 @@
         }
         call::Event::Chunk { .. } => None,
         call::Event::Done { chunks, length } if (chunks, length) == (next, bytes) => {
-            Some(End::Whole)
+            Some(Outcome::Complete)
         }
-        call::Event::Done { .. } | call::Event::Break => Some(End::Unknown),
-        call::Event::Refuse => Some(End::NotRun),
-        call::Event::Fail => Some(End::Failed),
-        call::Event::Forget | call::Event::Lost => Some(lost),
-        call::Event::GiveUp => safe.then_some(End::NotRun),
+        call::Event::Done { .. } | call::Event::RunnerLost => Some(Outcome::Unknown),
+        call::Event::Refuse => Some(Outcome::NotRun),
+        call::Event::Fail => Some(Outcome::Failed),
+        call::Event::Forgotten | call::Event::LinkLost => Some(lost),
+        call::Event::GiveUp => safe.then_some(Outcome::NotRun),
     };
     false
 }
@@ -131,7 +135,7 @@
                     let has = one.first + u32::try_from(one.chunks.len()).unwrap();
                     let all = !mode.stream || (mine && has == due);
                     match one.end {
-                        Some(End::Whole) if all => seen.committed = Some(attempt),
+                        Some(Outcome::Complete) if all => seen.committed = Some(attempt),
                         Some(_) if owner == Some(attempt) => owner = None,
                         _ => {}
                     }
@@ -151,19 +155,19 @@
 }
 
 fn may_start(mode: Mode, tries: &[Try], seen: &Sight, given_up: bool) -> bool {
-    let unrun = tries.iter().all(|one| one.end == Some(End::NotRun));
+    let unrun = tries.iter().all(|one| one.end == Some(Outcome::NotRun));
     seen.committed.is_none() && !given_up && (mode.repeatable || unrun)
 }
 
-fn end(tries: &[Try], seen: &Sight, given_up: bool) -> Option<End> {
+fn end(tries: &[Try], seen: &Sight, given_up: bool) -> Option<Outcome> {
     let any = |end| tries.iter().any(|one| one.end == end);
     match () {
-        () if seen.committed.is_some() => Some(End::Whole),
+        () if seen.committed.is_some() => Some(Outcome::Complete),
         () if tries.is_empty() && !given_up => None,
         () if any(None) => None,
-        () if any(Some(End::Unknown)) || any(Some(End::Whole)) => Some(End::Unknown),
-        () if any(Some(End::Failed)) => Some(End::Failed),
-        () => Some(End::NotRun),
+        () if any(Some(Outcome::Unknown)) || any(Some(Outcome::Complete)) => Some(Outcome::Unknown),
+        () if any(Some(Outcome::Failed)) => Some(Outcome::Failed),
+        () => Some(Outcome::NotRun),
     }
 }
 
@@ -223,7 +227,7 @@
             Delivery::Next => messages.get(*position),
             Delivery::Again => messages.get(position.wrapping_sub(1)),
             Delivery::Skip => None,
-            Delivery::Cut => Some(&call::Event::Lost),
+            Delivery::Cut => Some(&call::Event::LinkLost),
         };
         *position += usize::from(matches!(delivery, Delivery::Next | Delivery::Skip));
         let Some(event) = event.copied() else { return };
@@ -274,7 +278,7 @@
                 }
             }
             let shipped = Sight {
-                end: stage.end(),
+                end: stage.outcome(),
                 committed: stage.committed(),
                 may_start: stage.may_start(),
                 taken: taken.clone(),
@@ -308,7 +312,7 @@
         run.start();
         let last = run.sent.len() - usize::from(!run.sent.is_empty());
         (0..=chunks).for_each(|_| run.deliver(last, Delivery::Next));
-        prop_assert_eq!(run.stage.end(), Some(End::Whole));
+        prop_assert_eq!(run.stage.outcome(), Some(Outcome::Complete));
         prop_assert_eq!(run.output(stream), Some((0..chunks).collect()));
     }
 }
--- a/crates/protocol/tests/traces.rs
+++ b/crates/protocol/tests/traces.rs
@@ -1,12 +1,12 @@
 //! Counterexamples that the model checks found, as plain tests of the shipped machines.
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use protocol::call::{Action, Call, End, Event, State};
-use protocol::claim::{self, Claim, Kept, Progress, Row, Verdict};
+use protocol::call::{Action, Call, Event, Outcome, State};
+use protocol::claim::{self, Claim, Progress, Row, StoredRow, Verdict};
 use protocol::fence::{self, Fence};
 use protocol::follower::{self, Follower};
 use protocol::gate::{self, Gate};
-use protocol::lease::{self, Lease, Term};
+use protocol::lease::{self, Lease, Timing};
 use protocol::member::{self, Members, News};
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 #[test]
 fn restart_forgets() {
     let mut call = Call::offer(false, 0);
-    let mut gate = Gate::hold(true);
-    assert_eq!(gate.on(gate::Event::Slot), gate::Action::Ask);
+    let mut gate = Gate::new(true);
+    assert_eq!(gate.on(gate::Event::SlotFree), gate::Action::Ask);
     assert_eq!(call.on(Event::Ask), [Some(Action::Grant), None]);
     assert_eq!(gate.on(gate::Event::Grant), gate::Action::Start);
 
-    call.on(Event::Forget);
-    assert_eq!(call.state(), State::Ended(End::Unknown));
+    call.on(Event::Forgotten);
+    assert_eq!(call.state(), State::Ended(Outcome::Unknown));
 }
 
 /// A first caller's payout was not run and its key is free again. A second caller's claim gets no
@@ -38,7 +38,7 @@
         digest: 0,
         progress: Progress::Released,
     };
-    let kept = Kept { row, revision: 2 };
+    let kept = StoredRow { row, revision: 2 };
     let insert = claim.on(claim::Event::Found(Some(kept)));
     assert!(matches!(
         insert,
@@ -47,7 +47,7 @@
     assert_eq!(claim.on(claim::Event::Unsure), claim::Action::Read);
     assert_eq!(
         claim.on(claim::Event::Unavailable),
-        claim::Action::Tell(Verdict::Unavailable)
+        claim::Action::Resolve(Verdict::Unavailable)
     );
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
     let close = claim.on(claim::Event::Found(Some(kept)));
@@ -61,10 +61,10 @@
 #[test]
 fn frozen_offer() {
     let mut call = Call::offer(false, 0);
-    let not_run = [Some(Action::Revoke), Some(Action::End(End::NotRun))];
+    let not_run = [Some(Action::Revoke), Some(Action::End(Outcome::NotRun))];
     assert_eq!(call.on(Event::GiveUp), not_run);
-    let mut gate = Gate::hold(true);
-    assert_eq!(gate.on(gate::Event::Slot), gate::Action::Ask);
+    let mut gate = Gate::new(true);
+    assert_eq!(gate.on(gate::Event::SlotFree), gate::Action::Ask);
     assert_eq!(call.on(Event::Ask), [Some(Action::Deny), None]);
     assert_eq!(gate.on(gate::Event::Deny), gate::Action::Release);
     assert_eq!(gate.on(gate::Event::Grant), gate::Action::Ignore);
@@ -75,12 +75,12 @@
 #[test]
 fn lost_permit() {
     let mut call = Call::offer(false, 0);
-    let mut gate = Gate::hold(true);
-    gate.on(gate::Event::Slot);
+    let mut gate = Gate::new(true);
+    gate.on(gate::Event::SlotFree);
     assert_eq!(call.on(Event::Ask), [Some(Action::Grant), None]);
     assert_eq!(
-        call.on(Event::Lost),
-        [Some(Action::End(End::Unknown)), None]
+        call.on(Event::LinkLost),
+        [Some(Action::End(Outcome::Unknown)), None]
     );
     assert_eq!(gate.on(gate::Event::Grant), gate::Action::Start);
 }
@@ -106,8 +106,8 @@
         digest: 0,
         progress: Progress::Claimed,
     };
-    let found = claim::Event::Found(Some(Kept { row, revision: 1 }));
-    let told = claim::Action::Tell(Verdict::Running(10));
+    let found = claim::Event::Found(Some(StoredRow { row, revision: 1 }));
+    let told = claim::Action::Resolve(Verdict::Running(10));
     assert_eq!(claim.on(found), told);
 }
 
@@ -120,11 +120,11 @@
         panic!("{write:?}");
     };
     claim.on(claim::Event::Unsure);
-    let told = claim::Action::Tell(Verdict::Unavailable);
+    let told = claim::Action::Resolve(Verdict::Unavailable);
     assert_eq!(claim.on(claim::Event::Unavailable), told);
     assert!(!claim.is_settled());
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
-    let found = claim::Event::Found(Some(Kept { row, revision: 4 }));
+    let found = claim::Event::Found(Some(StoredRow { row, revision: 4 }));
     let release = claim::Action::Write {
         check: Some(4),
         row: Row {
@@ -141,12 +141,12 @@
 #[test]
 fn late_renewal() {
     let second = Duration::from_secs(1);
-    let term = Term {
+    let timing = Timing {
         duration: 10 * second,
         margin: 3 * second,
         period: second,
     };
-    let mut lease = Lease::new(1, term);
+    let mut lease = Lease::new(1, timing);
     lease.tick(Duration::ZERO);
     lease.on(lease::Event::Found(None), Duration::ZERO);
     let Some(lease::Action::Write { row, .. }) = lease.tick(Duration::ZERO) else {
@@ -154,7 +154,7 @@
     };
     lease.on(lease::Event::Unsure, 5 * second);
     assert_eq!(lease.tick(5 * second), Some(lease::Action::Read));
-    let kept = lease::Kept { row, revision: 1 };
+    let kept = lease::StoredRow { row, revision: 1 };
     lease.on(lease::Event::Found(Some(kept)), 6 * second);
     assert_eq!(lease.may_act(6 * second), Some(1));
     assert_eq!(lease.may_act(7 * second), None);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,7 +1,7 @@
 //! What entries and agents say to each other about calls.
 
 use bytes::Bytes;
-use protocol::{CallId, Fence, Incarnation, Revision, Sequence};
+use protocol::{CallId, FencingToken, Incarnation, Revision, Sequence};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
     /// turn.
     Order {
         /// Fencing number of the lease under which the order is given.
-        fence: Fence,
+        fence: FencingToken,
         /// JSON body of the order.
         body: Bytes,
     },
@@ -131,7 +131,7 @@
         number: u64,
         /// Fencing number of the lease that the asking entry holds, if it does: the answer then
         /// comes only once orders with lower numbers are refused.
-        fence: Option<Fence>,
+        fence: Option<FencingToken>,
         /// Models that callers of the asking entry have lacked since its last question.
         wanted: Vec<String>,
     },
