--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -8,7 +8,7 @@
     INNOCENT, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused, assert_served,
     calls, failures, is_quarantined, keep_list, repeat, share_call,
 };
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::Request;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -58,7 +58,7 @@
     assert_served(&served);
     let failures = failures(&owner.relay);
     assert!(
-        (1..=CRASHES as usize).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
         "{failures:?}"
     );
     assert_refused(&admitting.relay, poison(100)).await;
@@ -81,7 +81,7 @@
     assert_eq!(next.id, admitting.member.id);
     repeat(&admitting.relay, CHANGED, |number| poison(number + 1)).await;
     let failures = failures(&owner.relay);
-    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
+    assert!(failures.len() <= CRASH_THRESHOLD as usize, "{failures:?}");
     assert_refused(&admitting.relay, poison(100)).await;
 }
 
@@ -99,7 +99,7 @@
     }
     let failures = failures(&one.relay);
     assert!(
-        (1..=CRASHES as usize).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
         "{failures:?}"
     );
     assert_refused(&one.relay, poison(100)).await;
@@ -120,7 +120,7 @@
     };
     tokio::join!(repeat(&one.relay, SILENT, attempt), later);
     let failures = failures(&one.relay);
-    let most = RELAYS * CRASHES as usize;
+    let most = RELAYS * CRASH_THRESHOLD as usize;
     assert!((1..=most).contains(&failures.len()), "{failures:?}");
 }
 
--- a/crates/relay/tests/poison_places.rs
+++ b/crates/relay/tests/poison_places.rs
@@ -8,7 +8,7 @@
     INNOCENT, POISON, REPEATED, RETURN, STAGE, ask, asking_on, assert_served, failures, keep_list,
     occupy, relay, repeat, replies, reply, send,
 };
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::downstream::Item;
 use relay::{Relay, Request};
 use std::sync::Arc;
@@ -53,7 +53,10 @@
     let failures = failures(relay);
     for prefix in PLACES {
         let there = failures.iter().filter(|(_, by)| by.starts_with(prefix));
-        assert!(there.count() <= CRASHES as usize, "{prefix}: {failures:?}");
+        assert!(
+            there.count() <= CRASH_THRESHOLD as usize,
+            "{prefix}: {failures:?}"
+        );
     }
     assert!(!failures.is_empty());
 }
@@ -112,7 +115,7 @@
     assert_served(&[ask(&relay, asking_on("chained", "one-again", "one")).await]);
     let failures = failures(&relay);
     assert!(
-        (1..=CRASHES as usize).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
         "{failures:?}"
     );
 }
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -8,7 +8,7 @@
     INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, failures,
     is_quarantined, keep_list, relay, repeat, replies, share_call,
 };
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::{Relay, Request};
 use std::sync::Arc;
 use std::time::Duration;
@@ -84,7 +84,7 @@
 fn assert_few(relay: &Relay<Fake>) {
     let failures = failures(relay);
     assert!(
-        (1..=CRASHES as usize).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
         "{failures:?}"
     );
 }
