--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -106,7 +106,7 @@
     resume_after: Option<EventId>,
 ) -> Result<Sent<D>, ()> {
     loop {
-        let left = job.left();
+        let left = job.remaining();
         if left < CALL_LEAST || !may_send(job, progress) {
             return Err(());
         }
@@ -119,7 +119,7 @@
         }
         // That may have taken seconds.
         if !job.relay.is_open(&runner) {
-            let Some(other) = pick(job, &progress.tried, job.left()) else {
+            let Some(other) = pick(job, &progress.tried, job.remaining()) else {
                 return Err(());
             };
             runner = other;
@@ -259,7 +259,7 @@
 /// Failure domain of the runner that would be picked now. What is made for the request is best
 /// made there: results that cross failure domains cost far more than those that do not.
 pub fn likely_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
-    let left = job.left();
+    let left = job.remaining();
     pick(job, &[], left).map(|runner| runner.domain.clone())
 }
 
@@ -351,7 +351,7 @@
                     status,
                     headers,
                     retry_after: None,
-                    body: Body::Whole(body),
+                    body: Body::Full(body),
                 });
             }
             format!("status {status}")
@@ -380,7 +380,7 @@
         status: reply.status,
         headers: reply.headers,
         retry_after: None,
-        body: Body::Parts(body),
+        body: Body::Stream(body),
     };
     let passing = splice::Passing::new(job.clone(), inputs, progress, parts);
     tokio::spawn(passing.run(flight, reply.body));
@@ -389,7 +389,7 @@
 
 /// What the caller is told once no more runner is asked.
 fn give_up<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
-    let left = job.left();
+    let left = job.remaining();
     if let (0, Some(held)) = (progress.ran, &progress.held) {
         return held.clone();
     }
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -57,7 +57,7 @@
     pub(super) fn new(job: &Job<D>, runner: Arc<Runner>) -> Self {
         let now = job.relay.now();
         let prompt = job.request.prompt.as_ref();
-        let reading = prompt.map_or(0.0, |prompt| affine::reading(prompt.own()));
+        let reading = prompt.map_or(0.0, |prompt| affine::reading(prompt.unshared()));
         let before = job.relay.pool(&job.service, |pool| {
             let before = Before::new(pool, &runner.id, now);
             pool.sent(&runner.id, now);
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -12,7 +12,7 @@
 mod waiting;
 
 use crate::core::{Relay, lock};
-use crate::downstream::{Batch, Downstream, Failure, Handle, Made, NotRun, Source};
+use crate::downstream::{BatchReply, Downstream, Failure, Handle, NotRun, PieceOutcome, Source};
 use crate::plan::{Batches, LAST_RANK, Rank, ServiceId};
 use crate::request::{ContentId, RequestId};
 use crate::runner::{DomainId, Runner};
@@ -64,7 +64,7 @@
     /// All cells of a service with these runners. All processes that know the same runners form the
     /// same cells, and those of one failure domain are mostly in one.
     #[must_use]
-    pub fn all(service: &ServiceId, runners: &[Arc<Runner>]) -> Vec<Share> {
+    pub fn all(service: &ServiceId, runners: &[Arc<Runner>]) -> Vec<CellRunners> {
         let mut sorted = runners.to_vec();
         sorted.sort_by(|one, other| (&one.domain, &one.id).cmp(&(&other.domain, &other.id)));
         let (all, cells) = (sorted.len(), sorted.len().div_ceil(CELL).max(1));
@@ -78,7 +78,7 @@
                 service: service.clone(),
                 index,
             };
-            Share {
+            CellRunners {
                 cell,
                 runners,
                 domains,
@@ -96,7 +96,7 @@
 
 /// A cell with its part of the service's runners.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct CellRunners {
     /// The cell.
     pub cell: Cell,
     /// Its runners.
@@ -105,7 +105,7 @@
     pub domains: Vec<DomainId>,
 }
 
-impl Share {
+impl CellRunners {
     /// Whether one of its runners is in a failure domain.
     #[must_use]
     pub fn is_near(&self, domain: &str) -> bool {
@@ -115,7 +115,7 @@
 
 /// How far results are done with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Spent {
+pub enum ReleaseKind {
     /// A call has fetched them. Until it has ended they are given back only where room is needed.
     Fetched,
     /// Nobody needs them any more.
@@ -166,9 +166,9 @@
 /// Expected times until pieces are made, by the rank of their request: urgent ones are taken before
 /// those that wait already.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Waits(Vec<Duration>);
+pub struct WaitEstimates(Vec<Duration>);
 
-impl Waits {
+impl WaitEstimates {
     /// The times that a function gives for each rank.
     pub fn new(wait: impl FnMut(Rank) -> Duration) -> Self {
         Self((0..=LAST_RANK).map(wait).collect())
@@ -184,7 +184,7 @@
 
 /// Why the pieces of a stage were not made.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
-pub enum Spoiled {
+pub enum StageError {
     /// They could not be made in time.
     #[snafu(display("no time left"))]
     Late,
@@ -206,7 +206,7 @@
 }
 
 /// What an order ends with: the results in the order of the pieces.
-pub type Outcome = Result<Vec<Handle>, Spoiled>;
+pub type Outcome = Result<Vec<Handle>, StageError>;
 
 /// The calls to the runners of one cell.
 #[derive(Debug)]
@@ -235,24 +235,24 @@
     ) -> oneshot::Receiver<Outcome> {
         let (reply, outcome) = oneshot::channel();
         let Some(batches) = relay.batches(&self.cell.service) else {
-            let _ = reply.send(Err(Spoiled::NoRunner));
+            let _ = reply.send(Err(StageError::NoRunner));
             return outcome;
         };
         let mut state = lock(&self.state);
         if state.is_empty() {
-            let _ = reply.send(Err(Spoiled::NoRunner));
+            let _ = reply.send(Err(StageError::NoRunner));
             return outcome;
         }
         state.enqueue(relay, batches, order, reply);
         drop(state);
-        self.pump(relay);
+        self.dispatch(relay);
         outcome
     }
 
     /// Takes in which runners take work.
     pub fn refresh(&self, relay: &Relay<D>) {
-        let shares = relay.shares(&self.cell.service);
-        let share = shares.get(self.cell.index);
+        let cells = relay.cells(&self.cell.service);
+        let share = cells.get(self.cell.index);
         let runners = share.map(|share| share.runners.clone());
         lock(&self.state).refresh(runners.unwrap_or_default());
     }
@@ -261,19 +261,24 @@
     ///
     /// Some may have been made for another process that formed the cell's calls before. They take
     /// up room here all the same, of a size that is not known.
-    pub fn release(self: &Arc<Self>, relay: &Arc<Relay<D>>, handles: &[Handle], spent: Spent) {
+    pub fn release(
+        self: &Arc<Self>,
+        relay: &Arc<Relay<D>>,
+        handles: &[Handle],
+        spent: ReleaseKind,
+    ) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
         let until = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
         for handle in handles {
             if let Some(address) = relay.downstream.holder(handle) {
                 match spent {
-                    Spent::Fetched => state.fetched(address, handle),
-                    Spent::Over => state.release(address, handle, until),
+                    ReleaseKind::Fetched => state.fetched(address, handle),
+                    ReleaseKind::Over => state.release(address, handle, until),
                 }
             }
         }
-        if spent == Spent::Over && state.plan_give_back() {
+        if spent == ReleaseKind::Over && state.plan_give_back() {
             tokio::spawn(self.clone().give_back(relay.clone()));
         }
     }
@@ -303,12 +308,12 @@
     }
 
     /// Expected times until pieces that come now are made.
-    pub fn expected(&self, relay: &Relay<D>, batches: &Batches) -> Option<Waits> {
+    pub fn expected(&self, relay: &Relay<D>, batches: &Batches) -> Option<WaitEstimates> {
         lock(&self.state).expected(relay.started(), batches)
     }
 
     /// Starts calls as long as pieces wait and a runner is free.
-    pub(crate) fn pump(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
+    pub(crate) fn dispatch(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
         let Some(batches) = relay.batches(&self.cell.service) else {
             return;
         };
@@ -344,7 +349,7 @@
             suspect::note_failure(&relay, &launch, begun, failure).await;
         }
         let spacing = asked_spacing(&result);
-        let result = result.map(|batch| batch.made);
+        let result = result.map(|batch| batch.outcomes);
         info!(relay.log, "stage call";
             "service" => &*self.cell.service, "runner" => &*runner.id, "pieces" => count,
             "requests" => self.requests(&launch), "isolated" => launch.isolated,
@@ -362,7 +367,7 @@
         if lives {
             relay.note_made(&runner, made);
         }
-        self.pump(&relay);
+        self.dispatch(&relay);
     }
 
     /// Waits for the end of a call, and tells where its inputs were made once it has them.
@@ -386,7 +391,7 @@
         }
         let inputs = lock(&self.state).inputs(launch);
         for results in inputs {
-            relay.peers.release(relay, results, Spent::Fetched);
+            relay.peers.release(relay, results, ReleaseKind::Fetched);
         }
         making.await
     }
@@ -400,7 +405,7 @@
         let (batcher, relay) = (self.clone(), relay.clone());
         tokio::spawn(async move {
             tokio::time::sleep_until(until).await;
-            batcher.pump(&relay);
+            batcher.dispatch(&relay);
         });
     }
 
@@ -410,7 +415,7 @@
 }
 
 /// Time between calls that a runner asks for, if it does.
-fn asked_spacing(result: &Result<Batch, Failure>) -> Option<Duration> {
+fn asked_spacing(result: &Result<BatchReply, Failure>) -> Option<Duration> {
     match result {
         Ok(batch) => batch.spacing,
         Err(Failure::NotRun {
@@ -432,14 +437,16 @@
     }
 }
 
-fn outcome(made: &[Made]) -> String {
+fn outcome(made: &[PieceOutcome]) -> String {
     let done = made
         .iter()
-        .filter(|made| matches!(made, Made::Done(_)))
+        .filter(|made| matches!(made, PieceOutcome::Done(_)))
         .count();
     if done == made.len() {
         return "made".to_owned();
     }
-    let other = made.iter().find(|made| !matches!(made, Made::Done(_)));
+    let other = made
+        .iter()
+        .find(|made| !matches!(made, PieceOutcome::Done(_)));
     format!("{done} made, then {other:?}")
 }
--- a/crates/relay/src/batch/place.rs
+++ b/crates/relay/src/batch/place.rs
@@ -1,6 +1,6 @@
 //! A runner of a cell: its calls in progress, its speed and the room for results.
 
-use crate::downstream::{Failure, Handle, Made, NotRun};
+use crate::downstream::{Failure, Handle, NotRun, PieceOutcome};
 use crate::plan::Batches;
 use crate::runner::Runner;
 use decide::Map;
@@ -209,8 +209,10 @@
     ///
     /// Results whose process died lie at their runner until they lapse. A runner that is taken for
     /// empty would be asked again and again, make a few pieces of each group, and hold those as well.
-    fn learn_unknown(&mut self, call: &Judged<'_>, made: &[Made], now: Instant) {
-        let fitted = made.iter().filter(|made| matches!(made, Made::Done(_)));
+    fn learn_unknown(&mut self, call: &Judged<'_>, made: &[PieceOutcome], now: Instant) {
+        let fitted = made
+            .iter()
+            .filter(|made| matches!(made, PieceOutcome::Done(_)));
         let fitted = call.needed * fitted.count() as u64 / made.len().max(1) as u64;
         let bytes = self.unknown(now) + call.room.saturating_sub(fitted);
         self.unknown = Some((bytes, now + call.keep / UNKNOWN_PART));
@@ -277,14 +279,18 @@
             self.calls.swap_remove(ended);
         }
         match call.result {
-            Ok(made) if made.iter().all(|made| matches!(made, Made::Done(_))) => {
+            Ok(made)
+                if made
+                    .iter()
+                    .all(|made| matches!(made, PieceOutcome::Done(_))) =>
+            {
                 self.failures = 0;
                 self.learn_slowness(call, now);
             }
             // Pieces without room or inputs are answered at once, which must not make a runner look
             // fast: it would draw all calls and refuse them.
             Ok(made) => {
-                if made.contains(&Made::NoRoom) {
+                if made.contains(&PieceOutcome::NoRoom) {
                     self.rests_until = Some(now + REST_ROOM);
                     self.full = true;
                     if call.tight {
@@ -320,7 +326,7 @@
 /// A call that has ended.
 #[derive(Debug)]
 pub(super) struct Judged<'a> {
-    pub(super) result: &'a Result<Vec<Made>, Failure>,
+    pub(super) result: &'a Result<Vec<PieceOutcome>, Failure>,
     pub(super) elapsed: Duration,
     /// What it was expected to take, by what was believed of the runner's slowness then.
     pub(super) expected: Duration,
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -4,9 +4,9 @@
 use super::place::{Inflation, Judged, Kept, Place};
 use super::suspect::POLL;
 use super::waiting::Waiting;
-use super::{Order, Outcome, Results, Spoiled, Waits};
+use super::{Order, Outcome, Results, StageError, WaitEstimates};
 use crate::core::Relay;
-use crate::downstream::{Downstream, Failure, Handle, Made};
+use crate::downstream::{Downstream, Failure, Handle, PieceOutcome};
 use crate::plan::{Batches, Rank, ServiceId};
 use crate::request::ContentId;
 use crate::runner::{Runner, RunnerId};
@@ -127,7 +127,7 @@
     }
 
     /// Expected times until pieces that come now are made, by the rank of their request.
-    pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<Waits> {
+    pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<WaitEstimates> {
         let places = u32::try_from(self.places.len()).unwrap_or(u32::MAX);
         if places == 0 {
             return None;
@@ -147,7 +147,7 @@
             let former = self.former.as_ref();
             former.map_or(0, |former| former.ahead(now, rank))
         };
-        Some(Waits::new(|rank| work + piece * ahead(rank)))
+        Some(WaitEstimates::new(|rank| work + piece * ahead(rank)))
     }
 
     /// Names of the requests whose pieces a call carries.
@@ -238,7 +238,7 @@
         let shortest = former.shortest();
         let late = former.expire(at, piece).into_iter();
         for ticket in late.chain(self.isolation.expire(at, shortest)) {
-            self.end(ticket, Err(Spoiled::Late));
+            self.end(ticket, Err(StageError::Late));
         }
     }
 
@@ -259,7 +259,7 @@
         relay: &Relay<D>,
         service: &ServiceId,
         launch: &Launch,
-        result: Result<Vec<Made>, Failure>,
+        result: Result<Vec<PieceOutcome>, Failure>,
         elapsed: Duration,
     ) -> Vec<ContentId> {
         self.judge(launch, &result, elapsed);
@@ -271,8 +271,8 @@
             .flat_map(|(ticket, pieces)| pieces.iter().map(move |&piece| (*ticket, piece)));
         // Nothing was sent: the pieces wait for another runner, and no repeat is counted.
         let unmade = match &result {
-            Err(failure) if failure.is_withdrawn() => Made::NoRoom,
-            _ => Made::Failed,
+            Err(failure) if failure.is_withdrawn() => PieceOutcome::NoRoom,
+            _ => PieceOutcome::Failed,
         };
         let mut made = result
             .map_or_else(|_| Vec::new(), std::convert::identity)
@@ -297,9 +297,14 @@
         }
     }
 
-    fn judge(&mut self, launch: &Launch, result: &Result<Vec<Made>, Failure>, elapsed: Duration) {
+    fn judge(
+        &mut self,
+        launch: &Launch,
+        result: &Result<Vec<PieceOutcome>, Failure>,
+        elapsed: Duration,
+    ) {
         if let Ok(made) = result {
-            let had_room = !made.contains(&Made::NoRoom);
+            let had_room = !made.contains(&PieceOutcome::NoRoom);
             // Where all that is over had been given back, the runner holds what nobody here knows of,
             // which says nothing of the size of results.
             if had_room || !launch.tight {
@@ -332,9 +337,9 @@
         service: &ServiceId,
         launch: &Launch,
         (ticket, piece): (Ticket, u32),
-        made: Made,
+        made: PieceOutcome,
     ) -> Option<Outcome> {
-        if let Made::Done(handle) = &made {
+        if let PieceOutcome::Done(handle) = &made {
             let bytes = self
                 .waiting
                 .get(&ticket)
@@ -345,7 +350,7 @@
         }
         let waiting = self.waiting.get_mut(&ticket)?;
         match made {
-            Made::Done(handle) => {
+            PieceOutcome::Done(handle) => {
                 waiting.made[piece as usize] = Some(handle);
                 waiting
                     .made
@@ -354,11 +359,11 @@
                     .collect::<Option<Vec<_>>>()
                     .map(Ok)
             }
-            Made::Late => Some(Err(Spoiled::Late)),
-            Made::InputGone => Some(Err(Spoiled::InputGone)),
+            PieceOutcome::Late => Some(Err(StageError::Late)),
+            PieceOutcome::InputGone => Some(Err(StageError::InputGone)),
             // One without room has not been worked on.
-            Made::Failed if !relay.may_repeat(service) => Some(Err(Spoiled::Failed)),
-            Made::NoRoom | Made::Failed => {
+            PieceOutcome::Failed if !relay.may_repeat(service) => Some(Err(StageError::Failed)),
+            PieceOutcome::NoRoom | PieceOutcome::Failed => {
                 waiting.todo.push(piece);
                 let waiting = self.waiting.get(&ticket)?;
                 let group = self.group(waiting, ticket, relay);
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -1,11 +1,11 @@
 //! Pieces under which runners of their stage have ended.
 
-use super::Spoiled;
+use super::StageError;
 use super::form::Choosing;
 use super::launch::Launch;
 use super::state::State;
 use crate::core::Relay;
-use crate::downstream::{Downstream, Failure, Made, NotRun};
+use crate::downstream::{Downstream, Failure, NotRun, PieceOutcome};
 use crate::outage;
 use crate::plan::{Batches, ServiceId};
 use crate::request::ContentId;
@@ -71,7 +71,7 @@
             match belief {
                 Belief::Innocent => self.rejoin(relay, ticket),
                 Belief::Suspect(crashes) => self.isolate(relay, ticket, crashes, at),
-                Belief::Held => self.end(ticket, Err(Spoiled::Poison)),
+                Belief::Held => self.end(ticket, Err(StageError::Poison)),
             }
         }
     }
@@ -186,11 +186,15 @@
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
-        self.end(ticket, Err(Spoiled::Poison));
+        self.end(ticket, Err(StageError::Poison));
     }
 
     /// Learns from the end of a call which of its orders may share their next ones.
-    pub(super) fn note_call(&mut self, launch: &Launch, result: &Result<Vec<Made>, Failure>) {
+    pub(super) fn note_call(
+        &mut self,
+        launch: &Launch,
+        result: &Result<Vec<PieceOutcome>, Failure>,
+    ) {
         if launch.isolated {
             self.isolation.ended(&launch.contents);
         }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -1,6 +1,6 @@
 //! What the parts of the relay share.
 
-use crate::batch::{Batcher, Cell, Share};
+use crate::batch::{Batcher, Cell, CellRunners};
 use crate::downstream::Downstream;
 use crate::drain::Drains;
 use crate::limit::Limits;
@@ -100,7 +100,7 @@
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest time that a caller of each route has been ready to wait.
     patience: Mutex<Map<String, Duration>>,
-    shares: Mutex<Map<ServiceId, Arc<Vec<Share>>>>,
+    cells: Mutex<Map<ServiceId, Arc<Vec<CellRunners>>>>,
     /// When the list of runners was last known to be complete.
     listed: Mutex<Option<Instant>>,
     rng: Mutex<SmallRng>,
@@ -139,7 +139,7 @@
             quotas: Mutex::default(),
             batchers: Mutex::default(),
             patience: Mutex::default(),
-            shares: Mutex::default(),
+            cells: Mutex::default(),
             listed: Mutex::default(),
             rng: Mutex::new(SmallRng::from_os_rng()),
         })
@@ -262,7 +262,7 @@
             lock(&self.limits).forget(&runner.id);
             self.note_ended(&runner);
         }
-        lock(&self.shares).retain(|service, _| !services.contains(service));
+        lock(&self.cells).retain(|service, _| !services.contains(service));
         let batchers: Vec<_> = lock(&self.batchers)
             .iter()
             .filter(|(cell, _)| services.contains(&cell.service))
@@ -390,18 +390,18 @@
     /// The cell that makes the pieces of one more request, best in a failure domain, for which they
     /// may wait `patience`.
     pub fn cell(&self, service: &ServiceId, domain: Option<&str>, patience: Duration) -> Cell {
-        let shares = self.shares(service);
-        let near = |share: &Share| domain.is_some_and(|wanted| share.is_near(wanted));
-        let cost = |share: &&Share| {
+        let cells = self.cells(service);
+        let near = |share: &CellRunners| domain.is_some_and(|wanted| share.is_near(wanted));
+        let cost = |share: &&CellRunners| {
             let away = domain.is_some() && !near(share);
             let wait = if away { patience } else { Duration::ZERO };
             self.peers.expected(self, &share.cell, LAST_RANK) + wait
         };
         // Two drawn at random, not the best of all: many processes that go by the same news would
         // all go to the same cell. One near the wanted domain is among them, if there is one.
-        let drawn = (0..2).map(|_| &shares[self.random(|rng| rng.random_range(0..shares.len()))]);
-        let offset = self.random(|rng| rng.random_range(0..shares.len()));
-        let turned = (0..shares.len()).map(|step| &shares[(offset + step) % shares.len()]);
+        let drawn = (0..2).map(|_| &cells[self.random(|rng| rng.random_range(0..cells.len()))]);
+        let offset = self.random(|rng| rng.random_range(0..cells.len()));
+        let turned = (0..cells.len()).map(|step| &cells[(offset + step) % cells.len()]);
         let wanted = turned.filter(|share| near(share)).take(1);
         let chosen = drawn.chain(wanted).min_by_key(cost);
         chosen.map_or_else(|| Cell::first(service), |share| share.cell.clone())
@@ -410,9 +410,9 @@
     /// The cell that makes the pieces of requests under which runners have ended: the same for each attempt,
     /// so that one process sends them to one runner after the other.
     pub(crate) fn suspect_cell(&self, service: &ServiceId, content: ContentId) -> Cell {
-        let shares = self.shares(service);
-        let place = content as usize % shares.len().max(1);
-        let share = shares.get(place);
+        let cells = self.cells(service);
+        let place = content as usize % cells.len().max(1);
+        let share = cells.get(place);
         share.map_or_else(|| Cell::first(service), |share| share.cell.clone())
     }
 
@@ -423,21 +423,21 @@
         let concerned: Vec<_> = concerned.map(|(_, batcher)| batcher.clone()).collect();
         drop(batchers);
         for batcher in concerned {
-            batcher.pump(self);
+            batcher.dispatch(self);
         }
     }
 
     /// The cells of a service, formed anew only when its runners change: at a thousand runners
     /// sorting them for each piece took longer than all else.
-    pub fn shares(&self, service: &ServiceId) -> Arc<Vec<Share>> {
+    pub fn cells(&self, service: &ServiceId) -> Arc<Vec<CellRunners>> {
         // Under one lock: a list that is read before a change and kept after it would hold a runner
         // that has left.
-        let mut shares = lock(&self.shares);
+        let mut cells = lock(&self.cells);
         let form = || {
             let runners = self.fleet(|fleet| fleet.of(service).to_vec());
             Arc::new(Cell::all(service, &runners.unwrap_or_default()))
         };
-        shares.entry(service.clone()).or_insert_with(form).clone()
+        cells.entry(service.clone()).or_insert_with(form).clone()
     }
 
     /// How the service's runners take pieces by the configuration in force, if they do.
--- a/crates/relay/src/downstream.rs
+++ b/crates/relay/src/downstream.rs
@@ -1,7 +1,7 @@
 //! Calls to runners, as the product sees them; an adapter speaks the runners' protocol.
 
 use crate::plan::Rank;
-use crate::request::{Broken, EventId, Message, RequestId};
+use crate::request::{EventId, IncompleteBody, Message, RequestId};
 use crate::runner::Runner;
 use bytes::Bytes;
 use futures::Stream;
@@ -64,7 +64,7 @@
 
 /// What became of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Made {
+pub enum PieceOutcome {
     /// Its result lies here.
     Done(Handle),
     /// It was too late when its turn came.
@@ -79,9 +79,9 @@
 
 /// What became of the pieces of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Batch {
+pub struct BatchReply {
     /// Each of them, in their order.
-    pub made: Vec<Made>,
+    pub outcomes: Vec<PieceOutcome>,
     /// As in [`Reply::spacing`].
     pub spacing: Option<Duration>,
 }
@@ -164,7 +164,7 @@
 pub trait Downstream: Clone + Send + Sync + 'static {
     /// Body of a runner's answer; it ends well only if the answer is whole. Dropping it ends the
     /// call at the runner.
-    type Body: Stream<Item = Result<Bytes, Broken>> + Send + Unpin + 'static;
+    type Body: Stream<Item = Result<Bytes, IncompleteBody>> + Send + Unpin + 'static;
 
     /// Sends a request and waits for the beginning of its answer. Dropping the future ends the
     /// call at the runner.
@@ -193,7 +193,7 @@
         items: Vec<Item>,
         patience: Duration,
         is_open: impl Fn() -> bool + Send,
-    ) -> impl Future<Output = Result<Batch, Failure>> + Send;
+    ) -> impl Future<Output = Result<BatchReply, Failure>> + Send;
 
     /// Tells a runner that these results are needed no more.
     ///
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -1,7 +1,7 @@
 //! The stages of one request.
 
 use crate::attempt;
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Handle, Source};
 use crate::peer;
@@ -84,7 +84,7 @@
         let over: Vec<(usize, Results)> = over;
         for (_, results) in over {
             let peers = &self.relay.peers;
-            peers.release(&self.relay, results, Spent::Over);
+            peers.release(&self.relay, results, ReleaseKind::Over);
         }
     }
 }
@@ -101,12 +101,12 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled`] if the pieces of one stage cannot be made.
-pub async fn run<D: Downstream>(job: &Job<D>, mut round: Round) -> Result<Inputs<D>, Spoiled> {
+/// [`StageError`] if the pieces of one stage cannot be made.
+pub async fn run<D: Downstream>(job: &Job<D>, mut round: Round) -> Result<Inputs<D>, StageError> {
     let mut restarts = 0;
     loop {
         match run_once(job, round).await {
-            Err(Spoiled::InputGone) if restarts < RESTARTS => {
+            Err(StageError::InputGone) if restarts < RESTARTS => {
                 restarts += 1;
                 round = Round::Again;
             }
@@ -115,7 +115,7 @@
     }
 }
 
-async fn run_once<D: Downstream>(job: &Job<D>, round: Round) -> Result<Inputs<D>, Spoiled> {
+async fn run_once<D: Downstream>(job: &Job<D>, round: Round) -> Result<Inputs<D>, StageError> {
     let stages = &job.route.stages;
     let mut inputs = Inputs::new(job.relay.clone());
     let mut made: Vec<Option<Vec<Handle>>> = (0..stages.len())
@@ -196,7 +196,7 @@
     if round == Round::First {
         job.relay.count_first(&spec.service, job.pieces(stage));
     } else if !job.relay.may_repeat(&spec.service) {
-        return (stage, cell, Err(Spoiled::Failed));
+        return (stage, cell, Err(StageError::Failed));
     }
     let behind = job.behind(stage);
     let order = Order {
@@ -236,7 +236,7 @@
 fn stage_due<D: Downstream>(job: &Job<D>, stage: usize, behind: Duration) -> Instant {
     let arrived = job.request.arrived;
     let due = job.due.checked_sub(behind).unwrap_or(arrived);
-    if job.comes_back {
+    if job.is_retry {
         return due;
     }
     due.max(Instant::now() + job.call_time(stage) * CALLS_LEAST)
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -15,7 +15,7 @@
 pub use talk::{Frame, Sheet};
 pub use transfer::Part;
 
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError, WaitEstimates};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle};
 use crate::drain::Drains;
@@ -49,7 +49,7 @@
     members: Mutex<Members>,
     slots: Mutex<Map<MemberId, Arc<Slot>>>,
     subscribers: Mutex<Vec<Sender<Frame>>>,
-    loads: Mutex<Map<Cell, (Waits, Instant)>>,
+    loads: Mutex<Map<Cell, (WaitEstimates, Instant)>>,
     held: Mutex<Map<Cell, Held>>,
     pub(crate) board: Board,
     /// How far this process has got to know the others.
@@ -275,7 +275,7 @@
         fresh.map_or(batches.shape.call, |(waits, _)| waits.of(rank))
     }
 
-    pub(crate) fn note_load(&self, cell: Cell, waits: Waits) {
+    pub(crate) fn note_load(&self, cell: Cell, waits: WaitEstimates) {
         lock(&self.loads).insert(cell, (waits, Instant::now()));
     }
 
@@ -296,9 +296,14 @@
     }
 
     /// Tells the owner of a cell that results are done with.
-    pub fn release<D: Downstream>(&self, relay: &Arc<Relay<D>>, results: Results, spent: Spent) {
+    pub fn release<D: Downstream>(
+        &self,
+        relay: &Arc<Relay<D>>,
+        results: Results,
+        spent: ReleaseKind,
+    ) {
         let Results { cell, handles } = &results;
-        if spent == Spent::Over
+        if spent == ReleaseKind::Over
             && let Some(held) = lock(&self.held).get_mut(cell)
         {
             for handle in handles {
@@ -411,7 +416,7 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled`].
+/// [`StageError`].
 pub async fn make<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
     for _ in 0..OWNERS {
         let owner = relay.peers.members(|members| members.owner(&cell.name()));
@@ -429,7 +434,7 @@
         }
         let asked = ask(relay, &owner, cell, &order).await;
         match asked {
-            Asked::Ended(Err(Spoiled::NoRunner)) => break,
+            Asked::Ended(Err(StageError::NoRunner)) => break,
             Asked::Ended(outcome) => return outcome,
             Asked::Unreached => relay.peers.members(|members| members.suspect(&owner)),
             Asked::Lost => {
@@ -437,7 +442,7 @@
                     "request" => &*order.id, "stage" => order.stage);
                 relay.peers.members(|members| members.suspect(&owner));
                 if !relay.may_repeat(&cell.service) {
-                    return Err(Spoiled::Failed);
+                    return Err(StageError::Failed);
                 }
             }
         }
@@ -448,7 +453,7 @@
 async fn make_here<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
     let outcome = relay.batcher(cell).submit(relay, order).await;
     // The sending end is dropped without a word only when the order has been withdrawn.
-    outcome.unwrap_or(Err(Spoiled::Failed))
+    outcome.unwrap_or(Err(StageError::Failed))
 }
 
 /// What became of an order that another process was asked to carry out.
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -2,7 +2,7 @@
 
 use super::talk::{self, Frame};
 use super::{tables, transfer};
-use crate::batch::{Cell, Outcome, Spoiled};
+use crate::batch::{Cell, Outcome, StageError};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use decide::Map;
@@ -85,9 +85,9 @@
                 sheet,
             } => {
                 let outcome = relay.batcher(&cell).submit(relay, sheet.order());
-                let handle = self
-                    .running
-                    .spawn(async move { (ticket, outcome.await.unwrap_or(Err(Spoiled::Failed))) });
+                let handle = self.running.spawn(async move {
+                    (ticket, outcome.await.unwrap_or(Err(StageError::Failed)))
+                });
                 self.handles.insert(ticket, (cell, handle));
             }
             Frame::Withdraw { ticket } => {
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/talk.rs
@@ -3,7 +3,7 @@
 use super::overlay::{self, Beat};
 use super::transfer::Part;
 use super::{Burdens, Line, News, board, transfer};
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, WaitEstimates};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
 use crate::drain::Drains;
@@ -64,7 +64,7 @@
         /// The results.
         results: Results,
         /// How far.
-        spent: Spent,
+        spent: ReleaseKind,
     },
     /// Results that the sender holds, for a process that has not formed the cell's calls before.
     Held {
@@ -78,7 +78,7 @@
         /// The cell.
         cell: Cell,
         /// Expected times until they are made.
-        waits: Waits,
+        waits: WaitEstimates,
     },
     /// Calls that the sender has at a service's runners.
     Burdens {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 pub(crate) use silence::SILENCE;
 
-use crate::batch::Spoiled;
+use crate::batch::StageError;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member;
@@ -253,12 +253,12 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled::Poison`] if they are held back.
-pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, Spoiled> {
+/// [`StageError::Poison`] if they are held back.
+pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, StageError> {
     let content = job.stage_content(stage);
     match job.relay.pass(content) {
         Pass::Free => Ok(false),
-        Pass::Held(_) => Err(Spoiled::Poison),
+        Pass::Held(_) => Err(StageError::Poison),
         Pass::Trial => {
             begin_trial(job, content);
             Ok(true)
@@ -292,7 +292,7 @@
 /// [`Refusal::Poison`] if too few runners are left for half of the caller's time.
 async fn await_runners<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let since = Instant::now();
-    let patience = job.left() / 2;
+    let patience = job.remaining() / 2;
     loop {
         let standing = job.relay.standing(&job.service);
         let (may_run, crashes) = {
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -27,7 +27,7 @@
     /// When it had been read.
     pub arrived: Instant,
     /// Time that the caller waits, if it told.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Pieces of each stage; a stage without pieces is left out.
     pub pieces: Vec<u32>,
     /// Key of the pieces of the first stages.
@@ -56,7 +56,7 @@
     ///     host: "shop.example".to_owned(),
     ///     key: None,
     ///     arrived: Instant::now(),
-    ///     patience: None,
+    ///     timeout: None,
     ///     pieces: Vec::new(),
     ///     piece_key: String::new(),
     ///     prompt: None,
@@ -115,7 +115,7 @@
 impl Prompt {
     /// Tokens that are its own, which a runner reads in any case.
     #[must_use]
-    pub fn own(&self) -> u32 {
+    pub fn unshared(&self) -> u32 {
         let shared: u32 = self.shared.iter().map(|part| part.tokens).sum();
         self.input.saturating_sub(shared)
     }
@@ -138,15 +138,15 @@
 #[derive(Debug)]
 pub enum Body {
     /// All of it.
-    Whole(Bytes),
-    /// Parts as they come. It ends well only if the channel closes without a [`Broken`].
-    Parts(mpsc::Receiver<Result<Bytes, Broken>>),
+    Full(Bytes),
+    /// Parts as they come. It ends well only if the channel closes without a [`IncompleteBody`].
+    Stream(mpsc::Receiver<Result<Bytes, IncompleteBody>>),
 }
 
 /// An answer that ended before it was whole; the caller's connection must not make it look whole.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("answer broke off: {reason}"))]
-pub struct Broken {
+pub struct IncompleteBody {
     /// What happened.
     pub reason: String,
 }
@@ -154,12 +154,12 @@
 impl Answer {
     /// An answer of the relay itself.
     #[must_use]
-    pub fn own(refusal: &Refusal) -> Self {
+    pub fn from_refusal(refusal: &Refusal) -> Self {
         Self {
             status: refusal.status(),
             headers: HeaderMap::new(),
             retry_after: refusal.retry_after(),
-            body: Body::Whole(Bytes::from(refusal.to_string())),
+            body: Body::Full(Bytes::from(refusal.to_string())),
         }
     }
 }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,7 +1,7 @@
 //! One request from its arrival to its answer.
 
 use crate::attempt;
-use crate::batch::Spoiled;
+use crate::batch::StageError;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::graph::{self, Inputs, Round};
@@ -43,7 +43,7 @@
     /// Its urgency.
     pub rank: Rank,
     /// Whether its caller seems to have tried before.
-    pub comes_back: bool,
+    pub is_retry: bool,
     /// By when its answer, or its first event, is on time.
     pub due: Instant,
     /// When it is given up.
@@ -81,7 +81,7 @@
         };
         let draw = foldhash::fast::FixedState::default().hash_one(&*request.id);
         let service = route.service(draw).ok_or(Refusal::NoRoute)?.clone();
-        let patience = request.patience.unwrap_or(route.timeout);
+        let patience = request.timeout.unwrap_or(route.timeout);
         let before = self.waited_before(&route.name, patience);
         let patience = patience.min(route.timeout);
         Ok(Job {
@@ -92,7 +92,7 @@
             content: request.content(workspace.as_deref().map(|workspace| &*workspace.name)),
             rank: plan.rank(workspace.as_deref(), route),
             workspace,
-            comes_back: before > Duration::ZERO,
+            is_retry: before > Duration::ZERO,
             due: (request.arrived + route.target)
                 .checked_sub(before)
                 .unwrap_or(request.arrived),
@@ -120,12 +120,12 @@
         let made = tokio::select! {
             made = making => made,
             // Cut off with the process, the caller would not know that it has not run.
-            () = self.ending.cancelled() => Ok(Err(Spoiled::Ending)),
+            () = self.ending.cancelled() => Ok(Err(StageError::Ending)),
         };
         match made {
             Ok(Ok(inputs)) => Ok(inputs),
             Ok(Err(spoiled)) => Err(overloaded(job, &spoiled)),
-            Err(_) => Err(overloaded(job, &Spoiled::Late)),
+            Err(_) => Err(overloaded(job, &StageError::Late)),
         }
     }
 
@@ -140,7 +140,7 @@
     }
 
     fn refuse(&self, request: &Request, job: Option<&Job<D>>, refusal: &Refusal) -> Answer {
-        let answer = Answer::own(refusal);
+        let answer = Answer::from_refusal(refusal);
         let version = job
             .map(|job| job.plan.version)
             .or_else(|| Some(self.plan()?.version));
@@ -159,13 +159,13 @@
 /// Refuses a request that cannot be served in time before anything is spent on it.
 fn admit<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let expected = job.expected();
-    let left = job.left();
+    let left = job.remaining();
     let admitted = expected <= left || job.relay.options.policy.admission == Policy::Naive;
     let on_time = job.due.saturating_duration_since(Instant::now());
     info!(job.relay.log, "admission"; "request" => &*job.request.id,
         "content" => content_name(job.content),
         "workspace" => job.workspace.as_ref().map(|workspace| workspace.name.to_string()),
-        "rank" => job.rank, "comes_back" => job.comes_back, "expected_ms" => millis(expected),
+        "rank" => job.rank, "comes_back" => job.is_retry, "expected_ms" => millis(expected),
         "left_ms" => millis(left),
         "on_time_ms" => millis(on_time), "configuration" => job.plan.version,
         "runners_age_ms" => job.relay.list_age().map(millis), "admitted" => admitted);
@@ -184,18 +184,18 @@
 }
 
 fn retry_busy<D: Downstream>(job: &Job<D>) -> Duration {
-    (job.left() / RETRY_PART).max(RETRY_SOON)
+    (job.remaining() / RETRY_PART).max(RETRY_SOON)
 }
 
 /// Nothing of the request itself has run when its stages fail.
-fn overloaded<D: Downstream>(job: &Job<D>, spoiled: &Spoiled) -> Refusal {
+fn overloaded<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
     let (reason, retry_after) = match spoiled {
-        Spoiled::Late => ("the stages took too long", retry_busy(job)),
-        Spoiled::InputGone => ("results of stages were lost", RETRY_SOON),
-        Spoiled::Failed => ("runners of a stage failed", RETRY_SOON),
-        Spoiled::Ending => ("the process ends", RETRY_SOON),
-        Spoiled::NoRunner => ("a stage has no runner", retry_busy(job)),
-        Spoiled::Poison => {
+        StageError::Late => ("the stages took too long", retry_busy(job)),
+        StageError::InputGone => ("results of stages were lost", RETRY_SOON),
+        StageError::Failed => ("runners of a stage failed", RETRY_SOON),
+        StageError::Ending => ("the process ends", RETRY_SOON),
+        StageError::NoRunner => ("a stage has no runner", retry_busy(job)),
+        StageError::Poison => {
             let retry_after = quarantine::retry_after(job);
             return Refusal::Poison { retry_after };
         }
@@ -210,7 +210,7 @@
     /// Time that its caller still waits. A suspension counts for the caller, though not for the
     /// steady clock: a runner would be given time that nobody waits.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.relay.look();
         let left = self.deadline.saturating_duration_since(Instant::now());
         left.saturating_sub(self.relay.pause.uncounted() - self.uncounted)
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -10,7 +10,7 @@
 use crate::memory::Memory;
 use crate::plan::FIRST_RANK;
 use crate::quarantine::SILENCE;
-use crate::request::{Broken, EventId};
+use crate::request::{EventId, IncompleteBody};
 use crate::serve::Job;
 use crate::telemetry::millis;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
 /// Time without reading after which a runner may break off a stream for want of a reader.
 const UNREAD: Duration = Duration::from_secs(1);
 
-type Part = Result<Bytes, Broken>;
+type Part = Result<Bytes, IncompleteBody>;
 type Parts = mpsc::Sender<Part>;
 
 /// How a runner's stream ended.
@@ -215,7 +215,7 @@
         let mut job = self.job.clone();
         if self.events > 0 {
             job.rank = FIRST_RANK;
-            job.due = Instant::now() + job.route.target.max(job.left() / 2);
+            job.due = Instant::now() + job.route.target.max(job.remaining() / 2);
         }
         job
     }
@@ -228,7 +228,7 @@
             "resumable" => self.job.route.repeatable(),
             "after_ms" => millis(self.job.request.arrived.elapsed()));
         let reason = reason.to_owned();
-        let _ = self.parts.send(Err(Broken { reason })).await;
+        let _ = self.parts.send(Err(IncompleteBody { reason })).await;
     }
 
     fn log(&self, flight: &Flight<D>, end: &End) {
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use parts::{Parts, parts};
 pub(crate) use plans::{plan, plan_with};
 use relay::downstream::{
-    Batch, Call, Failure, Handle, Item, Made, NotRun, Reply, Source as Origin,
+    BatchReply, Call, Failure, Handle, Item, NotRun, PieceOutcome, Reply, Source as Origin,
 };
 use relay::member::Member;
 use relay::request::Message;
@@ -69,7 +69,7 @@
         host: "host".to_owned(),
         key: Some("key".to_owned()),
         arrived: Instant::now(),
-        patience: Some(Duration::from_secs(4)),
+        timeout: Some(Duration::from_secs(4)),
         pieces: vec![3, 2],
         piece_key: "piece".to_owned(),
         prompt: None,
@@ -134,7 +134,7 @@
 }
 
 /// What the fake does with one call that carries pieces.
-pub(crate) type StageAct = Result<Vec<Made>, Failure>;
+pub(crate) type StageAct = Result<Vec<PieceOutcome>, Failure>;
 
 /// Runners that do what they were told, call by call, whichever of them is called.
 #[derive(Clone, Debug, Default)]
@@ -294,7 +294,7 @@
         items: Vec<Item>,
         patience: Duration,
         is_open: impl Fn() -> bool + Send,
-    ) -> Result<Batch, Failure> {
+    ) -> Result<BatchReply, Failure> {
         self.connect(is_open).await?;
         let count = u32::try_from(items.len()).expect("few items");
         let carried = Carried {
@@ -316,7 +316,8 @@
             .lock()
             .expect("no holder panics")
             .pop_front();
-        let refused = |made: &Vec<Made>| made.iter().all(|made| *made == Made::NoRoom);
+        let refused =
+            |made: &Vec<PieceOutcome>| made.iter().all(|made| *made == PieceOutcome::NoRoom);
         let time = match &act {
             // Pieces without room are not worked on.
             Some(Ok(made)) if refused(made) => REFUSAL,
@@ -339,11 +340,14 @@
                 "{}/{}-{}-{}",
                 runner.address, item.id, item.stage, item.piece
             );
-            Made::Done(name.into())
+            PieceOutcome::Done(name.into())
         };
         let made = act.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
         let spacing = *self.spacing.lock().expect("no holder panics");
-        Ok(Batch { made, spacing })
+        Ok(BatchReply {
+            outcomes: made,
+            spacing,
+        })
     }
 
     async fn release(&self, _runner: &Runner, handles: Vec<Handle>) -> Result<(), Failure> {
@@ -480,8 +484,8 @@
     let mut text = Vec::new();
     let mut whole = true;
     match answer.body {
-        relay::Body::Whole(bytes) => text.extend_from_slice(&bytes),
-        relay::Body::Parts(mut parts) => {
+        relay::Body::Full(bytes) => text.extend_from_slice(&bytes),
+        relay::Body::Stream(mut parts) => {
             while let Some(part) = parts.recv().await {
                 match part {
                     Ok(bytes) => text.extend_from_slice(&bytes),
--- a/crates/relay/tests/common/parts.rs
+++ b/crates/relay/tests/common/parts.rs
@@ -3,13 +3,13 @@
 use super::End;
 use bytes::Bytes;
 use futures::stream::{self, Stream};
-use relay::request::Broken;
+use relay::request::IncompleteBody;
 use std::pin::Pin;
 use std::time::Duration;
 use tokio::time::sleep;
 
 /// Body of an answer.
-pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>> + Send>>;
+pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteBody>> + Send>>;
 
 /// Parts that come one every 10 ms.
 pub(crate) fn parts(parts: Vec<&'static str>, end: End) -> Parts {
@@ -21,7 +21,7 @@
         sleep(Duration::from_millis(10)).await;
         part
     });
-    let broken = Broken {
+    let broken = IncompleteBody {
         reason: "reset".to_owned(),
     };
     match end {
--- a/crates/relay/tests/common/poison.rs
+++ b/crates/relay/tests/common/poison.rs
@@ -56,7 +56,7 @@
         ..Message::clone(&request.message)
     };
     Request {
-        patience: Some(PATIENCE),
+        timeout: Some(PATIENCE),
         pieces: vec![1, 1],
         message: Arc::new(message),
         ..request
--- a/crates/relay/tests/common/ward.rs
+++ b/crates/relay/tests/common/ward.rs
@@ -4,7 +4,7 @@
 use futures::StreamExt;
 use futures::stream;
 use relay::downstream::{Failure, NotRun};
-use relay::request::Broken;
+use relay::request::IncompleteBody;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -234,7 +234,7 @@
                     effect = ward.fall(&runner, cause) => {
                         let failure = ward.outcome(&runner, effect, Duration::MAX).await;
                         let reason = failure.to_string();
-                        return Some((Err(Broken { reason }), None));
+                        return Some((Err(IncompleteBody { reason }), None));
                     }
                     part = parts.next() => part?,
                 };
--- a/crates/relay/tests/domain_drained.rs
+++ b/crates/relay/tests/domain_drained.rs
@@ -53,7 +53,7 @@
 async fn gets_nothing() {
     let relay = told(vec![drained()]).await;
     assert_eq!(known(&relay), 0);
-    assert_eq!(relay.shares(&"stage".into())[0].runners.len(), 0);
+    assert_eq!(relay.cells(&"stage".into())[0].runners.len(), 0);
     let answer = relay.serve(request("q", "safe")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -4,15 +4,15 @@
 
 use common::stage::{cell, order};
 use common::{Fake, ready};
-use relay::batch::{Order, Spent, Spoiled};
-use relay::downstream::{Handle, Made};
+use relay::batch::{Order, ReleaseKind, StageError};
+use relay::downstream::{Handle, PieceOutcome};
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
 /// Answers of runners that are full of what nobody knows of.
 fn full(fake: &Fake, calls: usize) {
     let mut acts = fake.stage_acts.lock().expect("free");
-    acts.extend(std::iter::repeat_n(Ok(vec![Made::NoRoom]), calls));
+    acts.extend(std::iter::repeat_n(Ok(vec![PieceOutcome::NoRoom]), calls));
 }
 
 fn patient(id: &str) -> Order {
@@ -31,7 +31,7 @@
     full(&fake, 1_000);
     let relay = ready(fake.clone());
     let outcome = relay.batcher(&cell()).submit(&relay, patient("a")).await;
-    assert_eq!(outcome, Ok(Err(Spoiled::Late)));
+    assert_eq!(outcome, Ok(Err(StageError::Late)));
     let calls = fake.carried().len();
     assert!((4..=16).contains(&calls), "{calls} calls to two runners");
 }
@@ -56,7 +56,7 @@
     let batcher = relay.batcher(&cell());
     let made = batcher.submit(&relay, order("a", 3)).await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Over);
+    batcher.release(&relay, &made, ReleaseKind::Over);
     sleep(Duration::from_millis(100)).await;
     let mut released = fake.released.lock().expect("free").clone();
     released.sort();
@@ -71,7 +71,7 @@
     let batcher = relay.batcher(&cell());
     let made = batcher.submit(&relay, order("a", 3)).await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Fetched);
+    batcher.release(&relay, &made, ReleaseKind::Fetched);
     sleep(Duration::from_millis(100)).await;
     assert!(fake.released.lock().expect("free").is_empty());
 }
@@ -95,7 +95,7 @@
         )
         .await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Over);
+    batcher.release(&relay, &made, ReleaseKind::Over);
     sleep(Duration::from_secs(2)).await;
     let large = Order {
         pieces: 4,
--- a/crates/relay/tests/home_regions.rs
+++ b/crates/relay/tests/home_regions.rs
@@ -79,7 +79,7 @@
         assert!(ran_at(&fake).is_empty());
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after.is_some());
-        let Body::Whole(text) = answer.body else {
+        let Body::Full(text) = answer.body else {
             panic!("a refusal has a whole body");
         };
         let text = String::from_utf8(text.to_vec()).expect("text");
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -9,7 +9,7 @@
 use common::stage::{cell, order};
 use common::{Carried, Fake, choosing, ready, request};
 use relay::Relay;
-use relay::batch::{Order, Spent};
+use relay::batch::{Order, ReleaseKind};
 use relay::downstream::Handle;
 use setting::Policy;
 use setting::relay::Policies;
@@ -47,7 +47,7 @@
     let kept = fill(&relay).await;
     relay
         .batcher(&cell())
-        .release(&relay, &kept, Spent::Fetched);
+        .release(&relay, &kept, ReleaseKind::Fetched);
     let begun = Instant::now();
     make(&relay, "next").await;
     assert!(begun.elapsed() < Duration::from_secs(1));
@@ -64,11 +64,13 @@
     let made = make(&relay, "first").await;
     relay
         .batcher(&cell())
-        .release(&relay, &made, Spent::Fetched);
+        .release(&relay, &made, ReleaseKind::Fetched);
     make(&relay, "second").await;
     make(&relay, "third").await;
     assert_eq!(fake.released.lock().expect("free").len(), 0);
-    relay.batcher(&cell()).release(&relay, &made, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &made, ReleaseKind::Over);
     make(&relay, "fourth").await;
     make(&relay, "fifth").await;
     assert_eq!(fake.released.lock().expect("free").len(), made.len());
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::stage::{cell, order};
 use common::{Fake, body, ready, request, runner};
-use relay::batch::{Outcome, Spent};
+use relay::batch::{Outcome, ReleaseKind};
 use relay::downstream::Handle;
 use relay::request::Message;
 use relay::runner::Change;
@@ -30,7 +30,7 @@
     let result: Handle = format!("{address}/old").into();
     let batcher = relay.batcher(&cell());
     batcher.hold(relay, &[(result.clone(), 900)]);
-    batcher.release(relay, &[result], Spent::Over);
+    batcher.release(relay, &[result], ReleaseKind::Over);
 }
 
 /// Submits four pieces for the only runner, which leaves while results are given back to make room for them; another
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -67,7 +67,7 @@
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let mut request = request("a", "safe");
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     relay.serve(request).await;
     let sent = &fake.sent()[0];
     assert_eq!(sent.workspace.as_deref(), Some("coop"));
@@ -84,7 +84,7 @@
 async fn refused_at_once() {
     let relay = ready(Fake::default());
     let mut request = request("a", "staged");
-    request.patience = Some(Duration::from_millis(100));
+    request.timeout = Some(Duration::from_millis(100));
     let begun = tokio::time::Instant::now();
     let answer = relay.serve(request).await;
     assert_eq!(answer.status, 503);
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -100,7 +100,7 @@
 async fn silenced_by_turns() {
     let (one, other) = harmed(Spot::Model, Effect::Silent, STAGE, None).await;
     let attempt = |number: usize| Request {
-        patience: Some(SHORT),
+        timeout: Some(SHORT),
         ..poison(number)
     };
     let later = async {
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -38,7 +38,7 @@
 
 fn poison(number: usize, patience: Duration) -> Request {
     Request {
-        patience: Some(patience),
+        timeout: Some(patience),
         ..asking(&format!("{POISON}-{number}"), POISON)
     }
 }
@@ -46,7 +46,7 @@
 fn innocent(number: usize, patience: Duration) -> Request {
     let text = INNOCENT[number % INNOCENT.len()];
     Request {
-        patience: Some(patience),
+        timeout: Some(patience),
         ..asking(&format!("{text}-{number}"), text)
     }
 }
@@ -141,7 +141,7 @@
     let harm = Harm::new("popular", Spot::Model, Effect::Stalls);
     relay.downstream.ward.set([harm]);
     let popular = |number: usize| Request {
-        patience: Some(SHORT),
+        timeout: Some(SHORT),
         ..asking(&format!("popular-{number}"), "popular")
     };
     for number in 0..2 * FEW {
@@ -178,7 +178,7 @@
     relay.downstream.ward.set([harm]);
     for number in 0..4 {
         let popular = Request {
-            patience: Some(SHORT),
+            timeout: Some(SHORT),
             ..asking(&format!("popular-{number}"), "popular")
         };
         ask(&relay, popular).await;
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -51,7 +51,7 @@
     for number in 0..ATTEMPTS {
         *relay.downstream.acts.lock().expect("free") = [Act::Silent].into();
         let mut attempt = request(&format!("q{number}"), "once");
-        attempt.patience = Some(PAUSE / 2);
+        attempt.timeout = Some(PAUSE / 2);
         let before = relay.downstream.sent().len();
         body(relay.serve(attempt).await).await;
         for call in relay.downstream.sent().split_off(before) {
--- a/crates/relay/tests/slow_callers.rs
+++ b/crates/relay/tests/slow_callers.rs
@@ -69,7 +69,7 @@
     let relay = ready(streaming(64 << 10));
     let answer = relay.serve(request("a", "stream")).await;
     sleep(PAUSE).await;
-    let Body::Parts(mut parts) = answer.body else {
+    let Body::Stream(mut parts) = answer.body else {
         panic!("a stream")
     };
     let mut held = 0;
@@ -94,7 +94,7 @@
     sleep(Duration::from_secs(2)).await;
     let mut held = 0;
     for answer in &mut answers {
-        let Body::Parts(parts) = &mut answer.body else {
+        let Body::Stream(parts) = &mut answer.body else {
             panic!("a stream")
         };
         // Without a pause, so that nothing follows what was there.
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -5,8 +5,8 @@
 use common::stage::{cell, order};
 use common::{Act, End, Fake, body, choosing, inputs, ready, request, runner};
 use relay::Relay;
-use relay::batch::{Order, Spent};
-use relay::downstream::{Failure, Handle, Made, NotRun};
+use relay::batch::{Order, ReleaseKind};
+use relay::downstream::{Failure, Handle, NotRun, PieceOutcome};
 use relay::runner::Change;
 use setting::Policy;
 use setting::relay::Policies;
@@ -162,7 +162,7 @@
     let mut late = order("c", 1);
     late.last = Instant::now() + Duration::from_millis(300);
     let outcome = submit(&relay, late).await;
-    assert_eq!(outcome, Err(relay::batch::Spoiled::Late));
+    assert_eq!(outcome, Err(relay::batch::StageError::Late));
     for outcome in busy {
         assert!(outcome.await.is_ok());
     }
@@ -175,7 +175,7 @@
 #[tokio::test(start_paused = true)]
 async fn results_of_another_owner() {
     let fake = Fake::default();
-    let no_room = || Ok(vec![Made::NoRoom]);
+    let no_room = || Ok(vec![PieceOutcome::NoRoom]);
     fake.stage_acts
         .lock()
         .expect("free")
@@ -188,7 +188,9 @@
         .iter()
         .map(|runner| format!("{}/old", runner.address).into())
         .collect();
-    relay.batcher(&cell()).release(&relay, &old, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &old, ReleaseKind::Over);
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
     let released = fake.released.lock().expect("free").clone();
@@ -203,7 +205,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
-    let no_room = Ok(vec![Made::NoRoom, Made::NoRoom]);
+    let no_room = Ok(vec![PieceOutcome::NoRoom, PieceOutcome::NoRoom]);
     fake.stage_acts.lock().expect("free").push_back(no_room);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
@@ -235,7 +237,9 @@
     for id in ["a", "b", "c", "d"] {
         made.extend(submit(&relay, order(id, 4)).await.expect("made"));
     }
-    relay.batcher(&cell()).release(&relay, &made, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &made, ReleaseKind::Over);
     for id in ["e", "f", "g", "h"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
@@ -273,7 +277,7 @@
 #[tokio::test(start_paused = true)]
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
-    let gone = || Ok(vec![Made::InputGone]);
+    let gone = || Ok(vec![PieceOutcome::InputGone]);
     fake.stage_acts
         .lock()
         .expect("free")
@@ -281,7 +285,7 @@
     let relay = ready(fake.clone());
     for _ in 0..4 {
         let outcome = submit(&relay, order("a", 1)).await;
-        assert_eq!(outcome, Err(relay::batch::Spoiled::InputGone));
+        assert_eq!(outcome, Err(relay::batch::StageError::InputGone));
     }
     for id in ["b", "c", "d", "e"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
