--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -2,10 +2,10 @@
 
 mod flight;
 
-pub use flight::Flight;
+pub use flight::InFlightCall;
 
 use crate::downstream::{Call, Downstream, Failure, NotRun, Reply};
-use crate::graph::{self, Inputs, Round};
+use crate::graph::{self, Inputs, StageRun};
 use crate::quarantine::{self, SILENCE};
 use crate::request::{Answer, Body, EventId, Refusal};
 use crate::runner::{DomainId, Runner, RunnerId};
@@ -20,22 +20,22 @@
 use tokio::time::{sleep, timeout_at};
 
 /// Runners that refuse a request before it is given up; each costs a round trip only.
-const REFUSALS: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 /// Time below which no call is sent any more: the way there and back and the shortest work.
-const CALL_LEAST: Duration = Duration::from_millis(5);
+const MIN_CALL_TIME: Duration = Duration::from_millis(5);
 /// Time after which a runner that was sent a request has fetched its inputs. It does so before it
 /// reads the prompt, and its answer begins only after that; a few megabytes take milliseconds, and
 /// the room that they take up bounds what the stages can do.
-const FETCHED: Duration = Duration::from_millis(35);
+const INPUT_FETCH_TIME: Duration = Duration::from_millis(35);
 /// Part of the connections that a runner bears that all processes together may leave open unused.
-const IDLE_PART: usize = 3;
+const IDLE_CONNECTION_DIVISOR: usize = 3;
 /// When a caller may come back whose request no runner took.
-const RETRY_FULL: Duration = Duration::from_millis(200);
+const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(200);
 /// When a caller may come back to a service all of whose runners have ended: about the time that one
 /// takes to start.
-const RETRY_ENDED: Duration = Duration::from_secs(1);
+const RETRY_AFTER_ALL_EXITED: Duration = Duration::from_secs(1);
 /// Parts of a stream that wait for a slow caller before its runner is read no further.
-const PARTS: usize = 32;
+const STREAM_BUFFER_PARTS: usize = 32;
 
 /// How far a request has got.
 #[derive(Debug, Default)]
@@ -43,32 +43,32 @@
     /// Runners that it was sent to.
     pub tried: Vec<RunnerId>,
     /// Runners that may have run it.
-    pub ran: u32,
+    pub executions: u32,
     /// Runners that refused it.
-    pub refused: u32,
+    pub refusals: u32,
     /// Why the last one brought no answer.
-    pub last: Option<Failure>,
+    pub last_failure: Option<Failure>,
     /// Why it was sent to no other one, if it is held back.
-    pub held: Option<Refusal>,
+    pub quarantined: Option<Refusal>,
     /// Whether a repeat has been counted for a call that was withdrawn.
-    is_paid: bool,
+    retry_counted: bool,
 }
 
 /// A call that has begun to be answered.
-pub type Sent<D> = (Flight<D>, Reply<<D as Downstream>::Body>);
+pub type StartedCall<D> = (InFlightCall<D>, Reply<<D as Downstream>::Body>);
 
 impl Progress {
     /// Whether the last runner refused the request because results that it needs are gone.
     #[must_use]
     pub fn input_gone(&self) -> bool {
         let reason = NotRun::InputGone;
-        self.last == Some(Failure::NotRun { reason })
+        self.last_failure == Some(Failure::NotRun { reason })
     }
 
     /// Whether a repeat may be sent; counts it, once for each call that is sent.
     fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
-        self.is_paid = self.is_paid || job.relay.may_repeat(&job.service);
-        self.is_paid
+        self.retry_counted = self.retry_counted || job.relay.may_repeat(&job.service);
+        self.retry_counted
     }
 }
 
@@ -81,14 +81,16 @@
     let mut progress = Progress::default();
     job.relay.count_first(&job.service, 1);
     loop {
-        let sent = send_anew(job, &mut inputs, &mut progress, job.request.resume_after).await;
+        let sent =
+            send_or_recompute_inputs(job, &mut inputs, &mut progress, job.request.resume_after)
+                .await;
         let Ok((flight, reply)) = sent else {
-            return Err(give_up(job, &progress));
+            return Err(final_refusal(job, &progress));
         };
         if job.streams() && reply.proven && is_success(reply.status) {
-            return Ok(stream(job, inputs, flight, reply, progress));
+            return Ok(forward_stream(job, inputs, flight, reply, progress));
         }
-        if let Some(answer) = whole(job, flight, reply, &mut progress).await {
+        if let Some(answer) = collect_response(job, flight, reply, &mut progress).await {
             return Ok(answer);
         }
     }
@@ -104,22 +106,22 @@
     inputs: &mut Inputs<D>,
     progress: &mut Progress,
     resume_after: Option<EventId>,
-) -> Result<Sent<D>, ()> {
+) -> Result<StartedCall<D>, ()> {
     loop {
         let left = job.remaining();
-        if left < CALL_LEAST || !may_send(job, progress) {
+        if left < MIN_CALL_TIME || !may_send(job, progress) {
             return Err(());
         }
-        let Some(mut runner) = pick(job, &progress.tried, left) else {
+        let Some(mut runner) = pick_runner(job, &progress.tried, left) else {
             return Err(());
         };
         if let Err(refusal) = quarantine::begin(job).await {
-            progress.held = Some(refusal);
+            progress.quarantined = Some(refusal);
             return Err(());
         }
         // That may have taken seconds.
         if !job.relay.is_open(&runner) {
-            let Some(other) = pick(job, &progress.tried, job.remaining()) else {
+            let Some(other) = pick_runner(job, &progress.tried, job.remaining()) else {
                 return Err(());
             };
             runner = other;
@@ -129,29 +131,29 @@
         }
         job.relay.note_sent(&runner);
         progress.tried.push(runner.id.clone());
-        let call = call(job, inputs, left, resume_after);
-        let mut flight = Flight::new(job, runner);
+        let call = build_call(job, inputs, left, resume_after);
+        let mut flight = InFlightCall::new(job, runner);
         let is_open = || job.relay.is_open(&flight.runner);
         let calling = job.relay.downstream.call(&flight.runner, call, is_open);
-        let calling = until_fetched(calling, inputs);
-        let calling = until_begun(&flight, calling);
+        let calling = release_inputs_when_fetched(calling, inputs);
+        let calling = record_silence(&flight, calling);
         let result = timeout_at(job.deadline, calling).await;
         let result = result.unwrap_or_else(|_| {
-            flight.waited();
+            flight.record_overdue();
             let reason = "no answer before the deadline".to_owned();
             Err(Failure::Lost { reason })
         });
-        log(job, &flight, left, inputs, progress, &result);
+        log_call(job, &flight, left, inputs, progress, &result);
         job.relay.note_limit(&flight.runner, flight.sent, &result);
-        progress.is_paid &= result.as_ref().is_err_and(Failure::is_withdrawn);
+        progress.retry_counted &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
-                flight.observed();
-                flight.begun();
-                progress.ran += 1;
+                flight.record_activity();
+                flight.response_started();
+                progress.executions += 1;
                 return Ok((flight, reply));
             }
-            Err(failure) => fail(flight, failure, progress).await,
+            Err(failure) => handle_failure(flight, failure, progress).await,
         }
     }
 }
@@ -162,78 +164,89 @@
 /// # Errors
 ///
 /// As [`send`].
-pub async fn send_anew<D: Downstream>(
+pub async fn send_or_recompute_inputs<D: Downstream>(
     job: &Job<D>,
     inputs: &mut Inputs<D>,
     progress: &mut Progress,
     resume_after: Option<EventId>,
-) -> Result<Sent<D>, ()> {
+) -> Result<StartedCall<D>, ()> {
     let sent = send(job, inputs, progress, resume_after).await;
     if sent.is_ok() || !progress.input_gone() {
         return sent;
     }
-    *inputs = graph::run(job, Round::Again).await.map_err(drop)?;
-    progress.last = None;
+    *inputs = graph::run(job, StageRun::Repeat).await.map_err(drop)?;
+    progress.last_failure = None;
     send(job, inputs, progress, resume_after).await
 }
 
 /// Waits for the beginning of an answer, and gives the inputs back once the runner has them.
-async fn until_fetched<D: Downstream, T>(
+async fn release_inputs_when_fetched<D: Downstream, T>(
     calling: impl Future<Output = T>,
     inputs: &mut Inputs<D>,
 ) -> T {
     let mut calling = std::pin::pin!(calling);
     tokio::select! {
         result = &mut calling => return result,
-        () = sleep(FETCHED) => inputs.release(|_| true),
+        () = sleep(INPUT_FETCH_TIME) => inputs.release(|_| true),
     }
     calling.await
 }
 
 /// Waits for the beginning of an answer; a runner from which nothing comes meanwhile may be silent.
-async fn until_begun<D: Downstream, T>(flight: &Flight<D>, calling: impl Future<Output = T>) -> T {
+async fn record_silence<D: Downstream, T>(
+    flight: &InFlightCall<D>,
+    calling: impl Future<Output = T>,
+) -> T {
     let mut calling = std::pin::pin!(calling);
     tokio::select! {
         result = &mut calling => return result,
-        () = sleep(SILENCE) => flight.waited(),
+        () = sleep(SILENCE) => flight.record_overdue(),
     }
     calling.await
 }
 
-async fn fail<D: Downstream>(flight: Flight<D>, failure: Failure, progress: &mut Progress) {
+async fn handle_failure<D: Downstream>(
+    flight: InFlightCall<D>,
+    failure: Failure,
+    progress: &mut Progress,
+) {
     match &failure {
         Failure::Lost { .. } => {
-            progress.ran += 1;
+            progress.executions += 1;
             flight.lost().await;
         }
         Failure::NotRun { reason } => {
             // Nothing was sent: neither a try nor a refusal.
             if *reason == NotRun::Withdrawn {
                 progress.tried.pop();
-                flight.returned();
+                flight.not_run();
                 return;
             }
-            progress.refused += 1;
+            progress.refusals += 1;
             match reason {
                 NotRun::Unreachable { .. } => flight.unreachable().await,
                 NotRun::Replaced => flight.failed(),
                 // A full runner is not a faulty one.
-                _ => flight.returned(),
+                _ => flight.not_run(),
             }
         }
     }
-    progress.last = Some(failure);
+    progress.last_failure = Some(failure);
 }
 
 /// Whether the request may go to one more runner.
 fn may_send<D: Downstream>(job: &Job<D>, progress: &Progress) -> bool {
-    if progress.refused > REFUSALS || progress.input_gone() {
+    if progress.refusals > MAX_REFUSALS || progress.input_gone() {
         return false;
     }
-    progress.ran == 0 || (job.route.repeatable() && progress.ran < job.route.attempts)
+    progress.executions == 0 || (job.route.repeatable() && progress.executions < job.route.attempts)
 }
 
-fn pick<D: Downstream>(job: &Job<D>, tried: &[RunnerId], left: Duration) -> Option<Arc<Runner>> {
+fn pick_runner<D: Downstream>(
+    job: &Job<D>,
+    tried: &[RunnerId],
+    left: Duration,
+) -> Option<Arc<Runner>> {
     let relay = &job.relay;
     let closed = relay.closed(&job.service);
     let limited = relay.limited(&job.service);
@@ -258,12 +271,12 @@
 
 /// Failure domain of the runner that would be picked now. What is made for the request is best
 /// made there: results that cross failure domains cost far more than those that do not.
-pub fn likely_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
+pub fn likely_runner_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
     let left = job.remaining();
-    pick(job, &[], left).map(|runner| runner.domain.clone())
+    pick_runner(job, &[], left).map(|runner| runner.domain.clone())
 }
 
-fn call<D: Downstream>(
+fn build_call<D: Downstream>(
     job: &Job<D>,
     inputs: &Inputs<D>,
     remaining: Duration,
@@ -293,12 +306,12 @@
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
     let service = job.plan.services.get(&job.service);
     let bearable = service.map_or(0, |service| service.connections as usize);
-    bearable / (job.relay.processes() * IDLE_PART)
+    bearable / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
 }
 
-fn log<D: Downstream, B>(
+fn log_call<D: Downstream, B>(
     job: &Job<D>,
-    flight: &Flight<D>,
+    flight: &InFlightCall<D>,
     left: Duration,
     inputs: &Inputs<D>,
     progress: &Progress,
@@ -307,9 +320,9 @@
     info!(job.relay.log, "call"; "request" => &*job.request.id,
         "runner" => &*flight.runner.id, "service" => &*job.service,
         "attempt" => progress.tried.len(), "left_ms" => millis(left),
-        "in_flight" => flight.before.own,
-        "others_in_flight" => flight.before.others,
-        "told_age_ms" => flight.before.told.map(millis),
+        "in_flight" => flight.load_before.own,
+        "others_in_flight" => flight.load_before.others,
+        "told_age_ms" => flight.load_before.report_age.map(millis),
         "runners_age_ms" => job.relay.list_age().map(millis),
         "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
@@ -325,9 +338,9 @@
 }
 
 /// Reads an answer that is not a stream; `None` if it is no answer and another runner may be asked.
-async fn whole<D: Downstream>(
+async fn collect_response<D: Downstream>(
     job: &Job<D>,
-    flight: Flight<D>,
+    flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: &mut Progress,
 ) -> Option<Answer> {
@@ -336,7 +349,7 @@
     let body = job.relay.answers.collect(reply.body);
     let body = timeout_at(job.deadline, body).await;
     if body.is_err() {
-        flight.waited();
+        flight.record_overdue();
     }
     let failure = match body {
         // A caller would take the status for the promise that nothing has run.
@@ -363,50 +376,50 @@
     info!(job.relay.log, "answer of no use"; "request" => &*job.request.id,
         "runner" => &*flight.runner.id, "status" => status, "reason" => &failure);
     flight.lost().await;
-    progress.last = Some(Failure::Lost { reason: failure });
+    progress.last_failure = Some(Failure::Lost { reason: failure });
     None
 }
 
 /// Passes a stream through in a task of its own.
-fn stream<D: Downstream>(
+fn forward_stream<D: Downstream>(
     job: &Job<D>,
     inputs: Inputs<D>,
-    flight: Flight<D>,
+    flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: Progress,
 ) -> Answer {
-    let (parts, body) = mpsc::channel(PARTS);
+    let (parts, body) = mpsc::channel(STREAM_BUFFER_PARTS);
     let answer = Answer {
         status: reply.status,
         headers: reply.headers,
         retry_after: None,
         body: Body::Stream(body),
     };
-    let passing = splice::Passing::new(job.clone(), inputs, progress, parts);
-    tokio::spawn(passing.run(flight, reply.body));
+    let forwarder = splice::StreamForwarder::new(job.clone(), inputs, progress, parts);
+    tokio::spawn(forwarder.run(flight, reply.body));
     answer
 }
 
 /// What the caller is told once no more runner is asked.
-fn give_up<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
+fn final_refusal<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
     let left = job.remaining();
-    if let (0, Some(held)) = (progress.ran, &progress.held) {
-        return held.clone();
+    if let (0, Some(quarantined)) = (progress.executions, &progress.quarantined) {
+        return quarantined.clone();
     }
-    match &progress.last {
+    match &progress.last_failure {
         None if job.is_confined() => Refusal::Overloaded {
             reason: "no runner takes it in the regions that it may run in",
-            retry_after: RETRY_FULL,
+            retry_after: RETRY_AFTER_REFUSED,
         },
         None if job.relay.standing(&job.service).up == 0 => Refusal::Overloaded {
             reason: "all runners have ended",
-            retry_after: RETRY_ENDED,
+            retry_after: RETRY_AFTER_ALL_EXITED,
         },
-        _ if progress.ran == 0 => Refusal::Overloaded {
+        _ if progress.executions == 0 => Refusal::Overloaded {
             reason: "no runner took it",
-            retry_after: RETRY_FULL,
+            retry_after: RETRY_AFTER_REFUSED,
         },
-        _ if left < CALL_LEAST => Refusal::Late,
+        _ if left < MIN_CALL_TIME => Refusal::Late,
         Some(failure) => Refusal::Lost {
             reason: failure.to_string(),
         },
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -14,57 +14,57 @@
 
 /// Calls that were at a runner when one was sent there.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Before {
+pub(super) struct RunnerLoad {
     /// Those of this process.
     pub(super) own: u32,
     /// Those of the other processes, unless they had not told lately.
     pub(super) others: Option<u32>,
     /// Age of their word.
-    pub(super) told: Option<Duration>,
+    pub(super) report_age: Option<Duration>,
 }
 
-impl Before {
+impl RunnerLoad {
     fn new(pool: &Pool, id: &str, now: Duration) -> Self {
         let target = pool.get(id);
         let others = target.and_then(|target| pool.elsewhere(target, now));
         Self {
             own: target.map_or(0, Target::in_flight),
             others: others.map(|others| others.calls),
-            told: pool.told_age(now),
+            report_age: pool.told_age(now),
         }
     }
 }
 
 /// A call at a runner, counted there until it is over.
 #[derive(Debug)]
-pub struct Flight<D: Downstream> {
+pub struct InFlightCall<D: Downstream> {
     relay: Arc<Relay<D>>,
     service: ServiceId,
     /// The runner.
     pub runner: Arc<Runner>,
     /// When the call was sent.
     pub sent: Instant,
-    reading: f64,
+    prefill_seconds: f64,
     content: ContentId,
     /// When something last came from the runner for this call, or when that was sent.
-    sign: Instant,
+    last_activity: Instant,
     /// Calls that were at the runner when this one was sent, as far as was known.
-    pub(super) before: Before,
-    over: bool,
+    pub(super) load_before: RunnerLoad,
+    is_recorded: bool,
 }
 
-impl<D: Downstream> Flight<D> {
+impl<D: Downstream> InFlightCall<D> {
     pub(super) fn new(job: &Job<D>, runner: Arc<Runner>) -> Self {
         let now = job.relay.now();
         let prompt = job.request.prompt.as_ref();
-        let reading = prompt.map_or(0.0, |prompt| affine::reading(prompt.unshared()));
-        let before = job.relay.pool(&job.service, |pool| {
-            let before = Before::new(pool, &runner.id, now);
+        let prefill_seconds = prompt.map_or(0.0, |prompt| affine::reading(prompt.unshared()));
+        let load_before = job.relay.pool(&job.service, |pool| {
+            let load_before = RunnerLoad::new(pool, &runner.id, now);
             pool.sent(&runner.id, now);
             if prompt.is_some() {
-                pool.reads(&runner.id, now, reading);
+                pool.reads(&runner.id, now, prefill_seconds);
             }
-            before
+            load_before
         });
         job.relay.note_begun(job.content, &runner);
         let now = Instant::now();
@@ -73,39 +73,39 @@
             service: job.service.clone(),
             runner,
             sent: now,
-            sign: now,
-            reading,
+            last_activity: now,
+            prefill_seconds,
             content: job.content,
-            before,
-            over: false,
+            load_before,
+            is_recorded: false,
         }
     }
 
     /// The runner has begun to answer, and has read the prompt by then.
-    pub(super) fn begun(&mut self) {
-        let reading = std::mem::take(&mut self.reading);
-        if reading > 0.0 {
+    pub(super) fn response_started(&mut self) {
+        let prefill_seconds = std::mem::take(&mut self.prefill_seconds);
+        if prefill_seconds > 0.0 {
             self.relay.pool(&self.service, |pool| {
-                pool.has_read(&self.runner.id, reading);
+                pool.has_read(&self.runner.id, prefill_seconds);
             });
         }
     }
 
     /// Something has come from the runner.
-    pub fn observed(&mut self) {
-        self.sign = Instant::now();
-        self.relay.note_sign(&self.runner, self.sign);
+    pub fn record_activity(&mut self) {
+        self.last_activity = Instant::now();
+        self.relay.note_sign(&self.runner, self.last_activity);
     }
 
     /// The call has waited for long, or its time is over: the runner may be silent.
-    pub fn waited(&self) {
+    pub fn record_overdue(&self) {
         self.relay
-            .note_waited(self.content, &self.runner, self.sign);
+            .note_waited(self.content, &self.runner, self.last_activity);
     }
 
     /// The runner answered as it should; `elapsed` is the time that speaks for its speed.
     pub fn answered(mut self, elapsed: Duration) {
-        self.over = true;
+        self.is_recorded = true;
         let now = self.relay.now();
         let answer = route::Answer {
             busy: elapsed,
@@ -133,8 +133,8 @@
     }
 
     /// The call has not run, and says nothing against the runner.
-    pub(super) fn returned(mut self) {
-        self.sign = Instant::now();
+    pub(super) fn not_run(mut self) {
+        self.last_activity = Instant::now();
     }
 
     /// No connection to the runner came about.
@@ -145,7 +145,7 @@
 
     /// The runner failed.
     pub fn failed(mut self) {
-        self.over = true;
+        self.is_recorded = true;
         let now = self.relay.now();
         self.relay
             .pool(&self.service, |pool| pool.failed(&self.runner.id, now));
@@ -155,12 +155,12 @@
 
 /// A caller that leaves drops its request where it stands; the runner must not count as busy with
 /// it for ever.
-impl<D: Downstream> Drop for Flight<D> {
+impl<D: Downstream> Drop for InFlightCall<D> {
     fn drop(&mut self) {
-        self.begun();
+        self.response_started();
         self.relay.note_over(self.content, &self.runner);
-        if !self.over {
-            self.waited();
+        if !self.is_recorded {
+            self.record_overdue();
             self.relay
                 .pool(&self.service, |pool| pool.returned(&self.runner.id));
         }
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -4,12 +4,12 @@
 //! runner's queue, until a runner is free: what waits here can still share a call, change its place
 //! or be withdrawn.
 
-mod form;
-mod launch;
-mod place;
+mod batch_call;
+mod pending;
+mod runner_state;
+mod select;
 mod state;
 mod suspect;
-mod waiting;
 
 use crate::core::{Relay, lock};
 use crate::downstream::{BatchReply, Downstream, Failure, Handle, NotRun, PieceOutcome, Source};
@@ -17,7 +17,7 @@
 use crate::request::{ContentId, RequestId};
 use crate::runner::{DomainId, Runner};
 use crate::telemetry::millis;
-use launch::Launch;
+use batch_call::BatchCall;
 use serde::{Deserialize, Serialize};
 use setting::Policy;
 use slog::{info, warn};
@@ -42,14 +42,14 @@
 
 /// Time after which a runner that was sent a call has fetched its inputs. It does so before it works;
 /// the 17 MB of a full call take 14 ms at 10 Gbit/s, and calls fetch beside one another.
-const FETCHED: Duration = Duration::from_millis(60);
+const INPUT_FETCH_TIME: Duration = Duration::from_millis(60);
 
 /// Time for which results that are over are gathered before their runners are told.
-const GATHER: Duration = Duration::from_millis(25);
+const RELEASE_DELAY: Duration = Duration::from_millis(25);
 
 /// Runners in a cell at most. At 8 pieces and 0.37 s a call, eight runners make 175 pieces a second
 /// in 22 calls, some hundredths of a core; more runners in one cell share calls hardly better.
-const CELL: usize = 8;
+const MAX_CELL_RUNNERS: usize = 8;
 
 impl Cell {
     /// The first cell of a service, which each has.
@@ -67,7 +67,7 @@
     pub fn all(service: &ServiceId, runners: &[Arc<Runner>]) -> Vec<CellRunners> {
         let mut sorted = runners.to_vec();
         sorted.sort_by(|one, other| (&one.domain, &one.id).cmp(&(&other.domain, &other.id)));
-        let (all, cells) = (sorted.len(), sorted.len().div_ceil(CELL).max(1));
+        let (all, cells) = (sorted.len(), sorted.len().div_ceil(MAX_CELL_RUNNERS).max(1));
         let part = |index: usize| all * index / cells;
         let share = |index: usize| {
             let runners = sorted[part(index)..part(index + 1)].to_vec();
@@ -278,8 +278,8 @@
                 }
             }
         }
-        if spent == ReleaseKind::Over && state.plan_give_back() {
-            tokio::spawn(self.clone().give_back(relay.clone()));
+        if spent == ReleaseKind::Over && state.schedule_release() {
+            tokio::spawn(self.clone().release_pending(relay.clone()));
         }
     }
 
@@ -287,8 +287,8 @@
     ///
     /// If this process is killed, nobody knows of what still lies at the runners, and it takes up room
     /// until it lapses: a runner that was told with its next call alone would hold little else.
-    async fn give_back(self: Arc<Self>, relay: Arc<Relay<D>>) {
-        tokio::time::sleep(GATHER).await;
+    async fn release_pending(self: Arc<Self>, relay: Arc<Relay<D>>) {
+        tokio::time::sleep(RELEASE_DELAY).await;
         let released = lock(&self.state).take_released();
         for (runner, results) in released {
             tokio::spawn(release(relay.clone(), runner, results));
@@ -296,13 +296,13 @@
     }
 
     /// Results that take up room and were made before this process formed the cell's calls.
-    pub fn hold(&self, relay: &Relay<D>, results: &[(Handle, u64)]) {
+    pub fn record_results(&self, relay: &Relay<D>, results: &[(Handle, u64)]) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
         let until = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
         for (handle, bytes) in results {
             if let Some(address) = relay.downstream.holder(handle) {
-                state.hold(address, handle, *bytes, until);
+                state.record_result(address, handle, *bytes, until);
             }
         }
     }
@@ -318,50 +318,52 @@
             return;
         };
         loop {
-            let launch = lock(&self.state).launch(relay, &self.cell.service, batches);
-            let Some(launch) = launch else { break };
-            relay.telemetry.batch(launch.items.len());
-            tokio::spawn(self.clone().carry(relay.clone(), launch));
+            let batch_call = lock(&self.state).next_call(relay, &self.cell.service, batches);
+            let Some(batch_call) = batch_call else { break };
+            relay.telemetry.batch(batch_call.items.len());
+            tokio::spawn(self.clone().execute(relay.clone(), batch_call));
         }
-        self.pump_later(relay);
+        self.schedule_dispatch(relay);
     }
 
     /// Carries out one call and hands out what became of its pieces.
-    async fn carry(self: Arc<Self>, relay: Arc<Relay<D>>, mut launch: Launch) {
+    async fn execute(self: Arc<Self>, relay: Arc<Relay<D>>, mut batch_call: BatchCall) {
         let begun = Instant::now();
-        let runner = launch.runner.clone();
-        let released = std::mem::take(&mut launch.released);
+        let runner = batch_call.runner.clone();
+        let released = std::mem::take(&mut batch_call.released);
         let releasing = release(relay.clone(), runner.clone(), released);
-        if launch.tight {
+        if batch_call.release_first {
             releasing.await;
         } else {
             tokio::spawn(releasing);
         }
-        let items = std::mem::take(&mut launch.items);
+        let items = std::mem::take(&mut batch_call.items);
         let count = items.len();
         let (waited, age) = (begun.elapsed(), relay.list_age());
         let is_open = || relay.is_open(&runner);
-        let patience = launch.patience();
-        let making = relay.downstream.make(&runner, items, patience, is_open);
-        let result = self.until_fetched(&relay, &launch, making).await;
+        let timeout = batch_call.timeout();
+        let making = relay.downstream.make(&runner, items, timeout, is_open);
+        let result = self
+            .release_inputs_when_fetched(&relay, &batch_call, making)
+            .await;
         let elapsed = begun.elapsed();
         if let Err(failure) = &result {
-            suspect::note_failure(&relay, &launch, begun, failure).await;
+            suspect::record_failure(&relay, &batch_call, begun, failure).await;
         }
         let spacing = asked_spacing(&result);
         let result = result.map(|batch| batch.outcomes);
         info!(relay.log, "stage call";
             "service" => &*self.cell.service, "runner" => &*runner.id, "pieces" => count,
-            "requests" => self.requests(&launch), "isolated" => launch.isolated,
-            "expected_ms" => millis(launch.expected), "took_ms" => millis(elapsed),
+            "requests" => self.requests(&batch_call), "isolated" => batch_call.isolated,
+            "expected_ms" => millis(batch_call.expected), "took_ms" => millis(elapsed),
             "waited_ms" => millis(waited), "runners_age_ms" => age.map(millis),
             "one_in_ms" => spacing.map(millis),
-            "outcome" => result.as_ref().map_or_else(ToString::to_string, |made| outcome(made)));
+            "outcome" => result.as_ref().map_or_else(ToString::to_string, |made| describe_outcomes(made)));
         let lives = result.is_ok();
         let made = {
             let mut state = lock(&self.state);
-            let made = state.finish(&relay, &self.cell.service, &launch, result, elapsed);
-            state.space(&runner.id, begun, spacing);
+            let made = state.finish(&relay, &self.cell.service, &batch_call, result, elapsed);
+            state.apply_spacing(&runner.id, begun, spacing);
             made
         };
         if lives {
@@ -375,10 +377,10 @@
     /// A runner has room for the results of two calls and a bit. Held until the next stage's call has
     /// ended, they took up that room for a third of a second longer than it takes to fetch them, and
     /// in bursts runners stood still beside pieces that waited.
-    async fn until_fetched<T>(
+    async fn release_inputs_when_fetched<T>(
         &self,
         relay: &Arc<Relay<D>>,
-        launch: &Launch,
+        batch_call: &BatchCall,
         making: impl Future<Output = T>,
     ) -> T {
         if relay.options.policy.fetched == Policy::Naive {
@@ -387,9 +389,9 @@
         let mut making = std::pin::pin!(making);
         tokio::select! {
             result = &mut making => return result,
-            () = tokio::time::sleep(FETCHED) => {}
+            () = tokio::time::sleep(INPUT_FETCH_TIME) => {}
         }
-        let inputs = lock(&self.state).inputs(launch);
+        let inputs = lock(&self.state).inputs(batch_call);
         for results in inputs {
             relay.peers.release(relay, results, ReleaseKind::Fetched);
         }
@@ -398,8 +400,8 @@
 
     /// Nothing else wakes a runner whose rest is over, or a group that has waited long enough for a
     /// runner of its failure domain.
-    fn pump_later(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
-        let Some(until) = lock(&self.state).next_wake(relay.started()) else {
+    fn schedule_dispatch(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
+        let Some(until) = lock(&self.state).next_wake_time(relay.started()) else {
             return;
         };
         let (batcher, relay) = (self.clone(), relay.clone());
@@ -409,8 +411,8 @@
         });
     }
 
-    fn requests(&self, launch: &Launch) -> String {
-        lock(&self.state).requests(launch)
+    fn requests(&self, batch_call: &BatchCall) -> String {
+        lock(&self.state).requests(batch_call)
     }
 }
 
@@ -437,7 +439,7 @@
     }
 }
 
-fn outcome(made: &[PieceOutcome]) -> String {
+fn describe_outcomes(made: &[PieceOutcome]) -> String {
     let done = made
         .iter()
         .filter(|made| matches!(made, PieceOutcome::Done(_)))
--- a/crates/relay/src/batch/launch.rs
+++ b/crates/relay/src/batch/batch_call.rs
@@ -11,13 +11,13 @@
 
 /// A call that takes so many times its expected time is given up: its runner is dark or much
 /// slower than the others, and its pieces are better made elsewhere.
-const PATIENCE: f64 = 2.5;
+const TIMEOUT_FACTOR: f64 = 2.5;
 /// Time for the way there and back, and for delays of this process, besides.
-const WAY: Duration = Duration::from_millis(300);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
 /// A call on its way.
 #[derive(Debug)]
-pub(super) struct Launch {
+pub(super) struct BatchCall {
     pub(super) runner: Arc<Runner>,
     pub(super) portions: Vec<(Ticket, Vec<u32>)>,
     pub(super) items: Vec<Item>,
@@ -27,19 +27,19 @@
     pub(super) isolated: bool,
     pub(super) released: Vec<Handle>,
     /// Whether the results must be given back before there is room for the call's.
-    pub(super) tight: bool,
+    pub(super) release_first: bool,
     pub(super) slowness: f64,
     pub(super) expected: Duration,
     /// When it is expected to end.
     pub(super) until: Instant,
     pub(super) batches: Batches,
     /// Bytes of its results, and what was believed to be free for them.
-    pub(super) needed: u64,
+    pub(super) needed_bytes: u64,
     pub(super) room: u64,
 }
 
-impl Launch {
-    pub(super) fn patience(&self) -> Duration {
-        self.expected.mul_f64(PATIENCE) + WAY
+impl BatchCall {
+    pub(super) fn timeout(&self) -> Duration {
+        self.expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_MARGIN
     }
 }
--- a/crates/relay/src/batch/waiting.rs
+++ b/crates/relay/src/batch/pending.rs
@@ -7,9 +7,9 @@
 
 /// An order whose pieces are not all made.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingOrder {
     pub(super) order: Order,
-    pub(super) todo: Vec<u32>,
+    pub(super) unsent: Vec<u32>,
     pub(super) made: Vec<Option<Handle>>,
     pub(super) since: Instant,
     /// Most suspects in a call that carries its pieces, if it becomes one.
@@ -17,7 +17,7 @@
     pub(super) reply: oneshot::Sender<Outcome>,
 }
 
-impl Waiting {
+impl PendingOrder {
     /// One of the pieces, as its runner is told of it.
     pub(super) fn item(&self, piece: u32, now: Instant) -> Item {
         Item {
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -1,9 +1,9 @@
 //! What waits in a cell and what its runners do.
 
-use super::launch::Launch;
-use super::place::{Inflation, Judged, Kept, Place};
-use super::suspect::POLL;
-use super::waiting::Waiting;
+use super::batch_call::BatchCall;
+use super::pending::PendingOrder;
+use super::runner_state::{FinishedCall, Inflation, RunnerState, StoredResult};
+use super::suspect::SUSPECT_POLL_INTERVAL;
 use super::{Order, Outcome, Results, StageError, WaitEstimates};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Failure, Handle, PieceOutcome};
@@ -22,22 +22,22 @@
 
 /// Speed of a cell below which its runners are taken to be as slow as that, compared to one that
 /// works as configured: an expected wait must stay finite.
-const MOST_SLOW: f64 = 0.1;
+const MIN_SPEED: f64 = 0.1;
 
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) former: Option<Choice>,
     /// Pieces under which runners have ended.
     pub(super) isolation: Isolation,
-    pub(super) waiting: Map<Ticket, Waiting>,
-    pub(super) places: Vec<Place>,
+    pub(super) waiting: Map<Ticket, PendingOrder>,
+    pub(super) runner_states: Vec<RunnerState>,
     next: Ticket,
     /// When calls are looked for next without a cause.
-    wakes: Option<Instant>,
+    next_wake: Option<Instant>,
     /// How much larger than the configuration says results are taken to be.
     inflation: Inflation,
     /// Whether results that are over are about to be given back.
-    giving_back: bool,
+    release_scheduled: bool,
 }
 
 fn former(policy: Policies, shape: Shape) -> Choice {
@@ -56,63 +56,63 @@
 impl State {
     /// Whether the cell has no runner that takes work.
     pub(super) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.runner_states.is_empty()
     }
 
     /// A result is needed no more.
     pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, until: Instant) {
-        if let Some(place) = self.at(address) {
-            place.release(handle, until);
+        if let Some(state) = self.at(address) {
+            state.release(handle, until);
         }
     }
 
     /// Whether nobody else is about to give back what is over.
-    pub(super) fn plan_give_back(&mut self) -> bool {
-        !std::mem::replace(&mut self.giving_back, true)
+    pub(super) fn schedule_release(&mut self) -> bool {
+        !std::mem::replace(&mut self.release_scheduled, true)
     }
 
     /// The results that are over, by the runner that holds them.
     pub(super) fn take_released(&mut self) -> Vec<(Arc<Runner>, Vec<Handle>)> {
-        self.giving_back = false;
-        let released = |place: &mut Place| {
-            let results = place.take_released();
-            (!results.is_empty()).then(|| (place.runner.clone(), results))
+        self.release_scheduled = false;
+        let released = |state: &mut RunnerState| {
+            let results = state.take_released();
+            (!results.is_empty()).then(|| (state.runner.clone(), results))
         };
-        self.places.iter_mut().filter_map(released).collect()
+        self.runner_states.iter_mut().filter_map(released).collect()
     }
 
     /// A result has been fetched by the call that needs it.
     pub(super) fn fetched(&mut self, address: SocketAddr, handle: &Handle) {
-        if let Some(place) = self.at(address) {
-            place.fetched(handle);
+        if let Some(state) = self.at(address) {
+            state.fetched(handle);
         }
     }
 
-    fn at(&mut self, address: SocketAddr) -> Option<&mut Place> {
-        let mut places = self.places.iter_mut();
-        places.find(|place| place.runner.address == address)
+    fn at(&mut self, address: SocketAddr) -> Option<&mut RunnerState> {
+        let mut runner_states = self.runner_states.iter_mut();
+        runner_states.find(|state| state.runner.address == address)
     }
 
     /// The inputs of a call's orders that have no pieces left which might fetch them.
-    pub(super) fn inputs(&self, launch: &Launch) -> Vec<Results> {
+    pub(super) fn inputs(&self, batch_call: &BatchCall) -> Vec<Results> {
         let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
-        let orders = launch.portions.iter().filter_map(waiting);
-        let sent = orders.filter(|waiting| waiting.todo.is_empty());
+        let orders = batch_call.portions.iter().filter_map(waiting);
+        let sent = orders.filter(|waiting| waiting.unsent.is_empty());
         sent.flat_map(|waiting| waiting.order.inputs.clone())
             .collect()
     }
 
     /// Results that another process asked for and may still hold.
-    pub(super) fn hold(
+    pub(super) fn record_result(
         &mut self,
         address: SocketAddr,
         handle: &Handle,
         bytes: u64,
         until: Instant,
     ) {
-        if let Some(place) = self.at(address) {
-            let held = Kept { bytes, until };
-            place.results.entry(handle.clone()).or_insert(held);
+        if let Some(state) = self.at(address) {
+            let held = StoredResult { bytes, until };
+            state.results.entry(handle.clone()).or_insert(held);
         }
     }
 
@@ -120,23 +120,26 @@
     pub(super) fn piece_time(&self, batches: &Batches) -> Duration {
         let shape = batches.shape;
         let now = Instant::now();
-        let speed = |place: &Place| 1.0 / place.slowness(now).max(1.0);
-        let speed: f64 = self.places.iter().map(speed).sum();
+        let speed = |state: &RunnerState| 1.0 / state.slowness(now).max(1.0);
+        let speed: f64 = self.runner_states.iter().map(speed).sum();
         let full = shape.full();
-        full.div_f64(speed.max(MOST_SLOW) * f64::from(shape.size.max(1)))
+        full.div_f64(speed.max(MIN_SPEED) * f64::from(shape.size.max(1)))
     }
 
     /// Expected times until pieces that come now are made, by the rank of their request.
     pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<WaitEstimates> {
-        let places = u32::try_from(self.places.len()).unwrap_or(u32::MAX);
-        if places == 0 {
+        let runner_states = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
+        if runner_states == 0 {
             return None;
         }
         let shape = batches.shape;
-        let busy = self.places.iter().all(|place| !place.calls.is_empty());
+        let busy = self
+            .runner_states
+            .iter()
+            .all(|state| !state.calls.is_empty());
         let full = shape.full();
         let rest = if busy {
-            full / 2 / places
+            full / 2 / runner_states
         } else {
             Duration::ZERO
         };
@@ -151,9 +154,9 @@
     }
 
     /// Names of the requests whose pieces a call carries.
-    pub(super) fn requests(&self, launch: &Launch) -> String {
+    pub(super) fn requests(&self, batch_call: &BatchCall) -> String {
         let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
-        let ids = launch.portions.iter().filter_map(waiting);
+        let ids = batch_call.portions.iter().filter_map(waiting);
         ids.map(|waiting| &*waiting.order.id)
             .collect::<Vec<_>>()
             .join(",")
@@ -168,8 +171,8 @@
     ) {
         let ticket = self.next;
         self.next += 1;
-        let waiting = Waiting {
-            todo: (0..order.pieces).rev().collect(),
+        let waiting = PendingOrder {
+            unsent: (0..order.pieces).rev().collect(),
             made: vec![None; order.pieces as usize],
             since: Instant::now(),
             company: 1,
@@ -188,18 +191,18 @@
     /// The pieces of an order that still wait, as the former sees them.
     pub(super) fn group<D: Downstream>(
         &self,
-        waiting: &Waiting,
+        waiting: &PendingOrder,
         ticket: Ticket,
         relay: &Relay<D>,
     ) -> Group {
         let order = &waiting.order;
         let domain = order.domain.clone().filter(|domain| {
-            let there = |place: &Place| place.runner.domain == *domain;
-            self.places.iter().any(there)
+            let there = |state: &RunnerState| state.runner.domain == *domain;
+            self.runner_states.iter().any(there)
         });
         Group {
             ticket,
-            pieces: u32::try_from(waiting.todo.len()).unwrap_or(u32::MAX),
+            pieces: u32::try_from(waiting.unsent.len()).unwrap_or(u32::MAX),
             result: self.inflation.apply(order.result),
             due: relay.at(order.due),
             last: relay.at(order.last),
@@ -211,16 +214,21 @@
     }
 
     pub(super) fn refresh(&mut self, runners: Vec<Arc<Runner>>) {
-        self.places.retain(|place| runners.contains(&place.runner));
+        self.runner_states
+            .retain(|state| runners.contains(&state.runner));
         for runner in runners {
-            if self.places.iter().all(|place| place.runner.id != runner.id) {
-                self.places.push(Place::new(runner));
+            if self
+                .runner_states
+                .iter()
+                .all(|state| state.runner.id != runner.id)
+            {
+                self.runner_states.push(RunnerState::new(runner));
             }
         }
     }
 
     /// Drops the orders whose requests are gone, and ends those that cannot be made in time.
-    pub(super) fn drop_useless(&mut self, at: Duration, piece: Duration) {
+    pub(super) fn drop_expired(&mut self, at: Duration, piece: Duration) {
         let Some(former) = self.former.as_mut() else {
             return;
         };
@@ -238,12 +246,12 @@
         let shortest = former.shortest();
         let late = former.expire(at, piece).into_iter();
         for ticket in late.chain(self.isolation.expire(at, shortest)) {
-            self.end(ticket, Err(StageError::Late));
+            self.finish_order(ticket, Err(StageError::Late));
         }
     }
 
     /// Ends an order; whoever waited for it may be gone by now, which is no matter.
-    pub(super) fn end(&mut self, ticket: Ticket, outcome: Outcome) {
+    pub(super) fn finish_order(&mut self, ticket: Ticket, outcome: Outcome) {
         if let Some(former) = self.former.as_mut() {
             former.withdraw(ticket);
         }
@@ -258,14 +266,14 @@
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        launch: &Launch,
+        batch_call: &BatchCall,
         result: Result<Vec<PieceOutcome>, Failure>,
         elapsed: Duration,
     ) -> Vec<ContentId> {
-        self.judge(launch, &result, elapsed);
-        self.note_call(launch, &result);
+        self.record_call(batch_call, &result, elapsed);
+        self.record_call_suspects(batch_call, &result);
         let mut complete = Vec::new();
-        let pieces = launch
+        let pieces = batch_call
             .portions
             .iter()
             .flat_map(|(ticket, pieces)| pieces.iter().map(move |&piece| (*ticket, piece)));
@@ -279,10 +287,12 @@
             .into_iter();
         for (ticket, piece) in pieces {
             let made = made.next().unwrap_or_else(|| unmade.clone());
-            if let Some(outcome) = self.settle(relay, service, launch, (ticket, piece), made) {
+            if let Some(outcome) =
+                self.settle_piece(relay, service, batch_call, (ticket, piece), made)
+            {
                 let waiting = self.waiting.get(&ticket).filter(|_| outcome.is_ok());
                 complete.extend(waiting.map(|waiting| waiting.order.content));
-                self.end(ticket, outcome);
+                self.finish_order(ticket, outcome);
             }
         }
         complete
@@ -290,16 +300,19 @@
 
     /// Leaves a runner alone that asks for this time between its calls, the last of which began then.
     /// This process alone forms the calls of the cell.
-    pub(super) fn space(&mut self, id: &str, begun: Instant, spacing: Option<Duration>) {
-        let place = self.places.iter_mut().find(|place| *place.runner.id == *id);
-        if let (Some(place), Some(spacing)) = (place, spacing) {
-            place.space(begun, spacing);
+    pub(super) fn apply_spacing(&mut self, id: &str, begun: Instant, spacing: Option<Duration>) {
+        let state = self
+            .runner_states
+            .iter_mut()
+            .find(|state| *state.runner.id == *id);
+        if let (Some(state), Some(spacing)) = (state, spacing) {
+            state.apply_spacing(begun, spacing);
         }
     }
 
-    fn judge(
+    fn record_call(
         &mut self,
-        launch: &Launch,
+        batch_call: &BatchCall,
         result: &Result<Vec<PieceOutcome>, Failure>,
         elapsed: Duration,
     ) {
@@ -307,35 +320,38 @@
             let had_room = !made.contains(&PieceOutcome::NoRoom);
             // Where all that is over had been given back, the runner holds what nobody here knows of,
             // which says nothing of the size of results.
-            if had_room || !launch.tight {
-                self.inflation.learn(had_room);
+            if had_room || !batch_call.release_first {
+                self.inflation.update(had_room);
             }
         }
-        let id = &launch.runner.id;
-        let place = self.places.iter_mut().find(|place| place.runner.id == *id);
-        let call = Judged {
+        let id = &batch_call.runner.id;
+        let state = self
+            .runner_states
+            .iter_mut()
+            .find(|state| state.runner.id == *id);
+        let call = FinishedCall {
             result,
             elapsed,
-            expected: launch.expected,
-            slowness: launch.slowness,
-            until: launch.until,
-            tight: launch.tight,
-            needed: launch.needed,
-            room: launch.room,
-            keep: launch.batches.keep,
+            expected: batch_call.expected,
+            slowness: batch_call.slowness,
+            until: batch_call.until,
+            release_first: batch_call.release_first,
+            needed_bytes: batch_call.needed_bytes,
+            room: batch_call.room,
+            keep: batch_call.batches.keep,
         };
         // A runner that is listed no more has nothing to learn of.
-        if let Some(place) = place {
-            place.judge(&call, Instant::now());
+        if let Some(state) = state {
+            state.record_call(&call, Instant::now());
         }
     }
 
     /// Takes in what became of one piece; gives the outcome of the order if that ends it.
-    fn settle<D: Downstream>(
+    fn settle_piece<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        launch: &Launch,
+        batch_call: &BatchCall,
         (ticket, piece): (Ticket, u32),
         made: PieceOutcome,
     ) -> Option<Outcome> {
@@ -346,7 +362,13 @@
                 .map_or(0, |waiting| waiting.order.result);
             let bytes = self.inflation.apply(bytes);
             let wanted = self.waiting.contains_key(&ticket);
-            self.keep(&launch.runner.id, handle, bytes, launch.batches, wanted);
+            self.store_result(
+                &batch_call.runner.id,
+                handle,
+                bytes,
+                batch_call.batches,
+                wanted,
+            );
         }
         let waiting = self.waiting.get_mut(&ticket)?;
         match made {
@@ -364,7 +386,7 @@
             // One without room has not been worked on.
             PieceOutcome::Failed if !relay.may_repeat(service) => Some(Err(StageError::Failed)),
             PieceOutcome::NoRoom | PieceOutcome::Failed => {
-                waiting.todo.push(piece);
+                waiting.unsent.push(piece);
                 let waiting = self.waiting.get(&ticket)?;
                 let group = self.group(waiting, ticket, relay);
                 self.isolation.withdraw(ticket);
@@ -377,14 +399,27 @@
     }
 
     /// Counts a result at its runner; one that nobody waits for is released.
-    fn keep(&mut self, id: &RunnerId, handle: &Handle, bytes: u64, batches: Batches, wanted: bool) {
-        let Some(place) = self.places.iter_mut().find(|place| place.runner.id == *id) else {
+    fn store_result(
+        &mut self,
+        id: &RunnerId,
+        handle: &Handle,
+        bytes: u64,
+        batches: Batches,
+        wanted: bool,
+    ) {
+        let Some(state) = self
+            .runner_states
+            .iter_mut()
+            .find(|state| state.runner.id == *id)
+        else {
             return;
         };
         let until = Instant::now() + batches.keep;
-        place.results.insert(handle.clone(), Kept { bytes, until });
+        state
+            .results
+            .insert(handle.clone(), StoredResult { bytes, until });
         if !wanted {
-            place.released.push(handle.clone());
+            state.released.push(handle.clone());
         }
     }
 
@@ -392,37 +427,44 @@
     ///
     /// With the room of all runners taken there is nothing whose end would tell. Orders would wait
     /// until their callers give up, beside runners that have long had room again.
-    fn stuck_until(&self, now: Instant) -> Option<Instant> {
-        if self.places.iter().any(|place| !place.calls.is_empty()) {
+    fn stalled_until(&self, now: Instant) -> Option<Instant> {
+        if self
+            .runner_states
+            .iter()
+            .any(|state| !state.calls.is_empty())
+        {
             return None;
         }
-        let lapses = self.places.iter().flat_map(Place::lapses);
+        let expiries = self.runner_states.iter().flat_map(RunnerState::expiries);
         let orders = self.waiting.values().map(|waiting| waiting.order.last);
-        lapses.chain(orders).filter(|until| *until > now).min()
+        expiries.chain(orders).filter(|until| *until > now).min()
     }
 
     /// When something may change that no call or order tells; once for each such moment.
-    pub(super) fn next_wake(&mut self, started: Instant) -> Option<Instant> {
+    pub(super) fn next_wake_time(&mut self, started: Instant) -> Option<Instant> {
         let now = Instant::now();
-        let rests = self.places.iter().filter_map(|place| place.rests_until);
-        let rest = rests.filter(|until| *until > now).min();
-        let suspects = (!self.isolation.is_empty()).then(|| now + POLL);
+        let pauses = self
+            .runner_states
+            .iter()
+            .filter_map(|state| state.paused_until);
+        let pause = pauses.filter(|until| *until > now).min();
+        let suspects = (!self.isolation.is_empty()).then(|| now + SUSPECT_POLL_INTERVAL);
         let former = self.former.as_ref()?;
         if former.waiting() == 0 && suspects.is_none() {
             return None;
         }
         let at = now.saturating_duration_since(started);
         let moved = former.next(at).map(|moment| started + moment);
-        let stuck = self.stuck_until(now);
-        let wakes = rest.into_iter().chain(moved).chain(stuck);
+        let stuck = self.stalled_until(now);
+        let wakes = pause.into_iter().chain(moved).chain(stuck);
         let wake = wakes.chain(suspects).min()?;
         if self
-            .wakes
+            .next_wake
             .is_some_and(|planned| planned > now && planned <= wake)
         {
             return None;
         }
-        self.wakes = Some(wake);
+        self.next_wake = Some(wake);
         Some(wake)
     }
 }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -13,7 +13,7 @@
 use crate::quarantine;
 use crate::request::ContentId;
 use crate::runner::{Change, DomainId, Fleet, Runner};
-use crate::serve::RETRY_PART;
+use crate::serve::RETRY_TIME_DIVISOR;
 use crate::telemetry::Telemetry;
 use crate::warmup::Warmups;
 use decide::Map;
@@ -28,10 +28,10 @@
 use tokio_util::sync::CancellationToken;
 
 /// Part of the longest patience on a route below which a caller has tried before. One that was refused
-/// for want of capacity is told to let a [`RETRY_PART`] of its time pass; the bound lies midway
+/// for want of capacity is told to let a [`RETRY_TIME_DIVISOR`] of its time pass; the bound lies midway
 /// between what it has left then and the whole, since callers of one route differ in what they state
 /// from the start.
-const FIRST_LEAST: f64 = 1.0 - 0.5 / RETRY_PART as f64;
+const FIRST_LEAST: f64 = 1.0 - 0.5 / RETRY_TIME_DIVISOR as f64;
 
 /// Part of the process's memory that bodies of requests may take up, and bodies of answers as much.
 const BODIES_PART: usize = 4;
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -41,7 +41,7 @@
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
         let searched = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(bytes);
-        let end = last_end(&self.buffer, searched)?;
+        let end = end_of_last_event(&self.buffer, searched)?;
         let bytes = self.buffer.split_to(end).freeze();
         Some(Events {
             first: bytes.split(newline).find_map(id),
@@ -58,9 +58,9 @@
 }
 
 /// Position behind the last blank line, looking no further back than `from`.
-fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
-    (from..bytes.len()).rev().find_map(|place| {
-        let rest = &bytes[place..];
+fn end_of_last_event(bytes: &[u8], from: usize) -> Option<usize> {
+    (from..bytes.len()).rev().find_map(|position| {
+        let rest = &bytes[position..];
         let blank = if rest.starts_with(b"\n\n") {
             2
         } else if rest.starts_with(b"\n\r\n") {
@@ -68,7 +68,7 @@
         } else {
             return None;
         };
-        Some(place + blank)
+        Some(position + blank)
     })
 }
 
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -20,32 +20,32 @@
 use tokio::time::Instant;
 
 /// Times that the stages of a request are begun anew because a result was gone.
-const RESTARTS: u32 = 1;
+const MAX_RESTARTS: u32 = 1;
 /// Least time from the last stage to the first event that a request is given, whatever its prompt.
-const MODEL_LEAST: Duration = Duration::from_millis(60);
+const MIN_MODEL_TIME: Duration = Duration::from_millis(60);
 
 /// Bytes a second up to which it is worth waiting for a runner of the right failure domain. Links
 /// between failure domains are far dearer than those within; at this rate the results of a few
 /// megabytes wait for about a call.
-const CROSSING: f64 = 10e6;
+const CROSS_DOMAIN_BYTES_PER_SECOND: f64 = 10e6;
 
 /// Whether the pieces of a request are asked for the first time. Repeats are paid for from the
 /// budget that the whole fleet shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Round {
+pub enum StageRun {
     /// For the first time.
     First,
     /// Once more, since results were lost.
-    Again,
+    Repeat,
 }
 
 /// Stages beside a longer chain are begun when the chain needs this many times their own time at
 /// most, which leaves them half a call to wait.
-const JUST_IN_TIME: f64 = 1.5;
+const EARLY_START_FACTOR: f64 = 1.5;
 
 /// Times of its own call that the pieces of each stage are given to be on time: the rest of the call
 /// that a runner is busy with, the call itself, and one more for those that are ahead.
-const CALLS_LEAST: u32 = 3;
+const MIN_DUE_CALLS: u32 = 3;
 
 /// Results that a request holds at the runners that made them, and gives back in the end.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     }
 
     /// The results that one stage needs and no other.
-    fn only_for(&self, route: &Route, stage: usize) -> Vec<Results> {
+    fn exclusive_to(&self, route: &Route, stage: usize) -> Vec<Results> {
         let after = &route.stages[stage].after;
         let only = |before: usize| after.contains(&before) && route.followers(before).count() == 1;
         let stages = self.stages.iter().filter(|(before, ..)| only(*before));
@@ -102,20 +102,26 @@
 /// # Errors
 ///
 /// [`StageError`] if the pieces of one stage cannot be made.
-pub async fn run<D: Downstream>(job: &Job<D>, mut round: Round) -> Result<Inputs<D>, StageError> {
+pub async fn run<D: Downstream>(
+    job: &Job<D>,
+    mut stage_run: StageRun,
+) -> Result<Inputs<D>, StageError> {
     let mut restarts = 0;
     loop {
-        match run_once(job, round).await {
-            Err(StageError::InputGone) if restarts < RESTARTS => {
+        match run_once(job, stage_run).await {
+            Err(StageError::InputGone) if restarts < MAX_RESTARTS => {
                 restarts += 1;
-                round = Round::Again;
+                stage_run = StageRun::Repeat;
             }
             result => return result,
         }
     }
 }
 
-async fn run_once<D: Downstream>(job: &Job<D>, round: Round) -> Result<Inputs<D>, StageError> {
+async fn run_once<D: Downstream>(
+    job: &Job<D>,
+    stage_run: StageRun,
+) -> Result<Inputs<D>, StageError> {
     let stages = &job.route.stages;
     let mut inputs = Inputs::new(job.relay.clone());
     let mut made: Vec<Option<Vec<Handle>>> = (0..stages.len())
@@ -126,10 +132,19 @@
     loop {
         for stage in 0..stages.len() {
             let ready = |&before: &usize| made.get(before).is_none_or(Option::is_some);
-            if !begun[stage] && stages[stage].after.iter().all(ready) && !early(job, stage, &made) {
+            if !begun[stage]
+                && stages[stage].after.iter().all(ready)
+                && !starts_too_early(job, stage, &made)
+            {
                 begun[stage] = true;
-                let only = inputs.only_for(&job.route, stage);
-                running.push(make(job, stage, source(job, stage, &made), only, round));
+                let only = inputs.exclusive_to(&job.route, stage);
+                running.push(run_stage(
+                    job,
+                    stage,
+                    source(job, stage, &made),
+                    only,
+                    stage_run,
+                ));
             }
         }
         let Some((stage, cell, outcome)) = running.next().await else {
@@ -139,7 +154,7 @@
         job.relay.peers.hold(&cell, &handles, stages[stage].result);
         made[stage] = Some(handles.clone());
         inputs.stages.push((stage, Results { cell, handles }));
-        let used = |before: usize| is_used(&job.route, &made, before);
+        let used = |before: usize| is_consumed(&job.route, &made, before);
         inputs.release(used);
     }
     let leaves = job.route.leaves().filter_map(|stage| made[stage].clone());
@@ -149,17 +164,21 @@
 
 /// Whether a stage is better begun later: its results would lie at their runner until a longer
 /// chain of stages beside it is done, and take up room for results that long.
-fn early<D: Downstream>(job: &Job<D>, stage: usize, made: &[Option<Vec<Handle>>]) -> bool {
-    let own = (job.call_time(stage) + job.behind(stage)).mul_f64(JUST_IN_TIME);
+fn starts_too_early<D: Downstream>(
+    job: &Job<D>,
+    stage: usize,
+    made: &[Option<Vec<Handle>>],
+) -> bool {
+    let own = (job.call_time(stage) + job.min_time_after(stage)).mul_f64(EARLY_START_FACTOR);
     let left = (0..made.len()).filter(|&other| other != stage && made[other].is_none());
     let longest = left
-        .map(|other| job.call_time(other) + job.behind(other))
+        .map(|other| job.call_time(other) + job.min_time_after(other))
         .max();
     longest.is_some_and(|longest| longest > own)
 }
 
 /// Whether the results of a stage have served: other stages follow it, and those are made.
-fn is_used(route: &Route, made: &[Option<Vec<Handle>>], stage: usize) -> bool {
+fn is_consumed(route: &Route, made: &[Option<Vec<Handle>>], stage: usize) -> bool {
     let mut followers = route.followers(stage).peekable();
     followers.peek().is_some() && followers.all(|next| made[next].is_some())
 }
@@ -174,16 +193,19 @@
     Source::Inputs(handles.flatten().collect())
 }
 
-async fn make<D: Downstream>(
+async fn run_stage<D: Downstream>(
     job: &Job<D>,
     stage: usize,
     source: Source,
     inputs: Vec<Results>,
-    round: Round,
+    stage_run: StageRun,
 ) -> (usize, Cell, Outcome) {
     let spec = &job.route.stages[stage];
-    let (expected, expected_behind) = (job.waiting(stage), job.expected_behind(stage));
-    let (domain, patience) = place(job, stage, &source, expected + expected_behind);
+    let (expected, expected_time_after) = (
+        job.expected_stage_time(stage),
+        job.expected_time_after(stage),
+    );
+    let (domain, patience) = preferred_domain(job, stage, &source, expected + expected_time_after);
     let content = job.stage_content(stage);
     let cell = match job.relay.is_suspect(content) {
         true => job.relay.suspect_cell(&spec.service, content),
@@ -193,12 +215,12 @@
         Ok(trial) => trial,
         Err(held) => return (stage, cell, Err(held)),
     };
-    if round == Round::First {
+    if stage_run == StageRun::First {
         job.relay.count_first(&spec.service, job.pieces(stage));
     } else if !job.relay.may_repeat(&spec.service) {
         return (stage, cell, Err(StageError::Failed));
     }
-    let behind = job.behind(stage);
+    let min_time_after = job.min_time_after(stage);
     let order = Order {
         id: job.request.id.clone(),
         stage,
@@ -206,10 +228,10 @@
         source,
         inputs,
         result: spec.result,
-        due: stage_due(job, stage, expected_behind),
+        due: stage_due(job, stage, expected_time_after),
         last: job
             .deadline
-            .checked_sub(behind)
+            .checked_sub(min_time_after)
             .unwrap_or(job.request.arrived),
         rank: job.rank,
         domain,
@@ -233,13 +255,13 @@
 /// A prompt of tens of thousands of tokens takes longer than the aim of its route, whatever is done.
 /// Counted as late from the start, such requests would be the first to be given up in every burst,
 /// and hardly any of them would be served. They get about as much time here as the others.
-fn stage_due<D: Downstream>(job: &Job<D>, stage: usize, behind: Duration) -> Instant {
+fn stage_due<D: Downstream>(job: &Job<D>, stage: usize, min_time_after: Duration) -> Instant {
     let arrived = job.request.arrived;
-    let due = job.due.checked_sub(behind).unwrap_or(arrived);
+    let due = job.due.checked_sub(min_time_after).unwrap_or(arrived);
     if job.is_retry {
         return due;
     }
-    due.max(Instant::now() + job.call_time(stage) * CALLS_LEAST)
+    due.max(Instant::now() + job.call_time(stage) * MIN_DUE_CALLS)
 }
 
 /// Where the pieces of a stage are best made, and how long they wait for a runner there.
@@ -248,7 +270,7 @@
 /// inputs; one with large results belongs where the model will run. The wait is worth what would
 /// cross failure domains otherwise, as far as the request has time for it. All of that time may be
 /// offered: the pieces wait only if a runner there will be free within it.
-fn place<D: Downstream>(
+fn preferred_domain<D: Downstream>(
     job: &Job<D>,
     stage: usize,
     source: &Source,
@@ -260,10 +282,10 @@
     let fetched = fetched * u64::from(job.pieces(stage));
     let given = bytes(stage);
     let (domain, crossing) = match source {
-        Source::Inputs(handles) if fetched > given => (domain_of(job, handles), fetched),
-        _ => (attempt::likely_domain(job), given),
+        Source::Inputs(handles) if fetched > given => (majority_domain(job, handles), fetched),
+        _ => (attempt::likely_runner_domain(job), given),
     };
-    let worth = Duration::from_secs_f64(crossing as f64 / CROSSING);
+    let worth = Duration::from_secs_f64(crossing as f64 / CROSS_DOMAIN_BYTES_PER_SECOND);
     let left = job.due.saturating_duration_since(Instant::now());
     let patience = match left.checked_sub(expected) {
         Some(spare) => worth.min(spare),
@@ -274,7 +296,7 @@
 }
 
 /// Failure domain of the runners that hold most of some results.
-fn domain_of<D: Downstream>(job: &Job<D>, handles: &[Handle]) -> Option<DomainId> {
+fn majority_domain<D: Downstream>(job: &Job<D>, handles: &[Handle]) -> Option<DomainId> {
     let addresses = handles
         .iter()
         .filter_map(|handle| job.relay.downstream.holder(handle));
@@ -297,18 +319,18 @@
     }
 
     /// Least time from the end of a stage to the first event of the answer.
-    fn behind(&self, stage: usize) -> Duration {
+    fn min_time_after(&self, stage: usize) -> Duration {
         let next = self.route.followers(stage).filter(|&next| next > stage);
-        next.map(|next| self.call_time(next) + self.behind(next))
+        next.map(|next| self.call_time(next) + self.min_time_after(next))
             .max()
             .unwrap_or_else(|| self.model_time())
     }
 
     /// Expected time from the end of a stage to the first event of the answer, waits included.
-    fn expected_behind(&self, stage: usize) -> Duration {
+    fn expected_time_after(&self, stage: usize) -> Duration {
         let next = self.route.followers(stage).filter(|&next| next > stage);
         next.filter(|&next| self.pieces(next) > 0)
-            .map(|next| self.waiting(next) + self.expected_behind(next))
+            .map(|next| self.expected_stage_time(next) + self.expected_time_after(next))
             .max()
             .unwrap_or_else(|| self.model_time())
     }
@@ -330,20 +352,20 @@
             .prompt
             .as_ref()
             .map_or(0, |prompt| prompt.input);
-        MODEL_LEAST + Duration::from_secs_f64(affine::reading(tokens))
+        MIN_MODEL_TIME + Duration::from_secs_f64(affine::reading(tokens))
     }
 
     /// Expected time until the answer begins, with what waits now before the first stages.
     pub fn expected(&self) -> Duration {
         (0..self.route.stages.len())
             .filter(|&stage| self.route.stages[stage].after.is_empty() && self.pieces(stage) > 0)
-            .map(|stage| self.waiting(stage) + self.behind(stage))
+            .map(|stage| self.expected_stage_time(stage) + self.min_time_after(stage))
             .max()
             .unwrap_or_default()
     }
 
     /// Expected time until the pieces of a stage are made.
-    fn waiting(&self, stage: usize) -> Duration {
+    fn expected_stage_time(&self, stage: usize) -> Duration {
         let service = &self.route.stages[stage].service;
         let cell = self.relay.cell(service, None, Duration::ZERO);
         self.relay.peers.expected(&self.relay, &cell, self.rank)
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -423,7 +423,7 @@
         let news = relay.peers.news_for(cell, &owner);
         if owner.id == relay.options.member.id {
             if let Some(results) = news {
-                relay.batcher(cell).hold(relay, &results);
+                relay.batcher(cell).record_results(relay, &results);
             }
             return make_here(relay, cell, order).await;
         }
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -112,7 +112,7 @@
                 let telling = tables::answer(relay.clone(), sender.clone(), ticket, table, after);
                 tokio::spawn(telling);
             }
-            Frame::Held { cell, results } => relay.batcher(&cell).hold(relay, &results),
+            Frame::Held { cell, results } => relay.batcher(&cell).record_results(relay, &results),
             Frame::Release { results, spent } => {
                 let batcher = relay.batcher(&results.cell);
                 batcher.release(relay, &results.handles, spent);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -212,7 +212,7 @@
 
 /// Time after which a caller may come back that was refused for want of a configuration: about
 /// that of reading it.
-const NOT_READY: Duration = Duration::from_millis(300);
+const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(300);
 
 impl Refusal {
     /// Its status.
@@ -232,7 +232,7 @@
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::NotReady => Some(NOT_READY),
+            Self::NotReady => Some(RETRY_AFTER_NOT_READY),
             Self::Overloaded { retry_after, .. } | Self::Poison { retry_after } => {
                 Some(*retry_after)
             }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::batch::StageError;
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::graph::{self, Inputs, Round};
+use crate::graph::{self, Inputs, StageRun};
 use crate::plan::{Kind, Plan, Rank, Route, ServiceId, Workspace};
 use crate::quarantine;
 use crate::request::{self, Answer, ContentId, Refusal, Request};
@@ -17,11 +17,11 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Time after which a request may come back that failed for a reason which passes soon.
-const RETRY_SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER_TRANSIENT: Duration = Duration::from_millis(200);
 /// Part of the time that its caller has left after which a request may come back that was refused for
 /// want of capacity. Bursts last for seconds, and one that comes back sooner is refused once more;
 /// two thirds of the time are enough to be served.
-pub(crate) const RETRY_PART: u32 = 3;
+pub(crate) const RETRY_TIME_DIVISOR: u32 = 3;
 
 /// A request with all that was decided for it on arrival.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     pub async fn serve(self: &Arc<Self>, request: Request) -> Answer {
         let request = Arc::new(request);
         self.catch_up().await;
-        match self.plan_for(&request) {
+        match self.create_job(&request) {
             Err(refusal) => self.refuse(&request, None, &refusal),
             Ok(job) => {
                 let answer = self.run(&job).await;
@@ -67,7 +67,7 @@
     }
 
     /// Looks up what the configuration says of a request.
-    fn plan_for(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
+    fn create_job(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
         if !self.informed() || self.ending.is_cancelled() {
             return Err(Refusal::NotReady);
         }
@@ -105,7 +105,7 @@
     async fn run(self: &Arc<Self>, job: &Job<D>) -> Result<Answer, Refusal> {
         quarantine::admit(job)?;
         admit(job)?;
-        let inputs = self.make_inputs(job).await?;
+        let inputs = self.run_stages(job).await?;
         let answer = attempt::run(job, inputs).await?;
         let elapsed = job.request.arrived.elapsed();
         info!(self.log, "answered"; "request" => &*job.request.id, "route" => &job.route.name,
@@ -115,8 +115,8 @@
         Ok(answer)
     }
 
-    async fn make_inputs(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
-        let making = timeout_at(job.deadline, graph::run(job, Round::First));
+    async fn run_stages(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
+        let making = timeout_at(job.deadline, graph::run(job, StageRun::First));
         let made = tokio::select! {
             made = making => made,
             // Cut off with the process, the caller would not know that it has not run.
@@ -124,8 +124,8 @@
         };
         match made {
             Ok(Ok(inputs)) => Ok(inputs),
-            Ok(Err(spoiled)) => Err(overloaded(job, &spoiled)),
-            Err(_) => Err(overloaded(job, &StageError::Late)),
+            Ok(Err(spoiled)) => Err(stage_refusal(job, &spoiled)),
+            Err(_) => Err(stage_refusal(job, &StageError::Late)),
         }
     }
 
@@ -174,7 +174,7 @@
     }
     Err(Refusal::Overloaded {
         reason: "the stages cannot be done in time",
-        retry_after: retry_busy(job),
+        retry_after: retry_after_overload(job),
     })
 }
 
@@ -183,18 +183,18 @@
     format!("{content:016x}")
 }
 
-fn retry_busy<D: Downstream>(job: &Job<D>) -> Duration {
-    (job.remaining() / RETRY_PART).max(RETRY_SOON)
+fn retry_after_overload<D: Downstream>(job: &Job<D>) -> Duration {
+    (job.remaining() / RETRY_TIME_DIVISOR).max(RETRY_AFTER_TRANSIENT)
 }
 
 /// Nothing of the request itself has run when its stages fail.
-fn overloaded<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
+fn stage_refusal<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
     let (reason, retry_after) = match spoiled {
-        StageError::Late => ("the stages took too long", retry_busy(job)),
-        StageError::InputGone => ("results of stages were lost", RETRY_SOON),
-        StageError::Failed => ("runners of a stage failed", RETRY_SOON),
-        StageError::Ending => ("the process ends", RETRY_SOON),
-        StageError::NoRunner => ("a stage has no runner", retry_busy(job)),
+        StageError::Late => ("the stages took too long", retry_after_overload(job)),
+        StageError::InputGone => ("results of stages were lost", RETRY_AFTER_TRANSIENT),
+        StageError::Failed => ("runners of a stage failed", RETRY_AFTER_TRANSIENT),
+        StageError::Ending => ("the process ends", RETRY_AFTER_TRANSIENT),
+        StageError::NoRunner => ("a stage has no runner", retry_after_overload(job)),
         StageError::Poison => {
             let retry_after = quarantine::retry_after(job);
             return Refusal::Poison { retry_after };
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -3,7 +3,7 @@
 //! A runner may stop anywhere. Whole events are passed on as they come; where the route allows it,
 //! another runner goes on after the last one that was passed on.
 
-use crate::attempt::{self, Flight, Progress};
+use crate::attempt::{self, InFlightCall, Progress};
 use crate::downstream::{Downstream, Reply};
 use crate::event::{Events, Splitter};
 use crate::graph::Inputs;
@@ -22,13 +22,13 @@
 
 /// Silence after which a stream is taken for dead where another runner may go on, at least. Engines
 /// that are merely crowded make an event every few hundred milliseconds.
-const SILENCE_LEAST: Duration = Duration::from_millis(1_000);
+const MIN_SILENCE: Duration = Duration::from_millis(1_000);
 /// The same, as a multiple of the longest pause that is still on time.
 const SILENCE_GAPS: u32 = 3;
 /// Bytes that wait for one slow caller before its runner is read no further.
-const STREAM_BYTES: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 /// Time without reading after which a runner may break off a stream for want of a reader.
-const UNREAD: Duration = Duration::from_secs(1);
+const UNREAD_LIMIT: Duration = Duration::from_secs(1);
 
 type Part = Result<Bytes, IncompleteBody>;
 type Parts = mpsc::Sender<Part>;
@@ -36,17 +36,17 @@
 /// How a runner's stream ended.
 enum End {
     /// As it should.
-    Whole,
+    Complete,
     /// Before it was whole.
     Broken(String),
     /// The caller has left.
-    Left,
+    ClientGone,
     /// The request's time is over.
-    Late,
+    DeadlineExceeded,
 }
 
 /// A stream on its way to the caller.
-pub struct Passing<D: Downstream> {
+pub struct StreamForwarder<D: Downstream> {
     job: Job<D>,
     inputs: Inputs<D>,
     progress: Progress,
@@ -59,7 +59,7 @@
     events: u64,
 }
 
-impl<D: Downstream> Passing<D> {
+impl<D: Downstream> StreamForwarder<D> {
     /// Nothing has been passed on yet.
     pub fn new(job: Job<D>, inputs: Inputs<D>, progress: Progress, parts: Parts) -> Self {
         let last = job.request.resume_after;
@@ -68,7 +68,7 @@
             inputs,
             progress,
             parts,
-            memory: Memory::new(STREAM_BYTES),
+            memory: Memory::new(MAX_BUFFERED_BYTES),
             unread: false,
             last,
             events: 0,
@@ -76,18 +76,18 @@
     }
 
     /// Passes a runner's stream on, and those of the runners after it.
-    pub async fn run(mut self, flight: Flight<D>, body: D::Body) {
+    pub async fn run(mut self, flight: InFlightCall<D>, body: D::Body) {
         let (mut flight, mut body) = (flight, body);
         loop {
-            let end = self.pass(&mut flight, body).await;
+            let end = self.forward(&mut flight, body).await;
             self.log(&flight, &end);
             let elapsed = flight.sent.elapsed();
             let reason = match end {
-                End::Whole => return flight.answered(elapsed),
-                End::Left => return,
-                End::Late => {
+                End::Complete => return flight.answered(elapsed),
+                End::ClientGone => return,
+                End::DeadlineExceeded => {
                     drop(flight);
-                    return self.break_off("out of time").await;
+                    return self.abort("out of time").await;
                 }
                 End::Broken(reason) => reason,
             };
@@ -96,14 +96,14 @@
             } else {
                 flight.lost().await;
             }
-            let Some((next, reply)) = self.go_on().await else {
-                return self.break_off(&reason).await;
+            let Some((next, reply)) = self.resume().await else {
+                return self.abort(&reason).await;
             };
             (flight, body) = (next, reply.body);
         }
     }
 
-    async fn pass(&mut self, flight: &mut Flight<D>, mut body: D::Body) -> End {
+    async fn forward(&mut self, flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
         let mut splitter = Splitter::default();
         let mut silent_since = Instant::now();
         let mut is_noted = false;
@@ -112,26 +112,26 @@
             let part = tokio::select! {
                 biased;
                 part = body.next() => part,
-                () = self.parts.closed() => return End::Left,
-                () = sleep_until(self.job.deadline) => return End::Late,
+                () = self.parts.closed() => return End::ClientGone,
+                () = sleep_until(self.job.deadline) => return End::DeadlineExceeded,
                 () = sleep_until(silent_since + SILENCE), if !is_noted => {
                     is_noted = true;
-                    flight.waited();
+                    flight.record_overdue();
                     continue;
                 }
-                () = sleep_until(silent_since + self.patience()) => {
+                () = sleep_until(silent_since + self.silence_limit()) => {
                     return End::Broken(format!("silent at {}", flight.runner.id));
                 }
             };
             match part {
                 Some(Ok(bytes)) => {
-                    flight.observed();
-                    if let Some(end) = self.take(splitter.push(&bytes)).await {
+                    flight.record_activity();
+                    if let Some(end) = self.forward_events(splitter.push(&bytes)).await {
                         return end;
                     }
                 }
                 Some(Err(broken)) => return End::Broken(broken.reason),
-                None if splitter.rest().is_empty() => return End::Whole,
+                None if splitter.rest().is_empty() => return End::Complete,
                 None => return End::Broken("ended within an event".to_owned()),
             }
             // A pause of the caller is no silence of the runner.
@@ -140,9 +140,9 @@
         }
     }
 
-    async fn take(&mut self, events: Option<Events>) -> Option<End> {
+    async fn forward_events(&mut self, events: Option<Events>) -> Option<End> {
         let events = events?;
-        if events.first.is_some_and(|first| self.has(first)) {
+        if events.first.is_some_and(|first| self.was_sent(first)) {
             return Some(End::Broken("events that the caller has".to_owned()));
         }
         // The runner has fetched its inputs before it reads the prompt. Kept until the stream's end
@@ -151,18 +151,18 @@
         self.inputs.release(|_| true);
         self.events += 1;
         self.last = events.last.or(self.last);
-        let begun = Instant::now();
+        let response_started = Instant::now();
         let sent = tokio::select! {
             biased;
-            sent = self.pass_on(events.bytes) => sent,
-            () = sleep_until(self.job.deadline) => return Some(End::Late),
+            sent = self.send(events.bytes) => sent,
+            () = sleep_until(self.job.deadline) => return Some(End::DeadlineExceeded),
         };
-        self.unread |= begun.elapsed() >= UNREAD;
-        sent.is_err().then_some(End::Left)
+        self.unread |= response_started.elapsed() >= UNREAD_LIMIT;
+        sent.is_err().then_some(End::ClientGone)
     }
 
     /// Passes bytes on, once there is room for them beside what the caller has not read yet.
-    async fn pass_on(&self, bytes: Bytes) -> Result<(), SendError<Part>> {
+    async fn send(&self, bytes: Bytes) -> Result<(), SendError<Part>> {
         // A caller that keeps up holds nothing.
         if self.parts.capacity() == self.parts.max_capacity() {
             return self.parts.send(Ok(bytes)).await;
@@ -175,16 +175,16 @@
 
     /// Whether the caller has this event. Ids increase; a runner that overlooks after which one it
     /// should go on begins anew, and the caller would take text that it has for new.
-    fn has(&self, id: EventId) -> bool {
+    fn was_sent(&self, id: EventId) -> bool {
         self.last.is_some_and(|last| id <= last)
     }
 
     /// How long a silence is borne; for ever where no other runner may go on.
-    fn patience(&self) -> Duration {
+    fn silence_limit(&self) -> Duration {
         if !self.job.route.repeatable() {
             return self.job.route.timeout;
         }
-        let bearable = SILENCE_LEAST.max(self.job.route.gap * SILENCE_GAPS);
+        let bearable = MIN_SILENCE.max(self.job.route.gap * SILENCE_GAPS);
         if self.events == 0 {
             return bearable + self.job.model_time() * 2;
         }
@@ -192,12 +192,18 @@
     }
 
     /// Asks another runner to go on after the last event that was passed on.
-    async fn go_on(&mut self) -> Option<(Flight<D>, Reply<D::Body>)> {
+    async fn resume(&mut self) -> Option<(InFlightCall<D>, Reply<D::Body>)> {
         if !self.job.route.repeatable() {
             return None;
         }
-        let job = self.urgent();
-        let sent = attempt::send_anew(&job, &mut self.inputs, &mut self.progress, self.last).await;
+        let job = self.with_top_priority();
+        let sent = attempt::send_or_recompute_inputs(
+            &job,
+            &mut self.inputs,
+            &mut self.progress,
+            self.last,
+        )
+        .await;
         let (flight, reply) = sent.ok()?;
         if reply.proven && (200..300).contains(&reply.status) {
             return Some((flight, reply));
@@ -211,7 +217,7 @@
     ///
     /// Results that have to be made again count as late by when the request came. In a burst that is
     /// what is given up first, although one call more saves all that went into the stream.
-    fn urgent(&self) -> Job<D> {
+    fn with_top_priority(&self) -> Job<D> {
         let mut job = self.job.clone();
         if self.events > 0 {
             job.rank = FIRST_RANK;
@@ -222,7 +228,7 @@
 
     /// Ends the caller's connection without the mark of a whole answer. The caller may have left
     /// already, which is no matter.
-    async fn break_off(self, reason: &str) {
+    async fn abort(self, reason: &str) {
         info!(self.job.relay.log, "stream broken off"; "request" => &*self.job.request.id,
             "reason" => reason, "last_event" => self.last, "tried" => self.progress.tried.len(),
             "resumable" => self.job.route.repeatable(),
@@ -231,12 +237,12 @@
         let _ = self.parts.send(Err(IncompleteBody { reason })).await;
     }
 
-    fn log(&self, flight: &Flight<D>, end: &End) {
+    fn log(&self, flight: &InFlightCall<D>, end: &End) {
         let outcome = match end {
-            End::Whole => "whole",
+            End::Complete => "whole",
             End::Broken(reason) => reason,
-            End::Left => "caller left",
-            End::Late => "out of time",
+            End::ClientGone => "caller left",
+            End::DeadlineExceeded => "out of time",
         };
         info!(self.job.relay.log, "stream"; "request" => &*self.job.request.id,
             "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last,
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -29,7 +29,7 @@
     let address = runner(id, "stage").address;
     let result: Handle = format!("{address}/old").into();
     let batcher = relay.batcher(&cell());
-    batcher.hold(relay, &[(result.clone(), 900)]);
+    batcher.record_results(relay, &[(result.clone(), 900)]);
     batcher.release(relay, &[result], ReleaseKind::Over);
 }
 
