--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -145,17 +145,17 @@
     /// Those of the inputs that nothing else needs.
     pub inputs: Vec<Results>,
     /// Size of one result in bytes.
-    pub result: u64,
+    pub result_bytes: u64,
     /// Moment by which they must be made for the request to be on time.
     pub due: Instant,
     /// Moment after which they are of no use.
-    pub last: Instant,
+    pub expires_at: Instant,
     /// Urgency.
     pub rank: Rank,
     /// Failure domain where they are best made, as far as can be told.
     pub domain: Option<DomainId>,
     /// How long they wait for a runner of that domain.
-    pub patience: Duration,
+    pub max_domain_wait: Duration,
     /// What the request asks for of this stage.
     pub content: ContentId,
     /// Whether they are sent to a runner although the request is held back, to learn whether it still
--- a/crates/relay/src/batch/pending.rs
+++ b/crates/relay/src/batch/pending.rs
@@ -24,7 +24,7 @@
             id: self.order.id.clone(),
             stage: self.order.stage,
             piece,
-            remaining: self.order.last.saturating_duration_since(now),
+            remaining: self.order.expires_at.saturating_duration_since(now),
             source: self.order.source.clone(),
         }
     }
--- a/crates/relay/src/batch/select.rs
+++ b/crates/relay/src/batch/select.rs
@@ -98,7 +98,7 @@
         let bytes = |portion: &Portion| {
             let result = waiting
                 .get(&portion.ticket)
-                .map_or(0, |waiting| waiting.order.result);
+                .map_or(0, |waiting| waiting.order.result_bytes);
             result * u64::from(portion.pieces)
         };
         let needed_bytes: u64 = portions.iter().map(bytes).sum();
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -203,13 +203,13 @@
         Group {
             ticket,
             pieces: u32::try_from(waiting.unsent.len()).unwrap_or(u32::MAX),
-            result: self.inflation.apply(order.result),
+            result: self.inflation.apply(order.result_bytes),
             due: relay.at(order.due),
-            last: relay.at(order.last),
+            last: relay.at(order.expires_at),
             rank: order.rank,
             domain,
             since: relay.at(waiting.since),
-            patience: order.patience,
+            patience: order.max_domain_wait,
         }
     }
 
@@ -359,7 +359,7 @@
             let bytes = self
                 .waiting
                 .get(&ticket)
-                .map_or(0, |waiting| waiting.order.result);
+                .map_or(0, |waiting| waiting.order.result_bytes);
             let bytes = self.inflation.apply(bytes);
             let wanted = self.waiting.contains_key(&ticket);
             self.store_result(
@@ -436,7 +436,10 @@
             return None;
         }
         let expiries = self.runner_states.iter().flat_map(RunnerState::expiries);
-        let orders = self.waiting.values().map(|waiting| waiting.order.last);
+        let orders = self
+            .waiting
+            .values()
+            .map(|waiting| waiting.order.expires_at);
         expiries.chain(orders).filter(|until| *until > now).min()
     }
 
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -205,11 +205,14 @@
         job.expected_stage_time(stage),
         job.expected_time_after(stage),
     );
-    let (domain, patience) = preferred_domain(job, stage, &source, expected + expected_time_after);
+    let (domain, max_domain_wait) =
+        preferred_domain(job, stage, &source, expected + expected_time_after);
     let content = job.stage_content(stage);
     let cell = match job.relay.is_suspect(content) {
         true => job.relay.suspect_cell(&spec.service, content),
-        false => job.relay.cell(&spec.service, domain.as_deref(), patience),
+        false => job
+            .relay
+            .cell(&spec.service, domain.as_deref(), max_domain_wait),
     };
     let trial = match quarantine::begin_stage(job, stage) {
         Ok(trial) => trial,
@@ -227,15 +230,15 @@
         pieces: job.pieces(stage),
         source,
         inputs,
-        result: spec.result,
+        result_bytes: spec.result,
         due: stage_due(job, stage, expected_time_after),
-        last: job
+        expires_at: job
             .deadline
             .checked_sub(min_time_after)
             .unwrap_or(job.request.arrived),
         rank: job.rank,
         domain,
-        patience,
+        max_domain_wait,
         content,
         trial,
     };
@@ -244,7 +247,7 @@
     info!(job.relay.log, "stage"; "request" => &*job.request.id, "stage" => stage,
         "cell" => cell.name(), "owner" => &*job.relay.owner(&cell), "pieces" => job.pieces(stage),
         "expected_ms" => millis(expected), "domain" => wanted.as_deref(),
-        "patience_ms" => millis(patience), "content" => content_name(content), "trial" => trial,
+        "patience_ms" => millis(max_domain_wait), "content" => content_name(content), "trial" => trial,
         "took_ms" => millis(asked.elapsed()),
         "outcome" => outcome.as_ref().map_or_else(ToString::to_string, |_| "made".to_owned()));
     (stage, cell, outcome)
@@ -287,12 +290,12 @@
     };
     let worth = Duration::from_secs_f64(crossing as f64 / CROSS_DOMAIN_BYTES_PER_SECOND);
     let left = job.due.saturating_duration_since(Instant::now());
-    let patience = match left.checked_sub(expected) {
+    let max_domain_wait = match left.checked_sub(expected) {
         Some(spare) => worth.min(spare),
         // Late already: it has nothing more to lose by the wait.
         None => worth,
     };
-    (domain, patience)
+    (domain, max_domain_wait)
 }
 
 /// Failure domain of the runners that hold most of some results.
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -17,7 +17,7 @@
 
 fn patient(id: &str) -> Order {
     Order {
-        last: Instant::now() + Duration::from_secs(3),
+        expires_at: Instant::now() + Duration::from_secs(3),
         ..order(id, 1)
     }
 }
@@ -89,7 +89,7 @@
         .submit(
             &relay,
             Order {
-                last: Instant::now() + Duration::from_secs(20),
+                expires_at: Instant::now() + Duration::from_secs(20),
                 ..patient("a")
             },
         )
@@ -99,7 +99,7 @@
     sleep(Duration::from_secs(2)).await;
     let large = Order {
         pieces: 4,
-        result: 300,
+        result_bytes: 300,
         ..patient("b")
     };
     let made = batcher.submit(&relay, large).await;
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -21,7 +21,7 @@
     let patient = Instant::now() + Duration::from_secs(8);
     let order = Order {
         due: patient,
-        last: patient,
+        expires_at: patient,
         ..order(id, 4)
     };
     let outcome = relay.batcher(&cell()).submit(relay, order).await;
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -74,7 +74,7 @@
         *relay.downstream.deadly_piece.lock().expect("free") = Some(format!("poison-{number}"));
         let before = relay.downstream.carried().len();
         let deadly = Order {
-            last: Instant::now() + PAUSE / 2,
+            expires_at: Instant::now() + PAUSE / 2,
             ..order(&format!("poison-{number}"), 1)
         };
         let _ = relay.batcher(&cell()).submit(&relay, deadly).await;
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -68,7 +68,7 @@
         for number in 0..8 {
             let order = Order {
                 due: Instant::now() + Duration::from_secs(3),
-                result: SMALL,
+                result_bytes: SMALL,
                 ..order(&format!("burst-{number}"), 4)
             };
             let relay = relay.clone();
@@ -77,7 +77,7 @@
         sleep(Duration::from_millis(10)).await;
         let late = Order {
             due: Instant::now(),
-            result: SMALL,
+            result_bytes: SMALL,
             ..order("late", 1)
         };
         let begun = Instant::now();
@@ -160,7 +160,7 @@
     let relay = ready(fake.clone());
     let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
     let mut late = order("c", 1);
-    late.last = Instant::now() + Duration::from_millis(300);
+    late.expires_at = Instant::now() + Duration::from_millis(300);
     let outcome = submit(&relay, late).await;
     assert_eq!(outcome, Err(relay::batch::StageError::Late));
     for outcome in busy {
@@ -260,11 +260,11 @@
     }
     let begun = Instant::now();
     let hasty = Order {
-        last: begun + Duration::from_secs(1),
+        expires_at: begun + Duration::from_secs(1),
         ..order("hasty", 4)
     };
     let patient = Order {
-        last: begun + Duration::from_secs(8),
+        expires_at: begun + Duration::from_secs(8),
         ..order("patient", 4)
     };
     let (hasty, patient) = tokio::join!(submit(&relay, hasty), submit(&relay, patient));
