--- a/crates/relay/src/batch/form.rs
+++ b/crates/relay/src/batch/select.rs
@@ -1,7 +1,7 @@
 //! The next call of a cell: which pieces, and which runner makes them.
 
-use super::launch::Launch;
-use super::place::{Place, Room, free_places};
+use super::batch_call::BatchCall;
+use super::runner_state::{Room, RunnerState, available_runners};
 use super::state::State;
 use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
@@ -12,7 +12,7 @@
 
 /// The pieces of the next call.
 #[derive(Debug)]
-pub(super) struct Choosing {
+pub(super) struct Selection {
     /// Their runner's place.
     pub(super) index: usize,
     /// Room for their results there.
@@ -23,59 +23,60 @@
 
 impl State {
     /// The next call that can start now.
-    pub(super) fn launch<D: Downstream>(
+    pub(super) fn next_call<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
         batches: BatchSettings,
-    ) -> Option<Launch> {
+    ) -> Option<BatchCall> {
         let now = Instant::now();
         let at = relay.at(now);
-        self.set_apart(relay, at);
-        self.drop_useless(at, self.piece_time(&batches));
+        self.isolate_suspects(relay, at);
+        self.drop_expired(at, self.piece_time(&batches));
         let batch_queue = self.batch_queue.as_ref()?;
         let queue = self.piece_time(&batches) * batch_queue.waiting_pieces();
-        let places = free_places(&self.places, batches, queue, now);
-        let choice = match self.choose_suspects(relay, service, batches, &places) {
+        let runner_states = available_runners(&self.runner_states, batches, queue, now);
+        let choice = match self.select_suspects(relay, service, batches, &runner_states) {
             Some(choice) => choice,
-            None => self.choose(relay.started(), batches, &places)?,
+            None => self.select_pieces(relay.started(), batches, &runner_states)?,
         };
         Some(self.prepare(choice, batches, now))
     }
 
     /// The pieces of the next call, and the runner that makes them.
-    fn choose(
+    fn select_pieces(
         &mut self,
         started: Instant,
         batches: BatchSettings,
-        places: &[usize],
-    ) -> Option<Choosing> {
+        runner_states: &[usize],
+    ) -> Option<Selection> {
         let now = Instant::now();
         let at = now.saturating_duration_since(started);
-        if places.is_empty() || self.batch_queue.as_ref()?.waiting_pieces() == 0 {
+        if runner_states.is_empty() || self.batch_queue.as_ref()?.waiting_pieces() == 0 {
             return None;
         }
-        let free = |place: &Place| RunnerFreeTime {
-            domain: place.runner.domain.clone(),
-            at: place
+        let free = |state: &RunnerState| RunnerFreeTime {
+            domain: state.runner.domain.clone(),
+            at: state
                 .free_at(batches, now)
                 .saturating_duration_since(started),
         };
-        let free_times: Vec<RunnerFreeTime> = self.places.iter().map(free).collect();
+        let free_times: Vec<RunnerFreeTime> = self.runner_states.iter().map(free).collect();
         let batch_queue = self.batch_queue.as_mut()?;
         let tries = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
-        let mut tries = tries.flat_map(|need| places.iter().map(move |&index| (index, need)));
+        let mut tries =
+            tries.flat_map(|need| runner_states.iter().map(move |&index| (index, need)));
         tries.find_map(|(index, need)| {
-            let place = &mut self.places[index];
-            let room = place.room(batches, now);
+            let state = &mut self.runner_states[index];
+            let room = state.room(batches, now);
             let offer = FreeRunner {
                 room: room.free,
-                domain: &place.runner.domain,
+                domain: &state.runner.domain,
                 need,
                 free_times: &free_times,
             };
             let portions = batch_queue.take(at, &offer);
-            (!portions.is_empty()).then_some(Choosing {
+            (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
                 portions,
@@ -85,31 +86,31 @@
     }
 
     /// Binds chosen pieces to their runner.
-    fn prepare(&mut self, choice: Choosing, batches: BatchSettings, now: Instant) -> Launch {
-        let Choosing {
+    fn prepare(&mut self, choice: Selection, batches: BatchSettings, now: Instant) -> BatchCall {
+        let Selection {
             index,
             room,
             portions,
             isolated,
         } = choice;
-        let place = &mut self.places[index];
+        let state = &mut self.runner_states[index];
         let waiting = &self.waiting;
         let bytes = |portion: &Portion| {
             let result = waiting
                 .get(&portion.group_id)
-                .map_or(0, |waiting| waiting.order.result);
+                .map_or(0, |waiting| waiting.order.result_bytes);
             result * u64::from(portion.pieces)
         };
-        let needed: u64 = portions.iter().map(bytes).sum();
-        let tight = needed > room.unreleased || place.full;
-        let released = place.give_back(batches, needed);
-        let runner = place.runner.clone();
-        let slowness = place.slowness(now);
-        let launch = Launch {
+        let needed_bytes: u64 = portions.iter().map(bytes).sum();
+        let release_first = needed_bytes > room.unreleased || state.lacked_room;
+        let released = state.give_back(batches, needed_bytes);
+        let runner = state.runner.clone();
+        let slowness = state.slowness(now);
+        let batch_call = BatchCall {
             runner,
             slowness,
             released,
-            tight,
+            release_first,
             batches,
             portions: Vec::new(),
             items: Vec::new(),
@@ -117,34 +118,39 @@
             isolated,
             expected: Duration::ZERO,
             until: now,
-            needed,
+            needed_bytes,
             room: room.free,
         };
-        let launch = self.assemble(launch, &portions, now);
-        self.places[index].calls.push(launch.until);
-        launch
+        let batch_call = self.assemble(batch_call, &portions, now);
+        self.runner_states[index].calls.push(batch_call.until);
+        batch_call
     }
 
     /// Binds the pieces of a call to its runner.
-    fn assemble(&mut self, mut launch: Launch, portions: &[Portion], now: Instant) -> Launch {
+    fn assemble(
+        &mut self,
+        mut batch_call: BatchCall,
+        portions: &[Portion],
+        now: Instant,
+    ) -> BatchCall {
         for portion in portions {
             let Some(waiting) = self.waiting.get_mut(&portion.group_id) else {
                 continue;
             };
-            let at = waiting.todo.len().saturating_sub(portion.pieces as usize);
-            let mut pieces = waiting.todo.split_off(at);
+            let at = waiting.unsent.len().saturating_sub(portion.pieces as usize);
+            let mut pieces = waiting.unsent.split_off(at);
             pieces.reverse();
             let items = pieces.iter().map(|&piece| waiting.item(piece, now));
-            launch.items.extend(items);
-            launch.portions.push((portion.group_id, pieces));
-            if !launch.contents.contains(&waiting.order.content) {
-                launch.contents.push(waiting.order.content);
+            batch_call.items.extend(items);
+            batch_call.portions.push((portion.group_id, pieces));
+            if !batch_call.contents.contains(&waiting.order.content) {
+                batch_call.contents.push(waiting.order.content);
             }
         }
-        let count = u32::try_from(launch.items.len()).unwrap_or(u32::MAX);
-        let shape = launch.batches.shape;
-        launch.expected = shape.time(count).mul_f64(launch.slowness);
-        launch.until = now + launch.expected;
-        launch
+        let count = u32::try_from(batch_call.items.len()).unwrap_or(u32::MAX);
+        let shape = batch_call.batches.shape;
+        batch_call.expected = shape.time(count).mul_f64(batch_call.slowness);
+        batch_call.until = now + batch_call.expected;
+        batch_call
     }
 }
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -1,12 +1,12 @@
 //! Pieces under which runners of their stage have ended.
 
-use super::Spoiled;
-use super::form::Choosing;
-use super::launch::Launch;
+use super::StageError;
+use super::batch_call::BatchCall;
+use super::select::Selection;
 use super::state::State;
 use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
-use crate::downstream::{Downstream, Failure, Made, NotRun};
+use crate::downstream::{Downstream, Failure, NotRun, PieceOutcome};
 use crate::outage;
 use crate::request::ContentId;
 use decide::batch::{BatchQueue, CallCapacity, GroupId, Suspect};
@@ -17,26 +17,26 @@
 use tokio::time::Instant;
 
 /// Time between two checks whether suspects that wait may be sent to a runner.
-pub(super) const POLL: Duration = Duration::from_millis(50);
+pub(super) const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What is known of the content of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Belief {
+enum ContentStatus {
     /// Nothing speaks against it.
-    Innocent,
+    Clear,
     /// So many runners have ended under it.
     Suspect(u32),
     /// It is held back.
-    Held,
+    Quarantined,
 }
 
 /// Notes what the failure of a call says of its runner and of what it carried.
 ///
 /// Waits a moment for whether the runner has ended, so that the pieces do not go on among others to the
 /// next one.
-pub(super) async fn note_failure<D: Downstream>(
+pub(super) async fn record_failure<D: Downstream>(
     relay: &Arc<Relay<D>>,
-    launch: &Launch,
+    batch_call: &BatchCall,
     begun: Instant,
     failure: &Failure,
 ) {
@@ -44,57 +44,57 @@
         return;
     }
     let is_unreached = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
-    let is_silent = begun.elapsed() >= launch.patience();
+    let is_silent = begun.elapsed() >= batch_call.timeout();
     match failure {
         Failure::Lost { .. } => {
-            for content in &launch.contents {
-                relay.record_lost_answer(*content, &launch.runner, begun, launch.isolated);
+            for content in &batch_call.contents {
+                relay.record_lost_answer(*content, &batch_call.runner, begun, batch_call.isolated);
                 if is_silent {
-                    relay.record_overdue(*content, &launch.runner, begun);
+                    relay.record_overdue(*content, &batch_call.runner, begun);
                 }
             }
         }
         Failure::NotRun { reason } if is_unreached(reason) => {}
         Failure::NotRun { .. } => return,
     }
-    outage::probe_briefly(relay, &launch.runner).await;
+    outage::probe_briefly(relay, &batch_call.runner).await;
 }
 
 impl State {
     /// Moves the orders under which runners have ended out of the calls of the others, and those that have
     /// been cleared back; ends those that are held back.
-    pub(super) fn set_apart<D: Downstream>(&mut self, relay: &Relay<D>, at: Duration) {
+    pub(super) fn isolate_suspects<D: Downstream>(&mut self, relay: &Relay<D>, at: Duration) {
         if self.isolation.is_empty() && !relay.has_suspects() {
             return;
         }
-        for (group_id, belief) in self.beliefs(relay) {
-            match belief {
-                Belief::Innocent => self.rejoin(relay, group_id),
-                Belief::Suspect(crashes) => self.isolate(relay, group_id, crashes, at),
-                Belief::Held => self.end(group_id, Err(Spoiled::Poison)),
+        for (group_id, status) in self.content_statuses(relay) {
+            match status {
+                ContentStatus::Clear => self.rejoin(relay, group_id),
+                ContentStatus::Suspect(crashes) => self.isolate(relay, group_id, crashes, at),
+                ContentStatus::Quarantined => self.finish_order(group_id, Err(StageError::Poison)),
             }
         }
     }
 
     /// What is known of the orders that have pieces waiting.
-    fn beliefs<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, Belief)> {
+    fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, ContentStatus)> {
         let waiting = self.waiting.iter();
-        let waiting = waiting.filter(|(_, waiting)| !waiting.todo.is_empty());
+        let waiting = waiting.filter(|(_, waiting)| !waiting.unsent.is_empty());
         let now = relay.now();
         relay.suspects(|known| {
-            let belief = |content: ContentId, trial: bool| {
+            let status = |content: ContentId, trial: bool| {
                 let risk = known.risk(content, now);
                 let is_held = known.admission(content, 0, now) != Admission::Free;
                 match risk {
-                    _ if is_held && !trial => Belief::Held,
-                    0 => Belief::Innocent,
-                    risk => Belief::Suspect(risk),
+                    _ if is_held && !trial => ContentStatus::Quarantined,
+                    0 => ContentStatus::Clear,
+                    risk => ContentStatus::Suspect(risk),
                 }
             };
             waiting
                 .map(|(group_id, waiting)| {
                     let order = &waiting.order;
-                    (*group_id, belief(order.content, order.trial))
+                    (*group_id, status(order.content, order.trial))
                 })
                 .collect()
         })
@@ -141,13 +141,13 @@
     }
 
     /// The suspects of the next call, if some may be sent to one of these places now.
-    pub(super) fn choose_suspects<D: Downstream>(
+    pub(super) fn select_suspects<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
         batches: BatchSettings,
-        places: &[usize],
-    ) -> Option<Choosing> {
+        runner_states: &[usize],
+    ) -> Option<Selection> {
         if self.isolation.is_empty() {
             return None;
         }
@@ -155,23 +155,23 @@
         let standing = relay.standing(service);
         let may_run = |crashes: u32| standing.allows_attempt(crashes);
         for group_id in self.isolation.give_up(relay.at(now), may_run) {
-            self.give_up(relay, group_id, standing);
+            self.abandon(relay, group_id, standing);
         }
-        let runners = self.places.len();
+        let runners = self.runner_states.len();
         let (silent, absent) = (relay.silent(service), relay.absent(service));
-        let sound = |index: &&usize| {
-            let id = &self.places[**index].runner.id;
+        let healthy = |index: &&usize| {
+            let id = &self.runner_states[**index].runner.id;
             !silent.contains(id) && !absent.contains(id)
         };
-        let sound: Vec<usize> = places.iter().filter(sound).copied().collect();
-        sound.into_iter().find_map(|index| {
-            let room = self.places[index].room(batches, now);
+        let healthy: Vec<usize> = runner_states.iter().filter(healthy).copied().collect();
+        healthy.into_iter().find_map(|index| {
+            let room = self.runner_states[index].room(batches, now);
             let space = CallCapacity {
                 pieces: batches.shape.size,
                 room: room.free,
             };
             let portions = self.isolation.take(runners, space, may_run);
-            (!portions.is_empty()).then_some(Choosing {
+            (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
                 portions,
@@ -180,7 +180,7 @@
         })
     }
 
-    fn give_up<D: Downstream>(
+    fn abandon<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         group_id: GroupId,
@@ -191,19 +191,23 @@
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
-        self.end(group_id, Err(Spoiled::Poison));
+        self.finish_order(group_id, Err(StageError::Poison));
     }
 
     /// Learns from the end of a call which of its orders may share their next ones.
-    pub(super) fn note_call(&mut self, launch: &Launch, result: &Result<Vec<Made>, Failure>) {
-        if launch.isolated {
-            self.isolation.ended(&launch.contents);
+    pub(super) fn record_call_suspects(
+        &mut self,
+        batch_call: &BatchCall,
+        result: &Result<Vec<PieceOutcome>, Failure>,
+    ) {
+        if batch_call.isolated {
+            self.isolation.ended(&batch_call.contents);
         }
         if !matches!(result, Err(Failure::Lost { .. })) {
             return;
         }
-        let max_suspects = launch.contents.len().div_ceil(2);
-        for (group_id, _) in &launch.portions {
+        let max_suspects = batch_call.contents.len().div_ceil(2);
+        for (group_id, _) in &batch_call.portions {
             if let Some(waiting) = self.waiting.get_mut(group_id) {
                 waiting.max_suspects = max_suspects;
                 waiting.order.trial = false;
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/talk.rs
@@ -3,7 +3,7 @@
 use super::overlay::{self, Beat};
 use super::transfer::Part;
 use super::{Burdens, Line, News, board, transfer};
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, WaitEstimates};
 use crate::configuration::{Rank, ServiceId, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
@@ -64,7 +64,7 @@
         /// The results.
         results: Results,
         /// How far.
-        spent: Spent,
+        spent: ReleaseKind,
     },
     /// Results that the sender holds, for a process that has not formed the cell's calls before.
     Held {
@@ -78,7 +78,7 @@
         /// The cell.
         cell: Cell,
         /// Expected times until they are made.
-        waits: Waits,
+        waits: WaitEstimates,
     },
     /// Calls that the sender has at a service's runners.
     Burdens {
@@ -174,12 +174,12 @@
             pieces: order.pieces,
             source: order.source.clone(),
             inputs: order.inputs.clone(),
-            result: order.result,
+            result: order.result_bytes,
             due: order.due.saturating_duration_since(now),
-            last: order.last.saturating_duration_since(now),
+            last: order.expires_at.saturating_duration_since(now),
             rank: order.rank,
             domain: order.domain.clone(),
-            patience: order.patience,
+            patience: order.max_domain_wait,
             content: order.content,
             trial: order.trial,
         }
@@ -195,12 +195,12 @@
             pieces: self.pieces,
             source: self.source,
             inputs: self.inputs,
-            result: self.result,
+            result_bytes: self.result,
             due: now + self.due,
-            last: now + self.last,
+            expires_at: now + self.last,
             rank: self.rank,
             domain: self.domain,
-            patience: self.patience,
+            max_domain_wait: self.patience,
             content: self.content,
             trial: self.trial,
         }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,11 +1,11 @@
 //! One request from its arrival to its answer.
 
 use crate::attempt;
-use crate::batch::Spoiled;
+use crate::batch::StageError;
 use crate::configuration::{Configuration, Kind, Rank, Route, ServiceId, Workspace};
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::graph::{self, Inputs, Round};
+use crate::graph::{self, Inputs, StageRun};
 use crate::quarantine;
 use crate::request::{self, Answer, ContentId, Refusal, Request};
 use crate::telemetry::millis;
@@ -17,11 +17,11 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Time after which a request may come back that failed for a reason which passes soon.
-const RETRY_SOON: Duration = Duration::from_millis(200);
+const RETRY_AFTER_TRANSIENT: Duration = Duration::from_millis(200);
 /// Part of the time that its caller has left after which a request may come back that was refused for
 /// want of capacity. Bursts last for seconds, and one that comes back sooner is refused once more;
 /// two thirds of the time are enough to be served.
-pub(crate) const RETRY_PART: u32 = 3;
+pub(crate) const RETRY_TIME_DIVISOR: u32 = 3;
 
 /// A request with all that was decided for it on arrival.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
     /// Its urgency.
     pub rank: Rank,
     /// Whether its caller seems to have tried before.
-    pub comes_back: bool,
+    pub is_retry: bool,
     /// By when its answer, or its first event, is on time.
     pub due: Instant,
     /// When it is given up.
@@ -57,7 +57,7 @@
     pub async fn serve(self: &Arc<Self>, request: Request) -> Answer {
         let request = Arc::new(request);
         self.catch_up().await;
-        match self.plan_for(&request) {
+        match self.create_job(&request) {
             Err(refusal) => self.refuse(&request, None, &refusal),
             Ok(job) => {
                 let answer = self.run(&job).await;
@@ -67,7 +67,7 @@
     }
 
     /// Looks up what the configuration says of a request.
-    fn plan_for(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
+    fn create_job(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
         if !self.is_ready() || self.ending.is_cancelled() {
             return Err(Refusal::NotReady);
         }
@@ -83,7 +83,7 @@
         };
         let draw = foldhash::fast::FixedState::default().hash_one(&*request.id);
         let service = route.service(draw).ok_or(Refusal::NoRoute)?.clone();
-        let patience = request.patience.unwrap_or(route.timeout);
+        let patience = request.timeout.unwrap_or(route.timeout);
         let before = self.waited_before(&route.name, patience);
         let patience = patience.min(route.timeout);
         Ok(Job {
@@ -94,7 +94,7 @@
             content: request.content(workspace.as_deref().map(|workspace| &*workspace.name)),
             rank: configuration.rank(workspace.as_deref(), route),
             workspace,
-            comes_back: before > Duration::ZERO,
+            is_retry: before > Duration::ZERO,
             due: (request.arrived + route.target)
                 .checked_sub(before)
                 .unwrap_or(request.arrived),
@@ -107,7 +107,7 @@
     async fn run(self: &Arc<Self>, job: &Job<D>) -> Result<Answer, Refusal> {
         quarantine::admit(job)?;
         admit(job)?;
-        let inputs = self.make_inputs(job).await?;
+        let inputs = self.run_stages(job).await?;
         let answer = attempt::run(job, inputs).await?;
         let elapsed = job.request.arrived.elapsed();
         info!(self.log, "answered"; "request" => &*job.request.id, "route" => &job.route.name,
@@ -117,17 +117,17 @@
         Ok(answer)
     }
 
-    async fn make_inputs(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
-        let making = timeout_at(job.deadline, graph::run(job, Round::First));
+    async fn run_stages(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
+        let making = timeout_at(job.deadline, graph::run(job, StageRun::First));
         let made = tokio::select! {
             made = making => made,
             // Cut off with the process, the caller would not know that it has not run.
-            () = self.ending.cancelled() => Ok(Err(Spoiled::Ending)),
+            () = self.ending.cancelled() => Ok(Err(StageError::Ending)),
         };
         match made {
             Ok(Ok(inputs)) => Ok(inputs),
-            Ok(Err(spoiled)) => Err(overloaded(job, &spoiled)),
-            Err(_) => Err(overloaded(job, &Spoiled::Late)),
+            Ok(Err(spoiled)) => Err(stage_refusal(job, &spoiled)),
+            Err(_) => Err(stage_refusal(job, &StageError::Late)),
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     fn refuse(&self, request: &Request, job: Option<&Job<D>>, refusal: &Refusal) -> Answer {
-        let answer = Answer::own(refusal);
+        let answer = Answer::from_refusal(refusal);
         let version = job
             .map(|job| job.configuration.version)
             .or_else(|| Some(self.configuration()?.version));
@@ -161,13 +161,13 @@
 /// Refuses a request that cannot be served in time before anything is spent on it.
 fn admit<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let expected = job.expected();
-    let left = job.left();
+    let left = job.remaining();
     let admitted = expected <= left || job.relay.options.policy.admission == Policy::Naive;
     let on_time = job.due.saturating_duration_since(Instant::now());
     info!(job.relay.log, "admission"; "request" => &*job.request.id,
         "content" => content_name(job.content),
         "workspace" => job.workspace.as_ref().map(|workspace| workspace.name.to_string()),
-        "rank" => job.rank, "comes_back" => job.comes_back, "expected_ms" => millis(expected),
+        "rank" => job.rank, "comes_back" => job.is_retry, "expected_ms" => millis(expected),
         "left_ms" => millis(left),
         "on_time_ms" => millis(on_time), "configuration" => job.configuration.version,
         "runners_age_ms" => job.relay.runner_list_age().map(millis), "admitted" => admitted);
@@ -176,7 +176,7 @@
     }
     Err(Refusal::Overloaded {
         reason: "the stages cannot be done in time",
-        retry_after: retry_busy(job),
+        retry_after: retry_after_overload(job),
     })
 }
 
@@ -185,19 +185,19 @@
     format!("{content:016x}")
 }
 
-fn retry_busy<D: Downstream>(job: &Job<D>) -> Duration {
-    (job.left() / RETRY_PART).max(RETRY_SOON)
+fn retry_after_overload<D: Downstream>(job: &Job<D>) -> Duration {
+    (job.remaining() / RETRY_TIME_DIVISOR).max(RETRY_AFTER_TRANSIENT)
 }
 
 /// Nothing of the request itself has run when its stages fail.
-fn overloaded<D: Downstream>(job: &Job<D>, spoiled: &Spoiled) -> Refusal {
+fn stage_refusal<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
     let (reason, retry_after) = match spoiled {
-        Spoiled::Late => ("the stages took too long", retry_busy(job)),
-        Spoiled::InputGone => ("results of stages were lost", RETRY_SOON),
-        Spoiled::Failed => ("runners of a stage failed", RETRY_SOON),
-        Spoiled::Ending => ("the process ends", RETRY_SOON),
-        Spoiled::NoRunner => ("a stage has no runner", retry_busy(job)),
-        Spoiled::Poison => {
+        StageError::Late => ("the stages took too long", retry_after_overload(job)),
+        StageError::InputGone => ("results of stages were lost", RETRY_AFTER_TRANSIENT),
+        StageError::Failed => ("runners of a stage failed", RETRY_AFTER_TRANSIENT),
+        StageError::Ending => ("the process ends", RETRY_AFTER_TRANSIENT),
+        StageError::NoRunner => ("a stage has no runner", retry_after_overload(job)),
+        StageError::Poison => {
             let retry_after = quarantine::retry_after(job);
             return Refusal::Poison { retry_after };
         }
@@ -212,7 +212,7 @@
     /// Time that its caller still waits. A suspension counts for the caller, though not for the
     /// steady clock: a runner would be given time that nobody waits.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.relay.check_for_pause();
         let left = self.deadline.saturating_duration_since(Instant::now());
         left.saturating_sub(self.relay.pause.suspended() - self.suspended)
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::stage::{cell, order};
 use common::{Fake, body, ready, request, runner};
-use relay::batch::{Outcome, Spent};
+use relay::batch::{Outcome, ReleaseKind};
 use relay::downstream::Handle;
 use relay::request::Message;
 use relay::runner::Change;
@@ -29,8 +29,8 @@
     let address = runner(id, "stage").address;
     let result: Handle = format!("{address}/old").into();
     let batcher = relay.batcher(&cell());
-    batcher.hold(relay, &[(result.clone(), 900)]);
-    batcher.release(relay, &[result], Spent::Over);
+    batcher.record_results(relay, &[(result.clone(), 900)]);
+    batcher.release(relay, &[result], ReleaseKind::Over);
 }
 
 /// Submits four pieces for the only runner, which leaves while results are given back to make room for them; another
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -5,8 +5,8 @@
 use common::stage::{cell, order};
 use common::{Behavior, Fake, StreamEnd, body, inputs, ready, request, runner, with_policies};
 use relay::Relay;
-use relay::batch::{Order, Spent};
-use relay::downstream::{Failure, Handle, Made, NotRun};
+use relay::batch::{Order, ReleaseKind};
+use relay::downstream::{Failure, Handle, NotRun, PieceOutcome};
 use relay::runner::Change;
 use setting::Policy;
 use setting::relay::Policies;
@@ -76,7 +76,7 @@
         for number in 0..8 {
             let order = Order {
                 due: Instant::now() + Duration::from_secs(3),
-                result: SMALL,
+                result_bytes: SMALL,
                 ..order(&format!("burst-{number}"), 4)
             };
             let relay = relay.clone();
@@ -85,7 +85,7 @@
         sleep(Duration::from_millis(10)).await;
         let late = Order {
             due: Instant::now(),
-            result: SMALL,
+            result_bytes: SMALL,
             ..order("late", 1)
         };
         let begun = Instant::now();
@@ -171,9 +171,9 @@
     let relay = ready(fake.clone());
     let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
     let mut late = order("c", 1);
-    late.last = Instant::now() + Duration::from_millis(300);
+    late.expires_at = Instant::now() + Duration::from_millis(300);
     let outcome = submit(&relay, late).await;
-    assert_eq!(outcome, Err(relay::batch::Spoiled::Late));
+    assert_eq!(outcome, Err(relay::batch::StageError::Late));
     for outcome in busy {
         assert!(outcome.await.is_ok());
     }
@@ -186,7 +186,7 @@
 #[tokio::test(start_paused = true)]
 async fn results_of_another_owner() {
     let fake = Fake::default();
-    let no_room = || Ok(vec![Made::NoRoom]);
+    let no_room = || Ok(vec![PieceOutcome::NoRoom]);
     fake.stage_behaviors
         .lock()
         .expect("free")
@@ -199,7 +199,9 @@
         .iter()
         .map(|runner| format!("{}/old", runner.address).into())
         .collect();
-    relay.batcher(&cell()).release(&relay, &old, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &old, ReleaseKind::Over);
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
     let released = fake.released.lock().expect("free").clone();
@@ -214,7 +216,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
-    let no_room = Ok(vec![Made::NoRoom, Made::NoRoom]);
+    let no_room = Ok(vec![PieceOutcome::NoRoom, PieceOutcome::NoRoom]);
     fake.stage_behaviors
         .lock()
         .expect("free")
@@ -249,7 +251,9 @@
     for id in ["a", "b", "c", "d"] {
         made.extend(submit(&relay, order(id, 4)).await.expect("made"));
     }
-    relay.batcher(&cell()).release(&relay, &made, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &made, ReleaseKind::Over);
     for id in ["e", "f", "g", "h"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
@@ -270,11 +274,11 @@
     }
     let begun = Instant::now();
     let hasty = Order {
-        last: begun + Duration::from_secs(1),
+        expires_at: begun + Duration::from_secs(1),
         ..order("hasty", 4)
     };
     let patient = Order {
-        last: begun + Duration::from_secs(8),
+        expires_at: begun + Duration::from_secs(8),
         ..order("patient", 4)
     };
     let (hasty, patient) = tokio::join!(submit(&relay, hasty), submit(&relay, patient));
@@ -287,7 +291,7 @@
 #[tokio::test(start_paused = true)]
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
-    let gone = || Ok(vec![Made::InputGone]);
+    let gone = || Ok(vec![PieceOutcome::InputGone]);
     fake.stage_behaviors
         .lock()
         .expect("free")
@@ -295,7 +299,7 @@
     let relay = ready(fake.clone());
     for _ in 0..4 {
         let outcome = submit(&relay, order("a", 1)).await;
-        assert_eq!(outcome, Err(relay::batch::Spoiled::InputGone));
+        assert_eq!(outcome, Err(relay::batch::StageError::InputGone));
     }
     for id in ["b", "c", "d", "e"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
