--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -395,7 +395,7 @@
         let cost = |share: &&Share| {
             let away = domain.is_some() && !near(share);
             let wait = if away { patience } else { Duration::ZERO };
-            self.peers.expected(self, &share.cell, LAST_RANK) + wait
+            self.peers.expected_wait(self, &share.cell, LAST_RANK) + wait
         };
         // Two drawn at random, not the best of all: many processes that go by the same news would
         // all go to the same cell. One near the wanted domain is among them, if there is one.
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -3,7 +3,7 @@
 mod budget;
 mod follower;
 
-pub use budget::Budget;
+pub use budget::StalenessBudget;
 pub(crate) use follower::{Follower, Pace};
 
 use crate::core::Relay;
@@ -45,12 +45,12 @@
 /// A row that holds nothing usable.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("unreadable: {reason}"))]
-pub struct Unreadable {
+pub struct InvalidRow {
     /// What is wrong with it.
     pub reason: String,
 }
 
-impl Unreadable {
+impl InvalidRow {
     /// Unreadable because of an error.
     pub fn from_error(error: &impl StdError) -> Self {
         Self {
@@ -60,7 +60,7 @@
 }
 
 /// Where configuration and runners are found.
-pub trait Source: Feed {
+pub trait TableSource: Feed {
     /// Table that the operator writes: the configuration, and which failure domains are drained.
     const PLANS: &'static str;
     /// Table of the runners.
@@ -68,26 +68,26 @@
 
     /// The failure domain that is drained as long as the operator's table has a row of this key; `None`
     /// if the row says something else.
-    fn drained(key: &str) -> Option<DomainId>;
+    fn drained_domain(key: &str) -> Option<DomainId>;
 
     /// Reads a row of the operator's table as a configuration; `None` if the row is something else.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`].
-    fn plan(key: &str, value: &serde_json::Value) -> Result<Option<Plan>, Unreadable>;
+    /// [`InvalidRow`].
+    fn parse_plan(key: &str, value: &serde_json::Value) -> Result<Option<Plan>, InvalidRow>;
 
     /// Reads a row of the table of the runners.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`].
-    fn runner(key: &str, value: &serde_json::Value) -> Result<Runner, Unreadable>;
+    /// [`InvalidRow`].
+    fn parse_runner(key: &str, value: &serde_json::Value) -> Result<Runner, InvalidRow>;
 }
 
 /// Follows the tables of the operator and of the runners until the task is dropped, once it is known
 /// which other processes there are to ask.
-pub async fn tables<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn tables<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     relay.peers.listed(LIST_WAIT).await;
     check_budget(&relay);
     let plans = plans(relay.clone(), source.clone());
@@ -98,16 +98,19 @@
 fn check_budget<D: Downstream>(relay: &Relay<D>) {
     let (is_shared, levels) = relay
         .peers
-        .members(|members| (members.share_tables(), members.tree.levels()));
-    let (bound, budget) = (relay.options.drain, Budget::new(relay.options.drain));
+        .members(|members| (members.shares_tables(), members.tree.levels()));
+    let (bound, budget) = (
+        relay.options.drain,
+        StalenessBudget::new(relay.options.drain),
+    );
     if is_shared && !budget.allows(PACE.shared, levels) {
         warn!(relay.log, "bound on work for leaving runners may be missed"; "bound_ms" => millis(bound),
-            "longest_ms" => millis(budget.longest(levels)), "levels" => levels);
+            "longest_ms" => millis(budget.max_delay(levels)), "levels" => levels);
     }
 }
 
 /// Follows what the operator writes until the task is dropped.
-pub async fn plans<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn plans<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     // Configurations are fetched from peers, in parts.
     let mut follower = Follower::new(&relay, source, S::PLANS, PACE).withholding();
     // As this table tells by itself: what peers have told may be newer, and changes to it older.
@@ -130,7 +133,7 @@
         relay.drain(&kept.with(&drains), follower.origin());
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
-            match S::plan(&change.key, value) {
+            match S::parse_plan(&change.key, value) {
                 Ok(Some(mut plan)) => {
                     plan.revision = change.revision;
                     adopt(&relay, plan, follower.origin());
@@ -166,7 +169,7 @@
     }
 
     /// Takes in what has been written since, unless it is the copy itself.
-    fn take<S: Source>(&mut self, changes: &Changes, copy: bool) {
+    fn take<S: TableSource>(&mut self, changes: &Changes, copy: bool) {
         if self.until.is_some_and(|until| until <= Instant::now()) {
             self.domains.clear();
             self.until = None;
@@ -176,7 +179,7 @@
             for domain in changes
                 .rows
                 .iter()
-                .filter_map(|change| S::drained(&change.key))
+                .filter_map(|change| S::drained_domain(&change.key))
             {
                 self.domains.remove(&domain);
             }
@@ -192,10 +195,10 @@
     }
 }
 
-fn drain<S: Source>(drains: &mut Drains, changes: &Changes) {
+fn drain<S: TableSource>(drains: &mut Drains, changes: &Changes) {
     drains.revision = drains.revision.max(changes.revision);
     for change in &changes.rows {
-        let Some(domain) = S::drained(&change.key) else {
+        let Some(domain) = S::drained_domain(&change.key) else {
             continue;
         };
         if change.value.is_some() {
@@ -215,7 +218,7 @@
 }
 
 /// Follows the list of runners until the task is dropped.
-pub async fn runners<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn runners<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     let mut follower = Follower::new(&relay, source, S::RUNNERS, PACE);
     let mut deferred = Deferred::default();
     loop {
@@ -309,13 +312,13 @@
     }
 }
 
-fn read<D: Downstream, S: Source>(relay: &Relay<D>, changes: &Changes) -> Vec<Change> {
+fn read<D: Downstream, S: TableSource>(relay: &Relay<D>, changes: &Changes) -> Vec<Change> {
     let read_one = |change: &store::Change| {
         let gone = || Change::Gone(change.key.as_str().into());
         let Some(value) = &change.value else {
             return gone();
         };
-        S::runner(&change.key, value).map_or_else(
+        S::parse_runner(&change.key, value).map_or_else(
             |error| {
                 warn!(relay.log, "entry of a runner unreadable, it gets no work";
                     "runner" => &change.key, "error" => %error);
--- a/crates/relay/src/follow/budget.rs
+++ b/crates/relay/src/follow/budget.rs
@@ -21,19 +21,19 @@
 /// # Examples
 ///
 /// ```
-/// use relay::follow::Budget;
+/// use relay::follow::StalenessBudget;
 /// use std::time::Duration;
 ///
-/// let budget = Budget::new(Duration::from_secs(5));
-/// assert!(budget.excess(2).is_zero());
-/// assert!(budget.longest(2) <= Duration::from_secs(5));
+/// let budget = StalenessBudget::new(Duration::from_secs(5));
+/// assert!(budget.trust_reduction(2).is_zero());
+/// assert!(budget.max_delay(2) <= Duration::from_secs(5));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct StalenessBudget {
     bound: Duration,
 }
 
-impl Budget {
+impl StalenessBudget {
     /// The budget for a bound.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
@@ -43,7 +43,7 @@
     /// Time by which others are relied on for less than usual, where the process that is farthest away is so
     /// many steps from the tables.
     #[must_use]
-    pub fn excess(self, levels: u32) -> Duration {
+    pub fn trust_reduction(self, levels: u32) -> Duration {
         let sum = TRUST + STEP * levels + READ + DELAY + WRITE;
         sum.saturating_sub(self.bound).min(TRUST)
     }
@@ -51,13 +51,13 @@
     /// Longest time until a process that far away sends nothing more to a runner that leaves, if what tells it
     /// so falls silent in that moment.
     #[must_use]
-    pub fn longest(self, levels: u32) -> Duration {
-        TRUST + STEP * levels + READ + DELAY + WRITE - self.excess(levels)
+    pub fn max_delay(self, levels: u32) -> Duration {
+        TRUST + STEP * levels + READ + DELAY + WRITE - self.trust_reduction(levels)
     }
 
     /// Whether knowledge that is told in time, each `period`, is young enough to be relied on.
     #[must_use]
     pub fn allows(self, period: Duration, levels: u32) -> bool {
-        TRUST - self.excess(levels) > period
+        TRUST - self.trust_reduction(levels) > period
     }
 }
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -1,11 +1,11 @@
 //! Asks for the changes of one table, over outages and gaps in its history.
 
-use super::Source;
-use super::budget::{Budget, STEP};
+use super::TableSource;
+use super::budget::{STEP, StalenessBudget};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::member::{self, Member, MemberId};
-use crate::peer::News;
+use crate::peer::TableUpdate;
 use crate::peer::tables::{Read, Table};
 use crate::telemetry::millis;
 use protocol::reader::{Reader, Take, Told};
@@ -93,7 +93,7 @@
     withheld: Option<(RowRevision, Instant)>,
 }
 
-impl<S: Source> Follower<S> {
+impl<S: TableSource> Follower<S> {
     pub(crate) fn new<D: Downstream>(
         relay: &Relay<D>,
         source: S,
@@ -212,8 +212,8 @@
             let teller = members.upstream()?;
             Some((teller, members.tree.depth(), members.tree.levels()))
         })?;
-        let excess = Budget::new(relay.options.drain).excess(levels);
-        let until = self.reader.trusts_until()?.saturating_sub(excess) + STEP * depth;
+        let trust_reduction = StalenessBudget::new(relay.options.drain).trust_reduction(levels);
+        let until = self.reader.trusts_until()?.saturating_sub(trust_reduction) + STEP * depth;
         let until = relay.started() + until.saturating_sub(self.older);
         let asked = Instant::now();
         if until <= asked {
@@ -300,7 +300,7 @@
     fn take<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        news: News,
+        news: TableUpdate,
         after: RowRevision,
         asked: Duration,
     ) -> Option<Changes> {
@@ -491,5 +491,5 @@
 
 /// Whether a few processes read the tables for all.
 fn shared<D: Downstream>(relay: &Relay<D>) -> bool {
-    relay.peers.members(|members| members.share_tables())
+    relay.peers.members(|members| members.shares_tables())
 }
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -136,7 +136,9 @@
             break;
         };
         let handles = outcome?;
-        job.relay.peers.hold(&cell, &handles, stages[stage].result);
+        job.relay
+            .peers
+            .record_results(&cell, &handles, stages[stage].result);
         made[stage] = Some(handles.clone());
         inputs.stages.push((stage, Results { cell, handles }));
         let used = |before: usize| is_used(&job.route, &made, before);
@@ -218,7 +220,7 @@
         trial,
     };
     let (asked, wanted) = (Instant::now(), order.domain.clone());
-    let outcome = peer::make(&job.relay, &cell, order).await;
+    let outcome = peer::execute_order(&job.relay, &cell, order).await;
     info!(job.relay.log, "stage"; "request" => &*job.request.id, "stage" => stage,
         "cell" => cell.name(), "owner" => &*job.relay.owner(&cell), "pieces" => job.pieces(stage),
         "expected_ms" => millis(expected), "domain" => wanted.as_deref(),
@@ -346,6 +348,8 @@
     fn waiting(&self, stage: usize) -> Duration {
         let service = &self.route.stages[stage].service;
         let cell = self.relay.cell(service, None, Duration::ZERO);
-        self.relay.peers.expected(&self.relay, &cell, self.rank)
+        self.relay
+            .peers
+            .expected_wait(&self.relay, &cell, self.rank)
     }
 }
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -7,7 +7,7 @@
 
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::follow::{Follower, Pace, Source};
+use crate::follow::{Follower, Pace, TableSource};
 use crate::quarantine;
 use crate::runner::DomainId;
 use crate::telemetry::millis;
@@ -150,17 +150,17 @@
     }
 
     /// A process said that it stops; it does no more work for others until it starts anew.
-    pub fn left(&mut self, id: MemberId, incarnation: u64) {
+    pub fn mark_left(&mut self, id: MemberId, incarnation: u64) {
         self.left.insert(id, incarnation);
     }
 
     /// All rows that there were have been taken in.
-    pub fn listed(&mut self) {
+    pub fn mark_listed(&mut self) {
         self.listed = true;
     }
 
     /// The own process stops and takes no more work from the others.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The own row is in the table as of now, and a revision.
-    pub fn enlisted(&mut self, now: Duration, revision: RowRevision) {
+    pub fn mark_registered(&mut self, now: Duration, revision: RowRevision) {
         self.tree.put(&self.own, revision);
         self.roster.enlisted(now);
     }
@@ -202,14 +202,14 @@
 
     /// Whether there are so many processes that a few read the tables for all.
     #[must_use]
-    pub fn share_tables(&self) -> bool {
+    pub fn shares_tables(&self) -> bool {
         self.count().is_some_and(|count| count >= SHARED_FROM)
     }
 
     /// The process that tells this one what is new in the platform's tables; none if it reads them.
     #[must_use]
     pub fn upstream(&mut self) -> Option<Member> {
-        self.share_tables().then_some(())?;
+        self.shares_tables().then_some(())?;
         let upstreams = self.tree.upstreams();
         upstreams.iter().find_map(|id| self.can_ask(id))
     }
@@ -218,7 +218,7 @@
     /// one of many, so that those which start together don't ask the same one.
     #[must_use]
     pub fn helper(&self, draw: u32) -> Option<Member> {
-        self.share_tables().then_some(())?;
+        self.shares_tables().then_some(())?;
         self.tree.helper(draw, |id| self.can_ask(id))
     }
 
@@ -239,7 +239,7 @@
     /// The place of this process in the order in which the processes that can be reached take over a
     /// piece of work from one another.
     #[must_use]
-    pub fn order(&self, work: &str) -> u32 {
+    pub fn takeover_rank(&self, work: &str) -> u32 {
         let own = rank(work, &self.own.id);
         let before = self.reachable().filter(|member| {
             let other = rank(work, &member.id);
@@ -307,7 +307,7 @@
 
 /// Writes the own row, however long the table service is away, and again whenever the service has come
 /// back from a copy that may not have it.
-pub async fn enlist<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
+pub async fn register<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
     let begun = Instant::now();
     relay.peers.members_read(LIST_WAIT).await;
     let mut member = relay.options.member.clone();
@@ -318,7 +318,7 @@
     };
     info!(relay.log, "enlisted"; "after_ms" => millis(begun.elapsed()), "settled" => is_settled);
     relay.peers.members(|members| {
-        members.enlisted(relay.now(), revision);
+        members.mark_registered(relay.now(), revision);
         if is_settled {
             members.roster.settle();
         }
@@ -333,7 +333,7 @@
         if let Some(revision) = write(&relay, &table, &member).await {
             relay
                 .peers
-                .members(|members| members.enlisted(relay.now(), revision));
+                .members(|members| members.mark_registered(relay.now(), revision));
             info!(relay.log, "own row written again");
         }
     }
@@ -383,7 +383,7 @@
 }
 
 /// Follows the rows of the other processes until the task is dropped.
-pub async fn follow<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn follow<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     let mut follower = Follower::new(&relay, source, TABLE, PACE);
     let mut is_first = true;
     loop {
@@ -407,11 +407,11 @@
                 take(&relay, members, &change);
             }
             members.clock = members.clock.or(changes.clock);
-            members.listed();
+            members.mark_listed();
             members.roster.read(follower.current());
         });
         relay.peers.note_read();
-        let is_alone = !relay.peers.members(|members| members.share_tables());
+        let is_alone = !relay.peers.members(|members| members.shares_tables());
         if std::mem::take(&mut is_first) && is_alone && relay.options.first_start {
             // Many may be about to start together. Once the own row is there, so are those that were
             // written before it.
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -9,10 +9,10 @@
 mod transfer;
 
 pub use board::{Board, Burdens, exchange_burdens};
-pub use overlay::{Beat, keep};
+pub use overlay::{StateDigest, maintain_links};
 pub use serving::serve;
-pub use tables::News;
-pub use talk::{Frame, Sheet};
+pub use tables::TableUpdate;
+pub use talk::{Frame, WireOrder};
 pub use transfer::Part;
 
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
@@ -96,11 +96,11 @@
 }
 
 /// The link to one process; whoever finds none opens it while the others wait.
-type Slot = tokio::sync::Mutex<Option<Arc<Line>>>;
+type Slot = tokio::sync::Mutex<Option<Arc<PeerLink>>>;
 
 /// A link with the orders that wait for their outcome on it.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct PeerLink {
     incarnation: u64,
     sender: Sender<Frame>,
     pending: Mutex<Pending>,
@@ -114,7 +114,7 @@
     beaten: Option<Instant>,
     waiting: Map<u64, oneshot::Sender<Outcome>>,
     /// Questions for news of a table.
-    news: Map<u64, oneshot::Sender<Option<News>>>,
+    news: Map<u64, oneshot::Sender<Option<TableUpdate>>>,
 }
 
 impl Pending {
@@ -196,8 +196,8 @@
     /// Tells all linked processes that this one stops, and that its work is for the next one.
     ///
     /// Others would go on to send it orders until it is gone, and lose them with it.
-    pub fn leave(&self, own: &Member) {
-        lock(&self.members).leave();
+    pub fn announce_leaving(&self, own: &Member) {
+        lock(&self.members).mark_leaving();
         let leaving = Frame::Leaving {
             id: own.id.clone(),
             incarnation: own.incarnation,
@@ -206,7 +206,7 @@
     }
 
     /// Waits until the orders of other processes have been carried out.
-    pub async fn finish(&self) {
+    pub async fn finish_orders(&self) {
         self.orders.close();
         self.orders.wait().await;
     }
@@ -258,7 +258,12 @@
     }
 
     /// Expected time until pieces of this rank that come now are made in a cell.
-    pub fn expected<D: Downstream>(&self, relay: &Relay<D>, cell: &Cell, rank: Rank) -> Duration {
+    pub fn expected_wait<D: Downstream>(
+        &self,
+        relay: &Relay<D>,
+        cell: &Cell,
+        rank: Rank,
+    ) -> Duration {
         let batches = relay.batches(&cell.service);
         let Some(batches) = batches else {
             return Duration::ZERO;
@@ -280,7 +285,7 @@
     }
 
     /// Notes results of a cell that a request holds now, each of this size.
-    pub fn hold(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
+    pub fn record_results(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
         let mut held = lock(&self.held);
         let results = &mut held.entry(cell.clone()).or_default().results;
         results.extend(handles.iter().map(|handle| (handle.clone(), bytes)));
@@ -322,7 +327,7 @@
         &self,
         relay: &Arc<Relay<D>>,
         member: &Member,
-    ) -> Option<Arc<Line>> {
+    ) -> Option<Arc<PeerLink>> {
         let slot = lock(&self.slots)
             .entry(member.id.clone())
             .or_default()
@@ -338,7 +343,7 @@
         let linked = timeout(CONNECT, wire::connect(member.address, &self.key)).await;
         match linked {
             Ok(Ok((sender, receiver))) => {
-                let open = Arc::new(Line::new(member.incarnation, sender));
+                let open = Arc::new(PeerLink::new(member.incarnation, sender));
                 talk::start(relay.clone(), open.clone(), receiver);
                 *line = Some(open.clone());
                 Some(open)
@@ -355,7 +360,7 @@
     }
 }
 
-impl Line {
+impl PeerLink {
     fn new(incarnation: u64, sender: Sender<Frame>) -> Self {
         let pending = Pending {
             next: 0,
@@ -386,7 +391,7 @@
 /// An order that waits on a link. One that is dropped is withdrawn, so that no runner works for a
 /// caller that has left.
 struct Waiting {
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     ticket: u64,
 }
 
@@ -412,7 +417,11 @@
 /// # Errors
 ///
 /// [`Spoiled`].
-pub async fn make<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
+pub async fn execute_order<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    cell: &Cell,
+    order: Order,
+) -> Outcome {
     for _ in 0..OWNERS {
         let owner = relay.peers.members(|members| members.owner(&cell.name()));
         let news = relay.peers.news_for(cell, &owner);
@@ -475,7 +484,7 @@
     let frame = Frame::Order {
         ticket,
         cell: cell.clone(),
-        sheet: Box::new(Sheet::new(order)),
+        sheet: Box::new(WireOrder::new(order)),
     };
     if waiting.line.sender.send(frame).await.is_err() {
         return Asked::Unreached;
--- a/crates/relay/src/peer/overlay.rs
+++ b/crates/relay/src/peer/overlay.rs
@@ -5,7 +5,7 @@
 //! not grow with their number. Messages may be lost, and processes cut off or paused: the two ends of a
 //! link compare what they know every second, and tell each other all of it where that differs.
 
-use super::Line;
+use super::PeerLink;
 use super::talk::{self, Frame};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
@@ -32,14 +32,14 @@
 
 /// What a process knows, in brief.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct StateDigest {
     suspects: u64,
     limits: u64,
     drains: u64,
     version: Option<Version>,
 }
 
-impl Beat {
+impl StateDigest {
     fn of<D: Downstream>(relay: &Relay<D>) -> Self {
         Self {
             suspects: relay.suspicions_digest(),
@@ -52,7 +52,7 @@
 
 /// Keeps links to a few other processes, and compares with them what is known, until the task is
 /// dropped.
-pub async fn keep<D: Downstream>(relay: Arc<Relay<D>>) {
+pub async fn maintain_links<D: Downstream>(relay: Arc<Relay<D>>) {
     let mut ticks = interval(PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     // Kept apart from the suspects of those who send work: processes that disagree on who does it get
@@ -65,7 +65,7 @@
         let neighbours = relay
             .peers
             .members(|members| members.neighbours(LINKS, is_gone));
-        let beat = Beat::of(&relay);
+        let beat = StateDigest::of(&relay);
         let beats = neighbours.iter().map(|member| send(&relay, member, beat));
         let failed = join_all(beats).await.into_iter().flatten();
         unreached.extend(failed.map(|id| (id, Instant::now() + UNREACHED)));
@@ -76,7 +76,7 @@
 async fn send<D: Downstream>(
     relay: &Arc<Relay<D>>,
     member: &Member,
-    beat: Beat,
+    beat: StateDigest,
 ) -> Option<MemberId> {
     let Some(line) = relay.peers.line(relay, member).await else {
         return Some(member.id.clone());
@@ -89,7 +89,7 @@
     None
 }
 
-impl Line {
+impl PeerLink {
     fn beaten(&self) {
         let mut pending = lock(&self.pending);
         pending.beaten = pending.beaten.or_else(|| Some(Instant::now()));
@@ -100,10 +100,10 @@
 pub(super) fn compare<D: Downstream>(
     relay: &Relay<D>,
     sender: &Sender<Frame>,
-    other: Beat,
+    other: StateDigest,
     answers: bool,
 ) {
-    let beat = Beat::of(relay);
+    let beat = StateDigest::of(relay);
     if !answers {
         // One that is lost is asked for again.
         let _ = sender.try_send(&Frame::Beat {
--- a/crates/relay/src/peer/tables.rs
+++ b/crates/relay/src/peer/tables.rs
@@ -4,7 +4,7 @@
 //! nothing new. In a large fleet a few processes read the tables, and each tells a few others.
 
 use super::talk::Frame;
-use super::{Line, Peers};
+use super::{PeerLink, Peers};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::Member;
@@ -67,7 +67,7 @@
 
 /// What a process tells of a table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct TableUpdate {
     /// Revision behind which the changes begin; none if they are the whole table.
     pub before: Option<RowRevision>,
     /// Revision up to which they are complete.
@@ -83,7 +83,7 @@
     pub withheld: Option<RowRevision>,
 }
 
-impl News {
+impl TableUpdate {
     /// Whether they are the whole table.
     #[must_use]
     pub fn is_whole(&self) -> bool {
@@ -186,7 +186,7 @@
 
     /// What a process that knows the table up to `after`, if at all, and asked at `asked` is told: the
     /// changes since then, or the whole table if not all of them are kept.
-    fn news(&self, after: Option<RowRevision>, asked: Instant) -> Option<News> {
+    fn news(&self, after: Option<RowRevision>, asked: Instant) -> Option<TableUpdate> {
         let current = self.current?;
         let kept = after.filter(|after| *after >= self.since);
         let rows: Vec<&Row> = match kept {
@@ -206,7 +206,7 @@
         let later = millis(current.saturating_duration_since(asked));
         let sooner = millis(asked.saturating_duration_since(current));
         let signed = |span: u64| i64::try_from(span).unwrap_or(i64::MAX);
-        Some(News {
+        Some(TableUpdate {
             before,
             revision: self.revision,
             rows: if fits { rows } else { Vec::new() },
@@ -238,7 +238,7 @@
 
     /// What a process is told that knows the table up to `after`, if at all: as soon as there is
     /// something newer, or once nothing newer was there after its question.
-    async fn news(&self, after: Option<RowRevision>) -> Option<News> {
+    async fn news(&self, after: Option<RowRevision>) -> Option<TableUpdate> {
         let asked = Instant::now();
         let mut known = self.known.subscribe();
         let says_something = |known: &Known| {
@@ -284,7 +284,7 @@
 
 /// A question that waits on a link.
 struct Question {
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     ticket: u64,
 }
 
@@ -303,7 +303,7 @@
         teller: &Member,
         table: &str,
         after: Option<RowRevision>,
-    ) -> Option<News> {
+    ) -> Option<TableUpdate> {
         let Some(line) = self.line(relay, teller).await else {
             self.members(|members| members.suspect(teller));
             return None;
@@ -321,8 +321,8 @@
     }
 }
 
-impl Line {
-    fn enter_question(&self, reply: oneshot::Sender<Option<News>>) -> u64 {
+impl PeerLink {
+    fn enter_question(&self, reply: oneshot::Sender<Option<TableUpdate>>) -> u64 {
         let mut pending = lock(&self.pending);
         let ticket = pending.ticket();
         pending.news.insert(ticket, reply);
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/talk.rs
@@ -1,8 +1,8 @@
 //! The frames, and what the asking end of a link does with them.
 
-use super::overlay::{self, Beat};
+use super::overlay::{self, StateDigest};
 use super::transfer::Part;
-use super::{Burdens, Line, News, board, transfer};
+use super::{Burdens, PeerLink, TableUpdate, board, transfer};
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
@@ -45,7 +45,7 @@
         /// Cell whose calls the other process forms.
         cell: Cell,
         /// The pieces.
-        sheet: Box<Sheet>,
+        sheet: Box<WireOrder>,
     },
     /// The order's request is gone.
     Withdraw {
@@ -110,7 +110,7 @@
         /// The question.
         ticket: u64,
         /// What is new.
-        news: Option<News>,
+        news: Option<TableUpdate>,
     },
     /// The configuration that is in force at the sender.
     Version(Version),
@@ -121,7 +121,7 @@
     /// What the sender knows, in brief.
     Beat {
         /// Hashes of it.
-        beat: Beat,
+        beat: StateDigest,
         /// Whether this answers the other end's.
         answers: bool,
     },
@@ -147,7 +147,7 @@
 
 /// An order as another process gets it: clocks differ, so that times are told from now on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct WireOrder {
     id: RequestId,
     stage: usize,
     pieces: u32,
@@ -163,7 +163,7 @@
     trial: bool,
 }
 
-impl Sheet {
+impl WireOrder {
     /// The order as of now.
     #[must_use]
     pub fn new(order: &Order) -> Self {
@@ -210,7 +210,7 @@
 /// Reads the link's frames until it is lost.
 pub(super) fn start<D: Downstream>(
     relay: Arc<Relay<D>>,
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     receiver: Receiver<Frame>,
 ) {
     relay.peers.subscribe(line.sender.clone());
@@ -239,7 +239,11 @@
     }
 }
 
-async fn read<D: Downstream>(relay: Arc<Relay<D>>, line: Arc<Line>, mut receiver: Receiver<Frame>) {
+async fn read<D: Downstream>(
+    relay: Arc<Relay<D>>,
+    line: Arc<PeerLink>,
+    mut receiver: Receiver<Frame>,
+) {
     loop {
         let frame = tokio::select! {
             frame = receiver.recv() => frame,
@@ -281,7 +285,7 @@
     pending.news.clear();
 }
 
-impl Line {
+impl PeerLink {
     fn is_silent(&self) -> bool {
         let pending = lock(&self.pending);
         let silent = pending.received.elapsed();
@@ -305,7 +309,9 @@
         Frame::Beat { beat, answers } => overlay::compare(relay, sender, beat, answers),
         Frame::Leaving { id, incarnation } => {
             info!(relay.log, "peer leaves"; "peer" => &*id, "incarnation" => incarnation);
-            relay.peers.members(|members| members.left(id, incarnation));
+            relay
+                .peers
+                .members(|members| members.mark_left(id, incarnation));
         }
         Frame::AskPart { version, offset } => transfer::answer(relay, sender, version, offset),
         Frame::Part(part) => transfer::take(relay, sender, &part),
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -205,7 +205,7 @@
     /// The place of this process among those that try a request again.
     fn order(&self, content: ContentId) -> u32 {
         let row = key(content);
-        self.peers.members(|members| members.order(&row))
+        self.peers.members(|members| members.takeover_rank(&row))
     }
 
     fn pass(&self, content: ContentId) -> Pass {
--- a/crates/relay/tests/cold_runners.rs
+++ b/crates/relay/tests/cold_runners.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, plan, ready, request, runner};
 use relay::drain::Drains;
 use relay::plan::{Limits, Plan, Service, Warmup};
@@ -61,10 +61,12 @@
     let relay = ready(Fake::default());
     relay.adopt(warming());
     let rows = others.iter().map(|id| row(id)).collect();
-    let script = Script::new(vec![Told::Rows(rows)]);
+    let script = ScriptedFeed::new(vec![FeedReply::Rows(rows)]);
     tokio::spawn(member::follow(relay.clone(), script));
     let now = relay.now();
-    relay.peers.members(|members| members.enlisted(now, 1));
+    relay
+        .peers
+        .members(|members| members.mark_registered(now, 1));
     sleep(SETTLED).await;
     relay
 }
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -1,7 +1,7 @@
 //! A feed that tells what a test gave it.
 
 use super::{plan, plan_with, runner};
-use relay::follow::{Source, Unreadable};
+use relay::follow::{InvalidRow, TableSource};
 use relay::runner::DomainId;
 use relay::{Plan, Runner};
 use serde_json::Value;
@@ -13,15 +13,15 @@
 
 /// What a fake feed does on one question.
 #[derive(Clone, Debug)]
-pub(crate) enum Told {
+pub(crate) enum FeedReply {
     /// Tells these rows; no value means that the row is gone.
     Rows(Vec<(&'static str, Option<Value>)>),
     /// Tells these rows as of this revision.
     At(RowRevision, Vec<(&'static str, Option<Value>)>),
     /// Fails after this time.
-    Away(Duration),
+    Unavailable(Duration),
     /// Has nothing to tell for as long as the question waits.
-    Quiet,
+    NoChanges,
     /// The history is gone.
     Gap,
     /// The service has come back from an older copy.
@@ -30,26 +30,26 @@
 
 /// A feed that tells what it was given, question by question, and then nothing more.
 #[derive(Clone, Debug)]
-pub(crate) struct Script(Arc<Mutex<VecDeque<Told>>>);
+pub(crate) struct ScriptedFeed(Arc<Mutex<VecDeque<FeedReply>>>);
 
-impl Script {
-    pub(crate) fn new(told: impl IntoIterator<Item = Told>) -> Self {
+impl ScriptedFeed {
+    pub(crate) fn new(told: impl IntoIterator<Item = FeedReply>) -> Self {
         Self(Arc::new(Mutex::new(told.into_iter().collect())))
     }
 
     async fn next(&self, wait: Duration) -> Result<Changes, Miss> {
         let told = self.0.lock().expect("no holder panics").pop_front();
         match told {
-            None | Some(Told::Quiet) => {
+            None | Some(FeedReply::NoChanges) => {
                 sleep(wait).await;
                 Ok(Changes {
                     revision: 9,
                     ..Changes::default()
                 })
             }
-            Some(Told::Gap) => Err(Miss::Gap),
-            Some(Told::Restored) => Err(Miss::Restored),
-            Some(Told::Away(time)) => {
+            Some(FeedReply::Gap) => Err(Miss::Gap),
+            Some(FeedReply::Restored) => Err(Miss::Restored),
+            Some(FeedReply::Unavailable(time)) => {
                 sleep(time).await;
                 let reason = "away".to_owned();
                 let error = Error::Unavailable {
@@ -58,8 +58,8 @@
                 };
                 Err(Miss::Failed { error })
             }
-            Some(Told::Rows(rows)) => Ok(changes(rows, 9)),
-            Some(Told::At(revision, rows)) => Ok(changes(rows, revision)),
+            Some(FeedReply::Rows(rows)) => Ok(changes(rows, 9)),
+            Some(FeedReply::At(revision, rows)) => Ok(changes(rows, revision)),
         }
     }
 }
@@ -78,7 +78,7 @@
     }
 }
 
-impl Feed for Script {
+impl Feed for ScriptedFeed {
     async fn list(&self, _table: &str) -> Result<Changes, Error> {
         match self.next(Duration::from_secs(1)).await {
             Ok(changes) => Ok(changes),
@@ -97,30 +97,30 @@
     }
 }
 
-impl Source for Script {
+impl TableSource for ScriptedFeed {
     const PLANS: &'static str = "plans";
     const RUNNERS: &'static str = "runners";
 
-    fn drained(key: &str) -> Option<DomainId> {
+    fn drained_domain(key: &str) -> Option<DomainId> {
         key.strip_prefix("drained-").map(DomainId::from)
     }
 
     /// A version, or one with the names of more routes.
-    fn plan(_key: &str, value: &Value) -> Result<Option<Plan>, Unreadable> {
+    fn parse_plan(_key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
             let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
             return Ok(Some(plan_with(version, &names)));
         }
-        let version = value.as_u64().ok_or_else(|| Unreadable {
+        let version = value.as_u64().ok_or_else(|| InvalidRow {
             reason: "no number".to_owned(),
         })?;
         Ok(Some(plan(version)))
     }
 
-    fn runner(key: &str, value: &Value) -> Result<Runner, Unreadable> {
+    fn parse_runner(key: &str, value: &Value) -> Result<Runner, InvalidRow> {
         let service = value["service"].as_str();
-        let service = service.ok_or_else(|| Unreadable {
+        let service = service.ok_or_else(|| InvalidRow {
             reason: "no service".to_owned(),
         })?;
         let mut runner = runner(key, service);
--- a/crates/relay/tests/common/pair.rs
+++ b/crates/relay/tests/common/pair.rs
@@ -35,9 +35,9 @@
             for other in &nodes {
                 members.put(other.member.clone(), 1);
             }
-            members.listed();
+            members.mark_listed();
         });
-        tokio::spawn(peer::keep(node.relay.clone()));
+        tokio::spawn(peer::maintain_links(node.relay.clone()));
     }
     sleep(LINKED).await;
     let last = nodes.pop().expect("two");
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -1,7 +1,7 @@
 //! A table service in memory that counts its calls, for many relays.
 
-use super::feed::Script;
-use relay::follow::{Source, Unreadable};
+use super::feed::ScriptedFeed;
+use relay::follow::{InvalidRow, TableSource};
 use relay::runner::DomainId;
 use relay::{Plan, Runner};
 use serde_json::Value;
@@ -134,19 +134,19 @@
     }
 }
 
-impl Source for Service {
-    const PLANS: &'static str = Script::PLANS;
-    const RUNNERS: &'static str = Script::RUNNERS;
+impl TableSource for Service {
+    const PLANS: &'static str = ScriptedFeed::PLANS;
+    const RUNNERS: &'static str = ScriptedFeed::RUNNERS;
 
-    fn drained(key: &str) -> Option<DomainId> {
-        Script::drained(key)
+    fn drained_domain(key: &str) -> Option<DomainId> {
+        ScriptedFeed::drained_domain(key)
     }
 
-    fn plan(key: &str, value: &Value) -> Result<Option<Plan>, Unreadable> {
-        Script::plan(key, value)
+    fn parse_plan(key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
+        ScriptedFeed::parse_plan(key, value)
     }
 
-    fn runner(key: &str, value: &Value) -> Result<Runner, Unreadable> {
-        Script::runner(key, value)
+    fn parse_runner(key: &str, value: &Value) -> Result<Runner, InvalidRow> {
+        ScriptedFeed::parse_runner(key, value)
     }
 }
--- a/crates/relay/tests/domain_drained.rs
+++ b/crates/relay/tests/domain_drained.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, ready, request, runner};
 use relay::drain::Drains;
 use relay::follow;
@@ -35,16 +35,16 @@
 }
 
 /// A relay that has followed the operator's table for a while.
-async fn told(told: Vec<Told>) -> Arc<Relay<Fake>> {
+async fn told(told: Vec<FeedReply>) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
     sleep(SOON).await;
     following.abort();
     relay
 }
 
-fn drained() -> Told {
-    Told::At(3, vec![("drained-a", Some(json!({})))])
+fn drained() -> FeedReply {
+    FeedReply::At(3, vec![("drained-a", Some(json!({})))])
 }
 
 /// The operator drains a failure domain before its power is cut. Requests that still went there would
@@ -63,7 +63,7 @@
 /// The drain is taken back. A relay that kept to it would leave a part of the runners idle for ever.
 #[tokio::test(start_paused = true)]
 async fn taken_back() {
-    let relay = told(vec![drained(), Told::At(4, vec![("drained-a", None)])]).await;
+    let relay = told(vec![drained(), FeedReply::At(4, vec![("drained-a", None)])]).await;
     assert_eq!(known(&relay), 2);
     assert_eq!(relay.serve(request("q", "safe")).await.status, 200);
 }
@@ -71,7 +71,7 @@
 /// The history that held the end of the drain is gone; the whole table has no row of it any more.
 #[tokio::test(start_paused = true)]
 async fn taken_back_in_a_gap() {
-    let relay = told(vec![drained(), Told::Gap, Told::At(9, vec![])]).await;
+    let relay = told(vec![drained(), FeedReply::Gap, FeedReply::At(9, vec![])]).await;
     assert_eq!(known(&relay), 2);
 }
 
@@ -83,8 +83,8 @@
         ("drained-b", Some(json!({}))),
     ];
     let relay = told(vec![
-        Told::At(3, both),
-        Told::At(4, vec![("drained-b", None)]),
+        FeedReply::At(3, both),
+        FeedReply::At(4, vec![("drained-b", None)]),
     ])
     .await;
     assert_eq!(relay.drains(), drains(4, &[DOMAIN]));
@@ -143,7 +143,7 @@
 
     let relay = ready(Fake::default());
     relay.drain(&drains(8, &[]), "test");
-    let script = Script::new(vec![drained()]);
+    let script = ScriptedFeed::new(vec![drained()]);
     let following = tokio::spawn(follow::plans(relay.clone(), script));
     sleep(SOON).await;
     following.abort();
--- a/crates/relay/tests/fleet_start.rs
+++ b/crates/relay/tests/fleet_start.rs
@@ -57,7 +57,7 @@
         self.tasks
             .spawn(follow::tables(relay.clone(), service.clone()));
         self.tasks
-            .spawn(member::enlist(relay.clone(), service.clone()));
+            .spawn(member::register(relay.clone(), service.clone()));
         self.tasks.spawn(member::follow(relay.clone(), service));
         self.relays.push(relay);
     }
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::narrow::{Direction, Narrow};
 use common::service::Service;
 use common::{Fake, blank_as, entry};
@@ -98,8 +98,8 @@
                 });
             }
             relay.peers.members(|members| {
-                members.enlisted(Duration::ZERO, own as u64 + 1);
-                members.listed();
+                members.mark_registered(Duration::ZERO, own as u64 + 1);
+                members.mark_listed();
             });
         }
     }
@@ -109,13 +109,18 @@
         for relay in &self.relays[..PROCESSES - 1] {
             tokio::spawn(follow::plans(relay.clone(), self.service.clone()));
             tokio::spawn(follow::runners(relay.clone(), self.service.clone()));
-            tokio::spawn(peer::keep(relay.clone()));
+            tokio::spawn(peer::maintain_links(relay.clone()));
         }
         let relay = self.last();
-        let away = || Script::new(vec![Told::Away(Duration::from_millis(20)); 10_000]);
+        let away = || {
+            ScriptedFeed::new(vec![
+                FeedReply::Unavailable(Duration::from_millis(20));
+                10_000
+            ])
+        };
         tokio::spawn(follow::plans(relay.clone(), away()));
         tokio::spawn(follow::runners(relay.clone(), away()));
-        tokio::spawn(peer::keep(relay.clone()));
+        tokio::spawn(peer::maintain_links(relay.clone()));
     }
 
     fn last(&self) -> &Arc<Relay<Fake>> {
--- a/crates/relay/tests/older_copy.rs
+++ b/crates/relay/tests/older_copy.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, blank, entry, ready};
 use relay::drain::Drains;
 use relay::{Relay, follow, member};
@@ -28,9 +28,9 @@
     Some(json!({ "service": "plain", "leaving": true }))
 }
 
-async fn runners(told: Vec<Told>, time: Duration) -> Vec<String> {
+async fn runners(told: Vec<FeedReply>, time: Duration) -> Vec<String> {
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
     sleep(time).await;
     following.abort();
     let working = relay.fleet(|fleet| fleet.of("plain").to_vec());
@@ -48,19 +48,19 @@
 #[tokio::test(start_paused = true)]
 async fn leaves_on() {
     let told = vec![
-        Told::At(
+        FeedReply::At(
             old(7),
             vec![("r-1", entry("plain")), ("r-2", entry("plain"))],
         ),
-        Told::At(old(8), vec![("r-2", leaving())]),
-        Told::Restored,
-        Told::At(
+        FeedReply::At(old(8), vec![("r-2", leaving())]),
+        FeedReply::Restored,
+        FeedReply::At(
             new(6),
             vec![("r-1", entry("plain")), ("r-2", entry("plain"))],
         ),
     ];
     assert_eq!(runners(told.clone(), SOON * 2).await, ["r-1"]);
-    let written_again = Told::At(new(7), vec![("r-2", leaving())]);
+    let written_again = FeedReply::At(new(7), vec![("r-2", leaving())]);
     let told = [told, vec![written_again]].concat();
     assert_eq!(runners(told, LATER).await, ["r-1"]);
 }
@@ -69,12 +69,12 @@
 #[tokio::test(start_paused = true)]
 async fn missing_for_a_moment() {
     let told = vec![
-        Told::At(
+        FeedReply::At(
             old(7),
             vec![("r-1", entry("plain")), ("r-2", entry("plain"))],
         ),
-        Told::Restored,
-        Told::At(new(6), vec![("r-1", entry("plain"))]),
+        FeedReply::Restored,
+        FeedReply::At(new(6), vec![("r-1", entry("plain"))]),
     ];
     assert_eq!(runners(told.clone(), SOON).await, ["r-1", "r-2"]);
     assert_eq!(
@@ -88,11 +88,11 @@
 #[tokio::test(start_paused = true)]
 async fn number_given_out_again() {
     let told = vec![
-        Told::At(old(40), vec![("r-1", entry("plain"))]),
-        Told::Restored,
-        Told::At(new(37), vec![("r-1", entry("plain"))]),
-        Told::At(new(38), vec![("r-2", entry("plain"))]),
-        Told::At(new(39), vec![("r-1", None)]),
+        FeedReply::At(old(40), vec![("r-1", entry("plain"))]),
+        FeedReply::Restored,
+        FeedReply::At(new(37), vec![("r-1", entry("plain"))]),
+        FeedReply::At(new(38), vec![("r-2", entry("plain"))]),
+        FeedReply::At(new(39), vec![("r-1", None)]),
     ];
     assert_eq!(runners(told, LATER).await, ["r-2"]);
 }
@@ -101,9 +101,9 @@
 #[tokio::test(start_paused = true)]
 async fn believed_in_the_end() {
     let told = vec![
-        Told::At(old(7), vec![("r-1", entry("plain"))]),
-        Told::Restored,
-        Told::At(
+        FeedReply::At(old(7), vec![("r-1", entry("plain"))]),
+        FeedReply::Restored,
+        FeedReply::At(
             new(6),
             vec![("r-1", entry("plain")), ("r-2", entry("plain"))],
         ),
@@ -112,9 +112,9 @@
     assert_eq!(runners(told, LATER).await, ["r-1", "r-2"]);
 }
 
-async fn plans(told: Vec<Told>, time: Duration) -> Arc<Relay<Fake>> {
+async fn plans(told: Vec<FeedReply>, time: Duration) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
     sleep(time).await;
     following.abort();
     relay
@@ -134,15 +134,15 @@
 #[tokio::test(start_paused = true)]
 async fn stays_drained() {
     let told = vec![
-        Told::At(old(7), vec![]),
-        Told::At(old(8), drain()),
-        Told::Restored,
-        Told::At(new(6), vec![]),
+        FeedReply::At(old(7), vec![]),
+        FeedReply::At(old(8), drain()),
+        FeedReply::Restored,
+        FeedReply::At(new(6), vec![]),
     ];
     assert_eq!(drained(&plans(told.clone(), SOON * 3).await), ["a"]);
     let over = plans(told.clone(), LATER).await;
     assert!(drained(&over).is_empty(), "nobody has written it again");
-    let written_again = Told::At(new(7), drain());
+    let written_again = FeedReply::At(new(7), drain());
     let told = [told, vec![written_again]].concat();
     assert_eq!(drained(&plans(told, LATER).await), ["a"]);
 }
@@ -151,10 +151,10 @@
 #[tokio::test(start_paused = true)]
 async fn taken_back() {
     let told = vec![
-        Told::At(old(7), drain()),
-        Told::Restored,
-        Told::At(new(6), drain()),
-        Told::At(new(7), vec![("drained-a", None)]),
+        FeedReply::At(old(7), drain()),
+        FeedReply::Restored,
+        FeedReply::At(new(6), drain()),
+        FeedReply::At(new(7), vec![("drained-a", None)]),
     ];
     assert!(drained(&plans(told, SOON * 3).await).is_empty());
 }
@@ -164,9 +164,9 @@
 #[tokio::test(start_paused = true)]
 async fn configuration_stays() {
     let told = vec![
-        Told::At(old(7), vec![("plan", Some(json!(5)))]),
-        Told::Restored,
-        Told::At(new(6), vec![("plan", Some(json!(4)))]),
+        FeedReply::At(old(7), vec![("plan", Some(json!(5)))]),
+        FeedReply::Restored,
+        FeedReply::At(new(6), vec![("plan", Some(json!(4)))]),
     ];
     let relay = plans(told, SOON * 3).await;
     assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
@@ -175,7 +175,7 @@
 /// What a peer says from before the copy came back is older than what is known since.
 #[tokio::test(start_paused = true)]
 async fn older_era_told() {
-    let told = vec![Told::At(new(6), vec![])];
+    let told = vec![FeedReply::At(new(6), vec![])];
     let relay = plans(told, SOON).await;
     let late = Drains {
         revision: old(40),
@@ -191,7 +191,7 @@
 async fn own_row_again() {
     let relay = ready(Fake::default());
     let table = store::Memory::default();
-    let enlisting = tokio::spawn(member::enlist(relay.clone(), table.clone()));
+    let enlisting = tokio::spawn(member::register(relay.clone(), table.clone()));
     sleep(Duration::from_secs(60)).await;
     let row = table.read("relay", "relay-1").await.expect("there");
     let put = store::Put {
@@ -205,11 +205,11 @@
     };
     table.transact(&lost).await.expect("written");
     let told = [
-        Told::At(old(7), vec![]),
-        Told::Restored,
-        Told::At(new(6), vec![]),
+        FeedReply::At(old(7), vec![]),
+        FeedReply::Restored,
+        FeedReply::At(new(6), vec![]),
     ];
-    let following = tokio::spawn(member::follow(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(told)));
     sleep(LATER).await;
     let again = table.read("relay", "relay-1").await.expect("there");
     assert!(row.is_some());
@@ -228,11 +228,11 @@
         vec![("relay-2", Some(row))]
     };
     let told = [
-        Told::At(old(7), row(9)),
-        Told::Restored,
-        Told::At(new(6), row(8)),
+        FeedReply::At(old(7), row(9)),
+        FeedReply::Restored,
+        FeedReply::At(new(6), row(8)),
     ];
-    let following = tokio::spawn(member::follow(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(told)));
     sleep(LATER).await;
     following.abort();
     let incarnation = relay.peers.members(|members| {
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -66,9 +66,9 @@
             for (_, other) in &relays {
                 members.put(other.clone(), 1);
             }
-            members.listed();
+            members.mark_listed();
         });
-        tokio::spawn(peer::keep(relay.clone()));
+        tokio::spawn(peer::maintain_links(relay.clone()));
     }
     relays[0].0.merge_suspicion(&suspicion(), "test");
     let everywhere = async {
@@ -84,7 +84,7 @@
 async fn repeated_after_beat() {
     let (relay, _) = relay(0).await;
     let (sender, mut receiver) = link::open(&relay).await;
-    let empty = peer::Beat::default();
+    let empty = peer::StateDigest::default();
     let beat = |beat| Frame::Beat {
         beat,
         answers: false,
--- a/crates/relay/tests/peer_orders.rs
+++ b/crates/relay/tests/peer_orders.rs
@@ -117,8 +117,8 @@
         }
     };
     timeout(LONG, carried()).await.expect("the order arrives");
-    owner.relay.peers.leave(&owner.member);
-    timeout(LONG, owner.relay.peers.finish())
+    owner.relay.peers.announce_leaving(&owner.member);
+    timeout(LONG, owner.relay.peers.finish_orders())
         .await
         .expect("orders end");
     assert_eq!(
@@ -172,7 +172,7 @@
     let held: Vec<Handle> = (0..11)
         .map(|n| format!("{}/{n}", runner.address).into())
         .collect();
-    asking.relay.peers.hold(&cell, &held, 100);
+    asking.relay.peers.record_results(&cell, &held, 100);
     asking
         .relay
         .peers
@@ -188,13 +188,13 @@
 async fn all_leave() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
-    owner.relay.peers.leave(&owner.member);
-    asking.relay.peers.leave(&asking.member);
+    owner.relay.peers.announce_leaving(&owner.member);
+    asking.relay.peers.announce_leaving(&asking.member);
     for (node, peer) in [(&asking, &owner), (&owner, &asking)] {
         let left = (peer.member.id.clone(), peer.member.incarnation);
         node.relay
             .peers
-            .members(|members| members.left(left.0, left.1));
+            .members(|members| members.mark_left(left.0, left.1));
     }
     let chosen = [&asking, &owner].map(|node| {
         node.relay
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, blank, body, plan, ready, request, runner};
 use relay::follow;
 use relay::plan::{LAST_RANK, Limits, Plan, Route, Workspace};
@@ -16,13 +16,13 @@
 #[tokio::test(start_paused = true)]
 async fn never_back() {
     let told = vec![
-        Told::Rows(vec![("config", Some(json!(5)))]),
-        Told::Rows(vec![("config", Some(json!(3)))]),
-        Told::Rows(vec![("config", Some(json!("rubbish")))]),
-        Told::Rows(vec![("config", None)]),
+        FeedReply::Rows(vec![("config", Some(json!(5)))]),
+        FeedReply::Rows(vec![("config", Some(json!(3)))]),
+        FeedReply::Rows(vec![("config", Some(json!("rubbish")))]),
+        FeedReply::Rows(vec![("config", None)]),
     ];
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_secs(5)).await;
     following.abort();
     assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -64,7 +64,7 @@
     let (admitting, owner) = harmed(Spot::Stage(0), Effect::Ends, 4, Some(RETURN)).await;
     ask(&admitting.relay, poison(0)).await;
     assert!(!falls(&owner.relay).is_empty());
-    owner.relay.peers.leave(&owner.member);
+    owner.relay.peers.announce_leaving(&owner.member);
     sleep(PAUSE).await;
     let next = admitting
         .relay
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Act, End, Fake, body, ready, request, runner};
 use protocol::quarantine::Crash;
 use relay::quarantine::Suspicion;
@@ -305,8 +305,8 @@
 #[tokio::test(start_paused = true)]
 async fn known_after_start() {
     let relay = relay();
-    let rows = Told::At(5, row(Some(json!({ "crashes": 3 }))));
-    let following = tokio::spawn(member::follow(relay.clone(), Script::new([rows])));
+    let rows = FeedReply::At(5, row(Some(json!({ "crashes": 3 }))));
+    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new([rows])));
     sleep(PAUSE).await;
     assert!(held(&relay).await);
     following.abort();
@@ -317,10 +317,10 @@
 async fn row_gone() {
     let relay = relay();
     let told = [
-        Told::At(5, row(Some(json!({ "crashes": 3 })))),
-        Told::At(6, row(None)),
+        FeedReply::At(5, row(Some(json!({ "crashes": 3 })))),
+        FeedReply::At(6, row(None)),
     ];
-    let following = tokio::spawn(member::follow(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_secs(4)).await;
     assert!(!held(&relay).await);
     following.abort();
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Act, Fake, SINCE_START, blank, body, entry, plan, request};
 use relay::downstream::NotRun;
 use relay::{Relay, follow};
@@ -28,21 +28,21 @@
 }
 
 /// A relay that has heard the first of what the feed tells.
-async fn following(fake: &Fake, told: Vec<Told>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
+async fn following(fake: &Fake, told: Vec<FeedReply>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
     let relay = blank(fake.clone());
     relay.adopt(plan(1));
-    let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_millis(700)).await;
     assert!(relay.informed());
     (relay, following)
 }
 
 /// Runner p-1 is known; during the pause it leaves and p-2 comes.
-fn replaced() -> Vec<Told> {
+fn replaced() -> Vec<FeedReply> {
     vec![
-        Told::Rows(vec![("p-1", entry("plain"))]),
-        Told::Quiet,
-        Told::Rows(vec![("p-1", None), ("p-2", entry("plain"))]),
+        FeedReply::Rows(vec![("p-1", entry("plain"))]),
+        FeedReply::NoChanges,
+        FeedReply::Rows(vec![("p-1", None), ("p-2", entry("plain"))]),
     ]
 }
 
@@ -81,9 +81,9 @@
 async fn no_news() {
     let fake = Fake::default();
     let told = vec![
-        Told::Rows(vec![("p-1", entry("plain"))]),
-        Told::Quiet,
-        Told::Away(Duration::from_secs(60)),
+        FeedReply::Rows(vec![("p-1", entry("plain"))]),
+        FeedReply::NoChanges,
+        FeedReply::Unavailable(Duration::from_secs(60)),
     ];
     let (relay, _following) = following(&fake, told).await;
     suspend();
@@ -101,7 +101,7 @@
 async fn busy_process() {
     let fake = Fake::default();
     let (relay, _following) =
-        following(&fake, vec![Told::Rows(vec![("p-1", entry("plain"))])]).await;
+        following(&fake, vec![FeedReply::Rows(vec![("p-1", entry("plain"))])]).await;
     assert!(relay.caught_up());
     stop(Duration::from_millis(400)).await;
     assert!(relay.caught_up());
@@ -112,7 +112,7 @@
 #[tokio::test(start_paused = true)]
 async fn time_left() {
     let fake = Fake::doing([Act::Refuse(NotRun::Full { spacing: None })]);
-    let told = vec![Told::Rows(vec![
+    let told = vec![FeedReply::Rows(vec![
         ("p-1", entry("plain")),
         ("p-2", entry("plain")),
     ])];
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -39,7 +39,7 @@
 /// A relay both of whose runners have just named a limit of one request a second.
 async fn limited() -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    relay.peers.members(Members::listed);
+    relay.peers.members(Members::mark_listed);
     limit(&relay, Some(Duration::from_secs(1)));
     load(&relay, Duration::from_secs(1)).await;
     relay
@@ -87,7 +87,7 @@
 #[tokio::test]
 async fn told_by_peers() {
     let relay = ready(Fake::default());
-    relay.peers.members(Members::listed);
+    relay.peers.members(Members::mark_listed);
     let (sender, mut receiver) = common::link::open(&relay).await;
     let mut status = Vec::new();
     let turns = [
@@ -149,7 +149,7 @@
             for number in 0..20 {
                 members.put(member(number), number as u64 + 1);
             }
-            members.listed();
+            members.mark_listed();
         });
         limit(&relay, Some(Duration::from_secs(1)));
         load(&relay, PAUSE).await;
--- a/crates/relay/tests/runner_list.rs
+++ b/crates/relay/tests/runner_list.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, blank, entry};
 use relay::{Relay, follow};
 use serde_json::json;
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-async fn follow_for(told: Vec<Told>, time: Duration) -> Arc<Relay<Fake>> {
+async fn follow_for(told: Vec<FeedReply>, time: Duration) -> Arc<Relay<Fake>> {
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
     sleep(time).await;
     following.abort();
     relay
@@ -24,7 +24,7 @@
 
 /// Time within which news must be in force: half of what runners that leave serve on for, at least.
 const SOON: Duration = Duration::from_millis(1_200);
-const AWAY: Told = Told::Away(Duration::from_millis(100));
+const AWAY: FeedReply = FeedReply::Unavailable(Duration::from_millis(100));
 
 /// While the table service is away the runners' entries lapse, and on its return the follower is
 /// told in one go that they are gone and that they are back. The relay would go on without any
@@ -32,9 +32,9 @@
 #[tokio::test(start_paused = true)]
 async fn lapsed_and_back() {
     let told = vec![
-        Told::Rows(vec![("r-1", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", entry("plain"))]),
         AWAY,
-        Told::Rows(vec![("r-1", None), ("r-1", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", None), ("r-1", entry("plain"))]),
     ];
     let relay = follow_for(told, Duration::from_secs(10)).await;
     assert_eq!(known(&relay, "plain"), 1);
@@ -45,9 +45,9 @@
 #[tokio::test(start_paused = true)]
 async fn lapsed_for_a_second() {
     let told = vec![
-        Told::Rows(vec![("r-1", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", entry("plain"))]),
         AWAY,
-        Told::Rows(vec![("r-1", None)]),
+        FeedReply::Rows(vec![("r-1", None)]),
     ];
     let relay = follow_for(told.clone(), Duration::from_secs(1)).await;
     assert_eq!(known(&relay, "plain"), 1);
@@ -60,9 +60,9 @@
 #[tokio::test(start_paused = true)]
 async fn gone_at_once() {
     let told = vec![
-        Told::Rows(vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
-        Told::Rows(vec![("r-1", None)]),
-        Told::Rows(vec![(
+        FeedReply::Rows(vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", None)]),
+        FeedReply::Rows(vec![(
             "r-2",
             Some(json!({ "service": "plain", "leaving": true })),
         )]),
@@ -76,9 +76,9 @@
 #[tokio::test(start_paused = true)]
 async fn gone_in_a_gap() {
     let told = vec![
-        Told::Rows(vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
-        Told::Gap,
-        Told::Rows(vec![("r-2", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
+        FeedReply::Gap,
+        FeedReply::Rows(vec![("r-2", entry("plain"))]),
     ];
     let relay = follow_for(told, SOON).await;
     assert!(relay.runner("r-1").is_none());
@@ -89,7 +89,7 @@
 /// it hold; a follower that stopped there would know no runner at all.
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry() {
-    let told = vec![Told::Rows(vec![
+    let told = vec![FeedReply::Rows(vec![
         ("r-1", entry("plain")),
         ("odd", Some(json!(7))),
         ("r-2", entry("plain")),
@@ -104,8 +104,8 @@
 async fn started_again() {
     let started = |at: u64| Some(json!({ "service": "plain", "started": at }));
     let told = vec![
-        Told::Rows(vec![("r-1", started(1))]),
-        Told::Rows(vec![("r-1", started(2))]),
+        FeedReply::Rows(vec![("r-1", started(1))]),
+        FeedReply::Rows(vec![("r-1", started(2))]),
     ];
     let relay = follow_for(told, SOON).await;
     assert_eq!(
@@ -120,19 +120,19 @@
 /// would sit on news of seconds ago, or forget its runners.
 #[tokio::test(start_paused = true)]
 async fn answers_some() {
-    let hanging = Told::Away(Duration::from_millis(700));
+    let hanging = FeedReply::Unavailable(Duration::from_millis(700));
     let told = vec![
-        Told::Rows(vec![("r-1", entry("plain"))]),
+        FeedReply::Rows(vec![("r-1", entry("plain"))]),
         AWAY,
-        Told::Rows(vec![("r-2", entry("plain"))]),
+        FeedReply::Rows(vec![("r-2", entry("plain"))]),
         hanging.clone(),
         AWAY,
-        Told::Rows(vec![(
+        FeedReply::Rows(vec![(
             "r-1",
             Some(json!({ "service": "plain", "leaving": true })),
         )]),
         hanging,
-        Told::Rows(vec![("r-3", entry("plain"))]),
+        FeedReply::Rows(vec![("r-3", entry("plain"))]),
     ];
     let relay = follow_for(told, Duration::from_secs(5)).await;
     assert!(relay.runner("r-1").is_none());
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, blank_as, entry};
-use relay::follow::{self, Source};
+use relay::follow::{self, TableSource};
 use relay::member::{Member, Members};
-use relay::peer::{self, Frame, News};
+use relay::peer::{self, Frame, TableUpdate};
 use std::net::SocketAddr;
 use std::time::Duration;
 use store::RowRevision;
@@ -34,8 +34,8 @@
     for number in 0..count {
         members.put(member(number), number as u64 + 1);
     }
-    members.enlisted(Duration::ZERO, own as u64 + 1);
-    members.listed();
+    members.mark_registered(Duration::ZERO, own as u64 + 1);
+    members.mark_listed();
     members
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Asking {
-    async fn new(told: Vec<Told>) -> Self {
+    async fn new(told: Vec<FeedReply>) -> Self {
         let any = "127.0.0.1:0".parse().expect("an address");
         let key = Key::new("key");
         let listener = Listener::bind(any, key.clone()).await.expect("bound");
@@ -58,7 +58,7 @@
         };
         let relay = blank_as(Fake::default(), teller);
         tokio::spawn(peer::serve(relay.clone(), listener));
-        tokio::spawn(follow::runners(relay, Script::new(told)));
+        tokio::spawn(follow::runners(relay, ScriptedFeed::new(told)));
         let (sender, receiver) = wire::connect(address, &key).await.expect("linked");
         Self {
             address,
@@ -67,11 +67,11 @@
         }
     }
 
-    async fn news(&mut self, after: impl Into<Option<RowRevision>>) -> News {
+    async fn news(&mut self, after: impl Into<Option<RowRevision>>) -> TableUpdate {
         let after = after.into();
         let question = Frame::AskNews {
             ticket: 1,
-            table: Script::RUNNERS.to_owned(),
+            table: ScriptedFeed::RUNNERS.to_owned(),
             after,
         };
         self.sender.send(question).await.expect("linked");
@@ -92,8 +92,8 @@
 #[tokio::test]
 async fn change_told() {
     let told = vec![
-        Told::At(5, vec![("r-1", entry("plain"))]),
-        Told::At(6, vec![("r-1", None)]),
+        FeedReply::At(5, vec![("r-1", entry("plain"))]),
+        FeedReply::At(6, vec![("r-1", None)]),
     ];
     let mut asking = Asking::new(told).await;
     let news = asking.news(5).await;
@@ -107,7 +107,7 @@
 /// and that it is.
 #[tokio::test]
 async fn history_lacking() {
-    let told = vec![Told::At(7, vec![("r-2", entry("plain"))])];
+    let told = vec![FeedReply::At(7, vec![("r-2", entry("plain"))])];
     let mut asking = Asking::new(told).await;
     let news = asking.news(4).await;
     assert_eq!((news.is_whole(), news.revision), (true, 7));
@@ -121,8 +121,8 @@
 async fn large_change() {
     let long = "x".repeat(2_000_000);
     let told = vec![
-        Told::At(5, vec![]),
-        Told::At(6, vec![("r-1", entry(&long))]),
+        FeedReply::At(5, vec![]),
+        FeedReply::At(6, vec![("r-1", entry(&long))]),
     ];
     let mut asking = Asking::new(told).await;
     let news = asking.news(5).await;
@@ -134,8 +134,8 @@
 #[tokio::test]
 async fn whole_table() {
     let told = vec![
-        Told::At(5, vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
-        Told::At(6, vec![("r-1", None)]),
+        FeedReply::At(5, vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
+        FeedReply::At(6, vec![("r-1", None)]),
     ];
     let mut asking = Asking::new(told).await;
     asking.news(5).await;
@@ -149,7 +149,7 @@
 /// have been cut off since.
 #[tokio::test]
 async fn nothing_new() {
-    let told = vec![Told::At(9, vec![("r-1", entry("plain"))])];
+    let told = vec![FeedReply::At(9, vec![("r-1", entry("plain"))])];
     let mut asking = Asking::new(told).await;
     let news = asking.news(9).await;
     assert_eq!((news.before, news.revision), (Some(9), 9));
@@ -160,8 +160,8 @@
 /// is cut off from the table service, and would have the newcomer send work to runners that have left.
 #[tokio::test]
 async fn old_table() {
-    let quiet = Told::Away(LONG);
-    let told = vec![Told::At(5, vec![("r-old", entry("plain"))]), quiet];
+    let quiet = FeedReply::Unavailable(LONG);
+    let told = vec![FeedReply::At(5, vec![("r-old", entry("plain"))]), quiet];
     let asking = Asking::new(told).await;
     sleep(Duration::from_secs(2)).await;
     let relay = blank_as(Fake::default(), member(39));
@@ -177,8 +177,8 @@
             5,
         );
     });
-    let told = [Told::At(7, vec![("r-new", entry("plain"))])];
-    let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
+    let told = [FeedReply::At(7, vec![("r-new", entry("plain"))])];
+    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
     let listed = async {
         while relay.fleet(|_| ()).is_none() {
             sleep(Duration::from_millis(5)).await;
@@ -197,13 +197,13 @@
     let relay = blank_as(Fake::default(), member(39));
     relay.peers.members(|known| *known = members(39, 40));
     assert!(relay.peers.members(|known| known.upstream()).is_some());
-    let quiet = (0..4).map(|_| Told::Quiet);
-    let told = [Told::At(5, vec![("r-1", entry("plain"))])];
+    let quiet = (0..4).map(|_| FeedReply::NoChanges);
+    let told = [FeedReply::At(5, vec![("r-1", entry("plain"))])];
     let told = told
         .into_iter()
         .chain(quiet)
-        .chain([Told::At(6, vec![("r-1", None)])]);
-    let following = tokio::spawn(follow::runners(relay.clone(), Script::new(told)));
+        .chain([FeedReply::At(6, vec![("r-1", None)])]);
+    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_secs(12)).await;
     following.abort();
     assert!(relay.runner("r-1").is_none());
@@ -272,8 +272,8 @@
         // It has written its row anew.
         known.put(member(1), 99);
         let revision = if *own == 1 { 99 } else { *own as u64 + 1 };
-        known.enlisted(Duration::ZERO, revision);
-        known.listed();
+        known.mark_registered(Duration::ZERO, revision);
+        known.mark_listed();
         known.upstream().is_none()
     };
     let readers = (0..40).filter(reads);
@@ -298,7 +298,7 @@
 fn teller_leaves() {
     let mut known = members(39, 40);
     let teller = known.upstream().expect("one of forty");
-    known.left(teller.id.clone(), teller.incarnation);
+    known.mark_left(teller.id.clone(), teller.incarnation);
     let next = known.upstream();
     assert!(next.is_none_or(|next| next.id != teller.id));
 }
--- a/crates/relay/tests/time_budget.rs
+++ b/crates/relay/tests/time_budget.rs
@@ -1,6 +1,6 @@
 //! What the time adds up to within which work for a leaving runner must end.
 
-use relay::follow::Budget;
+use relay::follow::StalenessBudget;
 use std::time::Duration;
 
 /// Time between two confirmations that nothing is new, while all goes well.
@@ -12,8 +12,8 @@
 fn bound_kept() {
     for bound in [3, 4, 5, 10].map(Duration::from_secs) {
         for levels in 0..=3 {
-            let budget = Budget::new(bound);
-            assert!(budget.longest(levels) <= bound, "{bound:?}, {levels}");
+            let budget = StalenessBudget::new(bound);
+            assert!(budget.max_delay(levels) <= bound, "{bound:?}, {levels}");
         }
     }
 }
@@ -24,7 +24,7 @@
 fn others_relied_on() {
     for bound in [3, 4, 5, 10].map(Duration::from_secs) {
         for levels in 0..=3 {
-            let budget = Budget::new(bound);
+            let budget = StalenessBudget::new(bound);
             assert!(budget.allows(PERIOD, levels), "{bound:?}, {levels}");
         }
     }
@@ -33,7 +33,7 @@
 /// Guards against a bound that cannot be kept and of which nobody is told.
 #[test]
 fn too_short() {
-    let budget = Budget::new(Duration::from_secs(2));
+    let budget = StalenessBudget::new(Duration::from_secs(2));
     assert!(!budget.allows(PERIOD, 2));
-    assert!(budget.longest(2) <= Duration::from_secs(2));
+    assert!(budget.max_delay(2) <= Duration::from_secs(2));
 }
