--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -8,7 +8,7 @@
 use crate::memory::Memory;
 use crate::outage::Outages;
 use crate::pause::{Clock, Pause};
-use crate::peer::{Burdens, Peers};
+use crate::peer::{CallLoads, Peers};
 use crate::plan::{Batches, LAST_RANK, Plan, RegionId, ServiceId};
 use crate::quarantine;
 use crate::request::ContentId;
@@ -328,7 +328,7 @@
     }
 
     /// The calls that this process has at the services that are sent prompts.
-    pub(crate) fn burdens(&self) -> Vec<(ServiceId, Burdens)> {
+    pub(crate) fn burdens(&self) -> Vec<(ServiceId, CallLoads)> {
         let now = self.now();
         let pools = lock(&self.pools);
         let prompted = pools.iter().filter(|(_, pool)| pool.prompted(now));
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -62,9 +62,9 @@
 /// Where configuration and runners are found.
 pub trait TableSource: Feed {
     /// Table that the operator writes: the configuration, and which failure domains are drained.
-    const PLANS: &'static str;
+    const OPERATOR_TABLE: &'static str;
     /// Table of the runners.
-    const RUNNERS: &'static str;
+    const RUNNER_TABLE: &'static str;
 
     /// The failure domain that is drained as long as the operator's table has a row of this key; `None`
     /// if the row says something else.
@@ -75,7 +75,10 @@
     /// # Errors
     ///
     /// [`InvalidRow`].
-    fn parse_plan(key: &str, value: &serde_json::Value) -> Result<Option<Plan>, InvalidRow>;
+    fn parse_configuration(
+        key: &str,
+        value: &serde_json::Value,
+    ) -> Result<Option<Plan>, InvalidRow>;
 
     /// Reads a row of the table of the runners.
     ///
@@ -90,8 +93,8 @@
 pub async fn tables<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     relay.peers.listed(LIST_WAIT).await;
     check_budget(&relay);
-    let plans = plans(relay.clone(), source.clone());
-    tokio::join!(plans, runners(relay, source));
+    let operator_table = operator_table(relay.clone(), source.clone());
+    tokio::join!(operator_table, runner_table(relay, source));
 }
 
 /// Tells the operator if the bound on work for leaving runners is shorter than the news may take.
@@ -110,9 +113,9 @@
 }
 
 /// Follows what the operator writes until the task is dropped.
-pub async fn plans<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
+pub async fn operator_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     // Configurations are fetched from peers, in parts.
-    let mut follower = Follower::new(&relay, source, S::PLANS, PACE).withholding();
+    let mut follower = Follower::new(&relay, source, S::OPERATOR_TABLE, PACE).withholding();
     // As this table tells by itself: what peers have told may be newer, and changes to it older.
     let mut drains = Drains::default();
     let mut kept = Kept::default();
@@ -133,7 +136,7 @@
         relay.drain(&kept.with(&drains), follower.origin());
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
-            match S::parse_plan(&change.key, value) {
+            match S::parse_configuration(&change.key, value) {
                 Ok(Some(mut plan)) => {
                     plan.revision = change.revision;
                     adopt(&relay, plan, follower.origin());
@@ -218,8 +221,8 @@
 }
 
 /// Follows the list of runners until the task is dropped.
-pub async fn runners<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
-    let mut follower = Follower::new(&relay, source, S::RUNNERS, PACE);
+pub async fn runner_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
+    let mut follower = Follower::new(&relay, source, S::RUNNER_TABLE, PACE);
     let mut deferred = Deferred::default();
     loop {
         let changes = tokio::select! {
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -1,18 +1,18 @@
 //! What the processes say to one another: pieces for the one that forms a cell's calls, and which
 //! configuration is in force.
 
-mod board;
+mod call_loads;
+mod frame;
 mod overlay;
 mod serving;
 pub(crate) mod tables;
-mod talk;
 mod transfer;
 
-pub use board::{Board, Burdens, exchange_burdens};
+pub use call_loads::{CallLoadTable, CallLoads, exchange_call_loads};
+pub use frame::{Frame, WireOrder};
 pub use overlay::{StateDigest, maintain_links};
 pub use serving::serve;
 pub use tables::TableUpdate;
-pub use talk::{Frame, WireOrder};
 pub use transfer::Part;
 
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
@@ -51,7 +51,7 @@
     subscribers: Mutex<Vec<Sender<Frame>>>,
     loads: Mutex<Map<Cell, (Waits, Instant)>>,
     held: Mutex<Map<Cell, Held>>,
-    pub(crate) board: Board,
+    pub(crate) call_loads: CallLoadTable,
     /// How far this process has got to know the others.
     stage: watch::Sender<Stage>,
     /// Wakes the task that writes the own row.
@@ -137,7 +137,7 @@
             subscribers: Mutex::default(),
             loads: Mutex::default(),
             held: Mutex::default(),
-            board: Board::default(),
+            call_loads: CallLoadTable::default(),
             stage: watch::Sender::default(),
             rewrite: Notify::new(),
             tables: Tables::default(),
@@ -344,7 +344,7 @@
         match linked {
             Ok(Ok((sender, receiver))) => {
                 let open = Arc::new(PeerLink::new(member.incarnation, sender));
-                talk::start(relay.clone(), open.clone(), receiver);
+                frame::start(relay.clone(), open.clone(), receiver);
                 *line = Some(open.clone());
                 Some(open)
             }
--- a/crates/relay/src/peer/board.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -4,7 +4,7 @@
 //! says that a runner is free or hopelessly behind; what the others have sent makes the difference.
 //! One process for each service adds up what all tell it, and tells each what the others have.
 
-use super::talk::Frame;
+use super::frame::Frame;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::MemberId;
@@ -24,21 +24,21 @@
 const TTL: Duration = Duration::from_millis(500);
 
 /// Calls at each runner.
-pub type Burdens = Vec<(RunnerId, Burden)>;
+pub type CallLoads = Vec<(RunnerId, Burden)>;
 
 /// The last word of each process on its calls at each service.
 #[derive(Debug, Default)]
-pub struct Board(Mutex<Map<ServiceId, Map<MemberId, Word>>>);
+pub struct CallLoadTable(Mutex<Map<ServiceId, Map<MemberId, Word>>>);
 
 #[derive(Debug)]
 struct Word {
     received: Instant,
-    burdens: Burdens,
+    burdens: CallLoads,
 }
 
-impl Board {
+impl CallLoadTable {
     /// Takes in a process's word, and gives what the others have.
-    pub fn exchange(&self, service: &ServiceId, from: MemberId, burdens: Burdens) -> Burdens {
+    pub fn exchange(&self, service: &ServiceId, from: MemberId, burdens: CallLoads) -> CallLoads {
         let mut board = lock(&self.0);
         let words = board.entry(service.clone()).or_default();
         words.retain(|_, word| word.received.elapsed() < TTL);
@@ -57,7 +57,7 @@
 }
 
 /// Tells of the own calls until the task is dropped.
-pub async fn exchange_burdens<D: Downstream>(relay: Arc<Relay<D>>) {
+pub async fn exchange_call_loads<D: Downstream>(relay: Arc<Relay<D>>) {
     if relay.options.policy.board == Policy::Naive {
         return;
     }
@@ -71,12 +71,12 @@
     }
 }
 
-async fn tell_one<D: Downstream>(relay: &Arc<Relay<D>>, service: ServiceId, burdens: Burdens) {
+async fn tell_one<D: Downstream>(relay: &Arc<Relay<D>>, service: ServiceId, burdens: CallLoads) {
     let own = relay.options.member.id.clone();
     let name = format!("board/{service}");
     let owner = relay.peers.members(|members| members.owner(&name));
     if owner.id == own {
-        let others = relay.peers.board.exchange(&service, own, burdens);
+        let others = relay.peers.call_loads.exchange(&service, own, burdens);
         take(relay, &service, others);
         return;
     }
@@ -91,7 +91,7 @@
 }
 
 /// Takes in what the other processes have at the runners.
-pub(super) fn take<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: Burdens) {
+pub(super) fn take<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: CallLoads) {
     let now = relay.now();
     relay.pool(service, |pool| pool.told(now, others));
 }
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -2,7 +2,7 @@
 
 use super::overlay::{self, StateDigest};
 use super::transfer::Part;
-use super::{Burdens, PeerLink, TableUpdate, board, transfer};
+use super::{CallLoads, PeerLink, TableUpdate, call_loads, transfer};
 use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
@@ -87,14 +87,14 @@
         /// The sender.
         from: MemberId,
         /// The calls.
-        burdens: Burdens,
+        burdens: CallLoads,
     },
     /// Calls that all other processes have there, in reply.
     Elsewhere {
         /// The service.
         service: ServiceId,
         /// The calls.
-        burdens: Burdens,
+        burdens: CallLoads,
     },
     /// What is new in a table of the platform?
     AskNews {
@@ -262,7 +262,7 @@
             pending.beaten = None;
         }
         match frame {
-            Frame::Elsewhere { service, burdens } => board::take(&relay, &service, burdens),
+            Frame::Elsewhere { service, burdens } => call_loads::take(&relay, &service, burdens),
             Frame::Outcome { ticket, outcome } => {
                 let reply = lock(&line.pending).waiting.remove(&ticket);
                 // Whoever waited may have left meanwhile.
--- a/crates/relay/src/peer/overlay.rs
+++ b/crates/relay/src/peer/overlay.rs
@@ -6,7 +6,7 @@
 //! link compare what they know every second, and tell each other all of it where that differs.
 
 use super::PeerLink;
-use super::talk::{self, Frame};
+use super::frame::{self, Frame};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::{Member, MemberId};
@@ -112,6 +112,6 @@
         });
     }
     if beat != other {
-        talk::greet(relay, sender);
+        frame::greet(relay, sender);
     }
 }
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -1,6 +1,6 @@
 //! The end of a link that carries out the other process's orders.
 
-use super::talk::{self, Frame};
+use super::frame::{self, Frame};
 use super::{tables, transfer};
 use crate::batch::{Cell, Outcome, Spoiled};
 use crate::core::Relay;
@@ -42,7 +42,7 @@
     mut receiver: Receiver<Frame>,
 ) {
     relay.peers.subscribe(sender.clone());
-    talk::greet(&relay, &sender);
+    frame::greet(&relay, &sender);
     let mut orders = Orders {
         running: JoinSet::new(),
         handles: Map::default(),
@@ -100,7 +100,7 @@
                 from,
                 burdens,
             } => {
-                let burdens = relay.peers.board.exchange(&service, from, burdens);
+                let burdens = relay.peers.call_loads.exchange(&service, from, burdens);
                 // A link that is gone or full needs no reply: the sender asks again.
                 let _ = sender.try_send(&Frame::Elsewhere { service, burdens });
             }
@@ -117,7 +117,7 @@
                 let batcher = relay.batcher(&results.cell);
                 batcher.release(relay, &results.handles, spent);
             }
-            other => talk::common(relay, sender, other),
+            other => frame::common(relay, sender, other),
         }
     }
 
--- a/crates/relay/src/peer/tables.rs
+++ b/crates/relay/src/peer/tables.rs
@@ -3,7 +3,7 @@
 //! Each question to the table service costs as much as a change does, and nearly all are answered with
 //! nothing new. In a large fleet a few processes read the tables, and each tells a few others.
 
-use super::talk::Frame;
+use super::frame::Frame;
 use super::{PeerLink, Peers};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -1,6 +1,6 @@
 //! Configurations that processes fetch from one another, in parts.
 
-use super::talk::Frame;
+use super::frame::Frame;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::plan::{Plan, Version};
--- a/crates/relay/tests/burden_board.rs
+++ b/crates/relay/tests/call_loads.rs
@@ -1,7 +1,7 @@
 //! What the processes tell one another of their calls at model runners.
 
 use decide::route::Burden;
-use relay::peer::Board;
+use relay::peer::CallLoadTable;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -16,7 +16,7 @@
 /// the runner that holds its callers' prompts.
 #[tokio::test(start_paused = true)]
 async fn others_only() {
-    let board = Board::default();
+    let board = CallLoadTable::default();
     let service = "models".into();
     board.exchange(&service, "a".into(), vec![("one".into(), burden(2))]);
     let both = vec![("one".into(), burden(1)), ("two".into(), burden(4))];
@@ -32,7 +32,7 @@
 /// longer than its calls could, or the runners would stand idle.
 #[tokio::test(start_paused = true)]
 async fn old_word_lapses() {
-    let board = Board::default();
+    let board = CallLoadTable::default();
     let service = "models".into();
     board.exchange(&service, "a".into(), vec![("one".into(), burden(9))]);
     sleep(Duration::from_millis(600)).await;
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -98,15 +98,15 @@
 }
 
 impl TableSource for ScriptedFeed {
-    const PLANS: &'static str = "plans";
-    const RUNNERS: &'static str = "runners";
+    const OPERATOR_TABLE: &'static str = "plans";
+    const RUNNER_TABLE: &'static str = "runners";
 
     fn drained_domain(key: &str) -> Option<DomainId> {
         key.strip_prefix("drained-").map(DomainId::from)
     }
 
     /// A version, or one with the names of more routes.
-    fn parse_plan(_key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
+    fn parse_configuration(_key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
             let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -135,15 +135,15 @@
 }
 
 impl TableSource for Service {
-    const PLANS: &'static str = ScriptedFeed::PLANS;
-    const RUNNERS: &'static str = ScriptedFeed::RUNNERS;
+    const OPERATOR_TABLE: &'static str = ScriptedFeed::OPERATOR_TABLE;
+    const RUNNER_TABLE: &'static str = ScriptedFeed::RUNNER_TABLE;
 
     fn drained_domain(key: &str) -> Option<DomainId> {
         ScriptedFeed::drained_domain(key)
     }
 
-    fn parse_plan(key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
-        ScriptedFeed::parse_plan(key, value)
+    fn parse_configuration(key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
+        ScriptedFeed::parse_configuration(key, value)
     }
 
     fn parse_runner(key: &str, value: &Value) -> Result<Runner, InvalidRow> {
--- a/crates/relay/tests/domain_drained.rs
+++ b/crates/relay/tests/domain_drained.rs
@@ -37,7 +37,10 @@
 /// A relay that has followed the operator's table for a while.
 async fn told(told: Vec<FeedReply>) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::operator_table(
+        relay.clone(),
+        ScriptedFeed::new(told),
+    ));
     sleep(SOON).await;
     following.abort();
     relay
@@ -144,7 +147,7 @@
     let relay = ready(Fake::default());
     relay.drain(&drains(8, &[]), "test");
     let script = ScriptedFeed::new(vec![drained()]);
-    let following = tokio::spawn(follow::plans(relay.clone(), script));
+    let following = tokio::spawn(follow::operator_table(relay.clone(), script));
     sleep(SOON).await;
     following.abort();
     assert_eq!(known(&relay), 2);
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -107,8 +107,8 @@
     /// All follow the tables; the last one is turned away by the service and hears from its peers alone.
     fn start(&self) {
         for relay in &self.relays[..PROCESSES - 1] {
-            tokio::spawn(follow::plans(relay.clone(), self.service.clone()));
-            tokio::spawn(follow::runners(relay.clone(), self.service.clone()));
+            tokio::spawn(follow::operator_table(relay.clone(), self.service.clone()));
+            tokio::spawn(follow::runner_table(relay.clone(), self.service.clone()));
             tokio::spawn(peer::maintain_links(relay.clone()));
         }
         let relay = self.last();
@@ -118,8 +118,8 @@
                 10_000
             ])
         };
-        tokio::spawn(follow::plans(relay.clone(), away()));
-        tokio::spawn(follow::runners(relay.clone(), away()));
+        tokio::spawn(follow::operator_table(relay.clone(), away()));
+        tokio::spawn(follow::runner_table(relay.clone(), away()));
         tokio::spawn(peer::maintain_links(relay.clone()));
     }
 
--- a/crates/relay/tests/older_copy.rs
+++ b/crates/relay/tests/older_copy.rs
@@ -30,7 +30,7 @@
 
 async fn runners(told: Vec<FeedReply>, time: Duration) -> Vec<String> {
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
     sleep(time).await;
     following.abort();
     let working = relay.fleet(|fleet| fleet.of("plain").to_vec());
@@ -114,7 +114,10 @@
 
 async fn plans(told: Vec<FeedReply>, time: Duration) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::operator_table(
+        relay.clone(),
+        ScriptedFeed::new(told),
+    ));
     sleep(time).await;
     following.abort();
     relay
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -22,7 +22,10 @@
         FeedReply::Rows(vec![("config", None)]),
     ];
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::operator_table(
+        relay.clone(),
+        ScriptedFeed::new(told),
+    ));
     sleep(Duration::from_secs(5)).await;
     following.abort();
     assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -31,7 +31,7 @@
 async fn following(fake: &Fake, told: Vec<FeedReply>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
     let relay = blank(fake.clone());
     relay.adopt(plan(1));
-    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_millis(700)).await;
     assert!(relay.informed());
     (relay, following)
--- a/crates/relay/tests/runner_list.rs
+++ b/crates/relay/tests/runner_list.rs
@@ -12,7 +12,7 @@
 
 async fn follow_for(told: Vec<FeedReply>, time: Duration) -> Arc<Relay<Fake>> {
     let relay = blank(Fake::default());
-    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
     sleep(time).await;
     following.abort();
     relay
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -58,7 +58,7 @@
         };
         let relay = blank_as(Fake::default(), teller);
         tokio::spawn(peer::serve(relay.clone(), listener));
-        tokio::spawn(follow::runners(relay, ScriptedFeed::new(told)));
+        tokio::spawn(follow::runner_table(relay, ScriptedFeed::new(told)));
         let (sender, receiver) = wire::connect(address, &key).await.expect("linked");
         Self {
             address,
@@ -71,7 +71,7 @@
         let after = after.into();
         let question = Frame::AskNews {
             ticket: 1,
-            table: ScriptedFeed::RUNNERS.to_owned(),
+            table: ScriptedFeed::RUNNER_TABLE.to_owned(),
             after,
         };
         self.sender.send(question).await.expect("linked");
@@ -178,7 +178,7 @@
         );
     });
     let told = [FeedReply::At(7, vec![("r-new", entry("plain"))])];
-    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
     let listed = async {
         while relay.fleet(|_| ()).is_none() {
             sleep(Duration::from_millis(5)).await;
@@ -203,7 +203,7 @@
         .into_iter()
         .chain(quiet)
         .chain([FeedReply::At(6, vec![("r-1", None)])]);
-    let following = tokio::spawn(follow::runners(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_secs(12)).await;
     following.abort();
     assert!(relay.runner("r-1").is_none());
