--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -9,7 +9,7 @@
 use crate::memory::MemoryBudget;
 use crate::outage::Outages;
 use crate::pause::{Clock, PauseDetector};
-use crate::peer::{Burdens, Peers};
+use crate::peer::{CallLoads, Peers};
 use crate::quarantine;
 use crate::request::ContentId;
 use crate::runner::{Change, DomainId, Fleet, Runner};
@@ -334,7 +334,7 @@
     }
 
     /// The calls that this process has at the services that are sent prompts.
-    pub(crate) fn burdens(&self) -> Vec<(ServiceId, Burdens)> {
+    pub(crate) fn burdens(&self) -> Vec<(ServiceId, CallLoads)> {
         let now = self.now();
         let pools = lock(&self.pools);
         let prompted = pools
@@ -403,7 +403,7 @@
         let cost = |share: &&CellRunners| {
             let away = domain.is_some() && !near(share);
             let wait = if away { patience } else { Duration::ZERO };
-            self.peers.expected(self, &share.cell, LAST_RANK) + wait
+            self.peers.expected_wait(self, &share.cell, LAST_RANK) + wait
         };
         // Two drawn at random, not the best of all: many processes that go by the same news would
         // all go to the same cell. One near the wanted domain is among them, if there is one.
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -1,18 +1,18 @@
 //! What the processes say to one another: pieces for the one that forms a cell's calls, and which
 //! configuration is in force.
 
-mod board;
+mod call_loads;
+mod frame;
 mod overlay;
 mod serving;
 pub(crate) mod tables;
-mod talk;
 mod transfer;
 
-pub use board::{Board, Burdens, exchange_burdens};
-pub use overlay::{Beat, keep};
+pub use call_loads::{CallLoadTable, CallLoads, exchange_call_loads};
+pub use frame::{Frame, WireOrder};
+pub use overlay::{StateDigest, maintain_links};
 pub use serving::serve;
-pub use tables::News;
-pub use talk::{Frame, Sheet};
+pub use tables::TableUpdate;
 pub use transfer::Part;
 
 use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError, WaitEstimates};
@@ -51,7 +51,7 @@
     subscribers: Mutex<Vec<Sender<Frame>>>,
     loads: Mutex<Map<Cell, (WaitEstimates, Instant)>>,
     held: Mutex<Map<Cell, Held>>,
-    pub(crate) board: Board,
+    pub(crate) call_loads: CallLoadTable,
     /// How far this process has got to know the others.
     stage: watch::Sender<Stage>,
     /// Wakes the task that writes the own row.
@@ -96,11 +96,11 @@
 }
 
 /// The link to one process; whoever finds none opens it while the others wait.
-type Slot = tokio::sync::Mutex<Option<Arc<Line>>>;
+type Slot = tokio::sync::Mutex<Option<Arc<PeerLink>>>;
 
 /// A link with the orders that wait for their outcome on it.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct PeerLink {
     incarnation: u64,
     sender: Sender<Frame>,
     pending: Mutex<Pending>,
@@ -114,7 +114,7 @@
     beaten: Option<Instant>,
     waiting: Map<u64, oneshot::Sender<Outcome>>,
     /// Questions for news of a table.
-    news: Map<u64, oneshot::Sender<Option<News>>>,
+    news: Map<u64, oneshot::Sender<Option<TableUpdate>>>,
 }
 
 impl Pending {
@@ -137,7 +137,7 @@
             subscribers: Mutex::default(),
             loads: Mutex::default(),
             held: Mutex::default(),
-            board: Board::default(),
+            call_loads: CallLoadTable::default(),
             stage: watch::Sender::default(),
             rewrite: Notify::new(),
             tables: Tables::default(),
@@ -196,8 +196,8 @@
     /// Tells all linked processes that this one stops, and that its work is for the next one.
     ///
     /// Others would go on to send it orders until it is gone, and lose them with it.
-    pub fn leave(&self, own: &Member) {
-        lock(&self.members).leave();
+    pub fn announce_leaving(&self, own: &Member) {
+        lock(&self.members).mark_leaving();
         let leaving = Frame::Leaving {
             id: own.id.clone(),
             incarnation: own.incarnation,
@@ -206,7 +206,7 @@
     }
 
     /// Waits until the orders of other processes have been carried out.
-    pub async fn finish(&self) {
+    pub async fn finish_orders(&self) {
         self.orders.close();
         self.orders.wait().await;
     }
@@ -258,7 +258,12 @@
     }
 
     /// Expected time until pieces of this rank that come now are made in a cell.
-    pub fn expected<D: Downstream>(&self, relay: &Relay<D>, cell: &Cell, rank: Rank) -> Duration {
+    pub fn expected_wait<D: Downstream>(
+        &self,
+        relay: &Relay<D>,
+        cell: &Cell,
+        rank: Rank,
+    ) -> Duration {
         let batches = relay.batches(&cell.service);
         let Some(batches) = batches else {
             return Duration::ZERO;
@@ -280,7 +285,7 @@
     }
 
     /// Notes results of a cell that a request holds now, each of this size.
-    pub fn hold(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
+    pub fn record_results(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
         let mut held = lock(&self.held);
         let results = &mut held.entry(cell.clone()).or_default().results;
         results.extend(handles.iter().map(|handle| (handle.clone(), bytes)));
@@ -327,7 +332,7 @@
         &self,
         relay: &Arc<Relay<D>>,
         member: &Member,
-    ) -> Option<Arc<Line>> {
+    ) -> Option<Arc<PeerLink>> {
         let slot = lock(&self.slots)
             .entry(member.id.clone())
             .or_default()
@@ -343,8 +348,8 @@
         let linked = timeout(CONNECT, wire::connect(member.address, &self.key)).await;
         match linked {
             Ok(Ok((sender, receiver))) => {
-                let open = Arc::new(Line::new(member.incarnation, sender));
-                talk::start(relay.clone(), open.clone(), receiver);
+                let open = Arc::new(PeerLink::new(member.incarnation, sender));
+                frame::start(relay.clone(), open.clone(), receiver);
                 *line = Some(open.clone());
                 Some(open)
             }
@@ -360,7 +365,7 @@
     }
 }
 
-impl Line {
+impl PeerLink {
     fn new(incarnation: u64, sender: Sender<Frame>) -> Self {
         let pending = Pending {
             next: 0,
@@ -391,7 +396,7 @@
 /// An order that waits on a link. One that is dropped is withdrawn, so that no runner works for a
 /// caller that has left.
 struct Waiting {
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     ticket: u64,
 }
 
@@ -417,7 +422,11 @@
 /// # Errors
 ///
 /// [`StageError`].
-pub async fn make<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
+pub async fn execute_order<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    cell: &Cell,
+    order: Order,
+) -> Outcome {
     for _ in 0..OWNERS {
         let owner = relay.peers.members(|members| members.owner(&cell.name()));
         let news = relay.peers.news_for(cell, &owner);
@@ -480,7 +489,7 @@
     let frame = Frame::Order {
         ticket,
         cell: cell.clone(),
-        sheet: Box::new(Sheet::new(order)),
+        sheet: Box::new(WireOrder::new(order)),
     };
     if waiting.line.sender.send(frame).await.is_err() {
         return Asked::Unreached;
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -1,6 +1,6 @@
 //! Configurations that processes fetch from one another, in parts.
 
-use super::talk::Frame;
+use super::frame::Frame;
 use crate::configuration::{Configuration, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
