--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -353,7 +353,10 @@
         };
         let made = behavior.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
         let spacing = *self.spacing.lock().expect("no holder panics");
-        Ok(BatchReply { outcomes, spacing })
+        Ok(BatchReply {
+            outcomes: made,
+            spacing,
+        })
     }
 
     async fn release(&self, _runner: &Runner, handles: Vec<Handle>) -> Result<(), Failure> {
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -142,8 +142,8 @@
         ScriptedFeed::drained_domain(key)
     }
 
-    fn configuration(key: &str, value: &Value) -> Result<Option<Configuration>, InvalidRow> {
-        ScriptedFeed::configuration(key, value)
+    fn parse_configuration(key: &str, value: &Value) -> Result<Option<Configuration>, InvalidRow> {
+        ScriptedFeed::parse_configuration(key, value)
     }
 
     fn parse_runner(key: &str, value: &Value) -> Result<Runner, InvalidRow> {
