--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -3,13 +3,13 @@
 mod budget;
 mod follower;
 
-pub use budget::Budget;
+pub use budget::StalenessBudget;
 pub(crate) use follower::{Follower, Pace};
 
+use crate::configuration::Configuration;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::drain::Drains;
-use crate::plan::Plan;
 use crate::runner::{Change, DomainId, Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -45,12 +45,12 @@
 /// A row that holds nothing usable.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("unreadable: {reason}"))]
-pub struct Unreadable {
+pub struct InvalidRow {
     /// What is wrong with it.
     pub reason: String,
 }
 
-impl Unreadable {
+impl InvalidRow {
     /// Unreadable because of an error.
     pub fn from_error(error: &impl StdError) -> Self {
         Self {
@@ -60,56 +60,62 @@
 }
 
 /// Where configuration and runners are found.
-pub trait Source: Feed {
+pub trait TableSource: Feed {
     /// Table that the operator writes: the configuration, and which failure domains are drained.
-    const PLANS: &'static str;
+    const OPERATOR_TABLE: &'static str;
     /// Table of the runners.
-    const RUNNERS: &'static str;
+    const RUNNER_TABLE: &'static str;
 
     /// The failure domain that is drained as long as the operator's table has a row of this key; `None`
     /// if the row says something else.
-    fn drained(key: &str) -> Option<DomainId>;
+    fn drained_domain(key: &str) -> Option<DomainId>;
 
     /// Reads a row of the operator's table as a configuration; `None` if the row is something else.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`].
-    fn plan(key: &str, value: &serde_json::Value) -> Result<Option<Plan>, Unreadable>;
+    /// [`InvalidRow`].
+    fn parse_configuration(
+        key: &str,
+        value: &serde_json::Value,
+    ) -> Result<Option<Configuration>, InvalidRow>;
 
     /// Reads a row of the table of the runners.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`].
-    fn runner(key: &str, value: &serde_json::Value) -> Result<Runner, Unreadable>;
+    /// [`InvalidRow`].
+    fn parse_runner(key: &str, value: &serde_json::Value) -> Result<Runner, InvalidRow>;
 }
 
 /// Follows the tables of the operator and of the runners until the task is dropped, once it is known
 /// which other processes there are to ask.
-pub async fn tables<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn tables<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     relay.peers.listed(LIST_WAIT).await;
     check_budget(&relay);
-    let plans = plans(relay.clone(), source.clone());
-    tokio::join!(plans, runners(relay, source));
+    let operator_table = operator_table(relay.clone(), source.clone());
+    tokio::join!(operator_table, runner_table(relay, source));
 }
 
 /// Tells the operator if the bound on work for leaving runners is shorter than the news may take.
 fn check_budget<D: Downstream>(relay: &Relay<D>) {
     let (is_shared, levels) = relay
         .peers
-        .members(|members| (members.share_tables(), members.tree.levels()));
-    let (bound, budget) = (relay.options.drain, Budget::new(relay.options.drain));
+        .members(|members| (members.shares_tables(), members.tree.levels()));
+    let (bound, budget) = (
+        relay.options.drain,
+        StalenessBudget::new(relay.options.drain),
+    );
     if is_shared && !budget.allows(PACE.shared, levels) {
         warn!(relay.log, "bound on work for leaving runners may be missed"; "bound_ms" => millis(bound),
-            "longest_ms" => millis(budget.longest(levels)), "levels" => levels);
+            "longest_ms" => millis(budget.max_delay(levels)), "levels" => levels);
     }
 }
 
 /// Follows what the operator writes until the task is dropped.
-pub async fn plans<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn operator_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     // Configurations are fetched from peers, in parts.
-    let mut follower = Follower::new(&relay, source, S::PLANS, PACE).withholding();
+    let mut follower = Follower::new(&relay, source, S::OPERATOR_TABLE, PACE).withholding();
     // As this table tells by itself: what peers have told may be newer, and changes to it older.
     let mut drains = Drains::default();
     let mut kept = Kept::default();
@@ -130,10 +136,10 @@
         relay.drain(&kept.with(&drains), follower.origin());
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
-            match S::plan(&change.key, value) {
-                Ok(Some(mut plan)) => {
-                    plan.revision = change.revision;
-                    adopt(&relay, plan, follower.origin());
+            match S::parse_configuration(&change.key, value) {
+                Ok(Some(mut configuration)) => {
+                    configuration.revision = change.revision;
+                    adopt(&relay, configuration, follower.origin());
                 }
                 Ok(None) => {}
                 Err(error) => {
@@ -166,7 +172,7 @@
     }
 
     /// Takes in what has been written since, unless it is the copy itself.
-    fn take<S: Source>(&mut self, changes: &Changes, copy: bool) {
+    fn take<S: TableSource>(&mut self, changes: &Changes, copy: bool) {
         if self.until.is_some_and(|until| until <= Instant::now()) {
             self.domains.clear();
             self.until = None;
@@ -176,7 +182,7 @@
             for domain in changes
                 .rows
                 .iter()
-                .filter_map(|change| S::drained(&change.key))
+                .filter_map(|change| S::drained_domain(&change.key))
             {
                 self.domains.remove(&domain);
             }
@@ -192,10 +198,10 @@
     }
 }
 
-fn drain<S: Source>(drains: &mut Drains, changes: &Changes) {
+fn drain<S: TableSource>(drains: &mut Drains, changes: &Changes) {
     drains.revision = drains.revision.max(changes.revision);
     for change in &changes.rows {
-        let Some(domain) = S::drained(&change.key) else {
+        let Some(domain) = S::drained_domain(&change.key) else {
             continue;
         };
         if change.value.is_some() {
@@ -206,17 +212,19 @@
     }
 }
 
-fn adopt<D: Downstream>(relay: &Relay<D>, plan: Plan, origin: &str) {
-    let version = plan.version;
-    let before = relay.plan().map(|plan| plan.version);
-    let adopted = relay.adopt(plan);
+fn adopt<D: Downstream>(relay: &Relay<D>, configuration: Configuration, origin: &str) {
+    let version = configuration.version;
+    let before = relay
+        .configuration()
+        .map(|configuration| configuration.version);
+    let adopted = relay.adopt(configuration);
     info!(relay.log, "configuration"; "version" => version, "before" => before, "adopted" => adopted,
         "from" => origin);
 }
 
 /// Follows the list of runners until the task is dropped.
-pub async fn runners<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
-    let mut follower = Follower::new(&relay, source, S::RUNNERS, PACE);
+pub async fn runner_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
+    let mut follower = Follower::new(&relay, source, S::RUNNER_TABLE, PACE);
     let mut deferred = Deferred::default();
     loop {
         let changes = tokio::select! {
@@ -233,7 +241,7 @@
         }
         news.extend(deferred.over());
         relay.update(news);
-        relay.runners_known(relay.started() + follower.current());
+        relay.mark_runner_list_current(relay.started() + follower.current());
     }
 }
 
@@ -271,7 +279,7 @@
         let mut now = Vec::new();
         for change in changes {
             match &change {
-                Change::Listed(runner) if !runner.leaving && !relay.knows(runner) => {
+                Change::Listed(runner) if !runner.leaving && !relay.has_entry(runner) => {
                     self.0.insert(runner.id.clone(), (change, until));
                 }
                 _ => now.push(change),
@@ -309,13 +317,13 @@
     }
 }
 
-fn read<D: Downstream, S: Source>(relay: &Relay<D>, changes: &Changes) -> Vec<Change> {
+fn read<D: Downstream, S: TableSource>(relay: &Relay<D>, changes: &Changes) -> Vec<Change> {
     let read_one = |change: &store::Change| {
         let gone = || Change::Gone(change.key.as_str().into());
         let Some(value) = &change.value else {
             return gone();
         };
-        S::runner(&change.key, value).map_or_else(
+        S::parse_runner(&change.key, value).map_or_else(
             |error| {
                 warn!(relay.log, "entry of a runner unreadable, it gets no work";
                     "runner" => &change.key, "error" => %error);
--- a/crates/relay/tests/burden_board.rs
+++ b/crates/relay/tests/call_loads.rs
@@ -1,7 +1,7 @@
 //! What the processes tell one another of their calls at model runners.
 
 use decide::route::CallLoad;
-use relay::peer::Board;
+use relay::peer::CallLoadTable;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -16,7 +16,7 @@
 /// the runner that holds its callers' prompts.
 #[tokio::test(start_paused = true)]
 async fn others_only() {
-    let board = Board::default();
+    let board = CallLoadTable::default();
     let service = "models".into();
     board.exchange(&service, "a".into(), vec![("one".into(), call_load(2))]);
     let both = vec![("one".into(), call_load(1)), ("two".into(), call_load(4))];
@@ -32,7 +32,7 @@
 /// longer than its calls could, or the runners would stand idle.
 #[tokio::test(start_paused = true)]
 async fn old_word_lapses() {
-    let board = Board::default();
+    let board = CallLoadTable::default();
     let service = "models".into();
     board.exchange(&service, "a".into(), vec![("one".into(), call_load(9))]);
     sleep(Duration::from_millis(600)).await;
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fake, blank_as, informed, link};
+use common::{Fake, configured, link, unconfigured_member};
 use protocol::quarantine::Crash;
 use relay::Relay;
 use relay::member::{Member, Members};
@@ -35,7 +35,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member(number, listener.address().expect("bound"));
-    let relay = informed(blank_as(Fake::default(), member.clone()));
+    let relay = configured(unconfigured_member(Fake::default(), member.clone()));
     tokio::spawn(peer::serve(relay.clone(), listener));
     (relay, member)
 }
@@ -66,13 +66,16 @@
             for (_, other) in &relays {
                 members.put(other.clone(), 1);
             }
-            members.listed();
+            members.mark_listed();
         });
-        tokio::spawn(peer::keep(relay.clone()));
+        tokio::spawn(peer::maintain_links(relay.clone()));
     }
     relays[0].0.merge_suspicion(&suspicion(), "test");
     let everywhere = async {
-        while !relays.iter().all(|(relay, _)| relay.holds_back(CONTENT)) {
+        while !relays
+            .iter()
+            .all(|(relay, _)| relay.is_quarantined(CONTENT))
+        {
             sleep(Duration::from_millis(5)).await;
         }
     };
@@ -84,7 +87,7 @@
 async fn repeated_after_beat() {
     let (relay, _) = relay(0).await;
     let (sender, mut receiver) = link::open(&relay).await;
-    let empty = peer::Beat::default();
+    let empty = peer::StateDigest::default();
     let beat = |beat| Frame::Beat {
         beat,
         answers: false,
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Act, End, Fake, body, choosing, inputs, ready, request, runner};
+use common::{Behavior, Fake, StreamEnd, body, inputs, ready, request, runner, with_policies};
 use relay::Relay;
-use relay::batch::{Order, Spent};
-use relay::downstream::{Failure, Handle, Made, NotRun};
+use relay::batch::{Order, ReleaseKind};
+use relay::downstream::{Failure, Handle, NotRun, PieceOutcome};
 use relay::runner::Change;
 use setting::Policy;
 use setting::relay::Policies;
@@ -32,7 +32,11 @@
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 4]);
 }
 
@@ -46,12 +50,16 @@
         admission: Policy::Naive,
         ..Policies::default()
     };
-    let relay = choosing(fake.clone(), naive);
+    let relay = with_policies(fake.clone(), naive);
     let orders = ["a", "b", "c", "d"].map(|id| submit(&relay, order(id, 2)));
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
@@ -64,11 +72,11 @@
             admission,
             ..Policies::default()
         };
-        let relay = choosing(Fake::default(), policy);
+        let relay = with_policies(Fake::default(), policy);
         for number in 0..8 {
             let order = Order {
                 due: Instant::now() + Duration::from_secs(3),
-                result: SMALL,
+                result_bytes: SMALL,
                 ..order(&format!("burst-{number}"), 4)
             };
             let relay = relay.clone();
@@ -77,7 +85,7 @@
         sleep(Duration::from_millis(10)).await;
         let late = Order {
             due: Instant::now(),
-            result: SMALL,
+            result_bytes: SMALL,
             ..order("late", 1)
         };
         let begun = Instant::now();
@@ -93,9 +101,9 @@
 #[tokio::test(start_paused = true)]
 async fn results_handed_on() {
     let events = vec!["id: 1\ndata: x\n\n"];
-    let fake = Fake::doing([Act::Stream {
+    let fake = Fake::with_behaviors([Behavior::Stream {
         parts: events,
-        end: End::Whole,
+        end: StreamEnd::Whole,
     }]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "chained")).await;
@@ -104,7 +112,7 @@
         (200, "id: 1\ndata: x\n\n".to_owned(), true)
     );
     let items: Vec<_> = fake
-        .carried()
+        .stage_calls()
         .into_iter()
         .flat_map(|call| call.items)
         .collect();
@@ -122,11 +130,14 @@
     let lost = Failure::Lost {
         reason: "reset".to_owned(),
     };
-    fake.stage_acts.lock().expect("free").push_back(Err(lost));
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(Err(lost));
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_eq!(calls.len(), 2);
     assert_ne!(calls[0].runner, calls[1].runner);
 }
@@ -144,7 +155,7 @@
         assert!(outcome.await.is_ok());
     }
     sleep(Duration::from_secs(1)).await;
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert!(
         calls
             .iter()
@@ -160,13 +171,13 @@
     let relay = ready(fake.clone());
     let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
     let mut late = order("c", 1);
-    late.last = Instant::now() + Duration::from_millis(300);
+    late.expires_at = Instant::now() + Duration::from_millis(300);
     let outcome = submit(&relay, late).await;
-    assert_eq!(outcome, Err(relay::batch::Spoiled::Late));
+    assert_eq!(outcome, Err(relay::batch::StageError::Late));
     for outcome in busy {
         assert!(outcome.await.is_ok());
     }
-    assert_eq!(fake.carried().len(), 2);
+    assert_eq!(fake.stage_calls().len(), 2);
 }
 
 /// The process that formed a runner's calls is gone, and another one does so now. It hears of
@@ -175,8 +186,8 @@
 #[tokio::test(start_paused = true)]
 async fn results_of_another_owner() {
     let fake = Fake::default();
-    let no_room = || Ok(vec![Made::NoRoom]);
-    fake.stage_acts
+    let no_room = || Ok(vec![PieceOutcome::NoRoom]);
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend([no_room(), no_room()]);
@@ -188,7 +199,9 @@
         .iter()
         .map(|runner| format!("{}/old", runner.address).into())
         .collect();
-    relay.batcher(&cell()).release(&relay, &old, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &old, ReleaseKind::Over);
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
     let released = fake.released.lock().expect("free").clone();
@@ -203,12 +216,15 @@
 #[tokio::test(start_paused = true)]
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
-    let no_room = Ok(vec![Made::NoRoom, Made::NoRoom]);
-    fake.stage_acts.lock().expect("free").push_back(no_room);
+    let no_room = Ok(vec![PieceOutcome::NoRoom, PieceOutcome::NoRoom]);
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(no_room);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_ne!(calls[0].runner, calls[1].runner);
 }
 
@@ -219,7 +235,7 @@
     let full = Err(Failure::NotRun {
         reason: NotRun::Full { spacing: None },
     });
-    fake.stage_acts.lock().expect("free").push_back(full);
+    fake.stage_behaviors.lock().expect("free").push_back(full);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
@@ -235,7 +251,9 @@
     for id in ["a", "b", "c", "d"] {
         made.extend(submit(&relay, order(id, 4)).await.expect("made"));
     }
-    relay.batcher(&cell()).release(&relay, &made, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &made, ReleaseKind::Over);
     for id in ["e", "f", "g", "h"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
@@ -256,11 +274,11 @@
     }
     let begun = Instant::now();
     let hasty = Order {
-        last: begun + Duration::from_secs(1),
+        expires_at: begun + Duration::from_secs(1),
         ..order("hasty", 4)
     };
     let patient = Order {
-        last: begun + Duration::from_secs(8),
+        expires_at: begun + Duration::from_secs(8),
         ..order("patient", 4)
     };
     let (hasty, patient) = tokio::join!(submit(&relay, hasty), submit(&relay, patient));
@@ -273,20 +291,20 @@
 #[tokio::test(start_paused = true)]
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
-    let gone = || Ok(vec![Made::InputGone]);
-    fake.stage_acts
+    let gone = || Ok(vec![PieceOutcome::InputGone]);
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend((0..4).map(|_| gone()));
     let relay = ready(fake.clone());
     for _ in 0..4 {
         let outcome = submit(&relay, order("a", 1)).await;
-        assert_eq!(outcome, Err(relay::batch::Spoiled::InputGone));
+        assert_eq!(outcome, Err(relay::batch::StageError::InputGone));
     }
     for id in ["b", "c", "d", "e"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
-    let runners: Vec<String> = fake.carried()[4..]
+    let runners: Vec<String> = fake.stage_calls()[4..]
         .iter()
         .map(|call| call.runner.clone())
         .collect();
@@ -301,15 +319,15 @@
 /// be given up: the caller is left with half an answer, after all the work that went into it.
 #[tokio::test(start_paused = true)]
 async fn remade_midway() {
-    let part = |parts: &[&'static str], end| Act::Stream {
+    let part = |parts: &[&'static str], end| Behavior::Stream {
         parts: parts.to_vec(),
         end,
     };
     let reason = NotRun::InputGone;
-    let fake = Fake::doing([
-        part(&["id: 1\ndata: x\n\n"], End::Silent),
-        Act::Refuse(reason),
-        part(&["id: 2\ndata: y\n\n"], End::Whole),
+    let fake = Fake::with_behaviors([
+        part(&["id: 1\ndata: x\n\n"], StreamEnd::Silent),
+        Behavior::Refuse(reason),
+        part(&["id: 2\ndata: y\n\n"], StreamEnd::Whole),
     ]);
     let relay = ready(fake.clone());
     relay.update(vec![Change::Listed(runner("p-3", "plain"))]);
