--- a/crates/decide/src/admit/predictive.rs
+++ b/crates/decide/src/admit/predictive.rs
@@ -15,8 +15,8 @@
 /// Fraction of the average slack that a workspace's predicted waiting time may take.
 const MAX_SLACK_FRACTION: f64 = 0.8;
 /// Number of calls that each workspace may always queue, however slow the pool is.
-const MIN_QUEUED: usize = 4;
-/// Every how many starts a late call goes before calls that are on time, so that late calls do not
+const MIN_QUEUED_CALLS: usize = 4;
+/// One in this many starts goes to a late call even if other calls wait, so that late calls do not
 /// starve.
 const LATE_INTERVAL: u32 = 10;
 /// Shortest time after which a refused caller should retry.
@@ -185,7 +185,7 @@
         let slack = request.latest_start.saturating_sub(now);
         self.slack.add(slack.as_secs_f64());
         let ahead = self.queued_by(request.workspace);
-        if ahead < MIN_QUEUED {
+        if ahead < MIN_QUEUED_CALLS {
             return None;
         }
         let expected_wait = self.expected_wait(request.workspace, request.share, limit);
--- a/crates/decide/src/batch.rs
+++ b/crates/decide/src/batch.rs
@@ -179,7 +179,12 @@
 /// };
 /// queue.push(group.clone());
 /// queue.push(Group { group_id: 2, pieces: 1, due: second / 2, ..group });
-/// let runner = FreeRunner { room: 1_000, domain: "a", required: RequiredGroup::Any, free_times: &[] };
+/// let runner = FreeRunner {
+///     room: 1_000,
+///     domain: "a",
+///     required: RequiredGroup::Any,
+///     free_times: &[],
+/// };
 /// let taken = queue.take(Duration::ZERO, &runner);
 /// assert_eq!(taken[0], Portion { group_id: 2, pieces: 1 });
 /// assert_eq!(taken[1], Portion { group_id: 1, pieces: 3 });
@@ -195,12 +200,12 @@
     /// An empty queue for calls of this shape.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
-        Self::with(shape, Rules::default())
+        Self::with_rules(shape, Rules::default())
     }
 
     /// An empty queue that applies only the enabled rules.
     #[must_use]
-    pub fn with(shape: Shape, rules: Rules) -> Self {
+    pub fn with_rules(shape: Shape, rules: Rules) -> Self {
         Self {
             shape,
             rules,
--- a/crates/decide/src/batch/configured.rs
+++ b/crates/decide/src/batch/configured.rs
@@ -12,7 +12,7 @@
 /// use std::time::Duration;
 ///
 /// let shape = Shape { size: 4, call: Duration::from_millis(200), piece: Duration::ZERO };
-/// assert_eq!(ConfiguredQueue::with(shape, Rules::default()).waiting_pieces(), 0);
+/// assert_eq!(ConfiguredQueue::with_rules(shape, Rules::default()).waiting_pieces(), 0);
 /// ```
 #[derive(Clone, Debug)]
 pub enum ConfiguredQueue {
@@ -25,8 +25,8 @@
 impl ConfiguredQueue {
     /// The shipped queue with the enabled rules.
     #[must_use]
-    pub fn with(shape: Shape, rules: Rules) -> Self {
-        Self::Slack(SlackQueue::with(shape, rules))
+    pub fn with_rules(shape: Shape, rules: Rules) -> Self {
+        Self::Slack(SlackQueue::with_rules(shape, rules))
     }
 
     /// The baseline.
--- a/crates/decide/src/retry/eject.rs
+++ b/crates/decide/src/retry/eject.rs
@@ -63,7 +63,7 @@
 
     /// Whether the ejection has expired.
     #[must_use]
-    pub fn due(&self, now: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| until <= now)
     }
 
--- a/crates/decide/src/route/affinity.rs
+++ b/crates/decide/src/route/affinity.rs
@@ -22,9 +22,9 @@
 const MIN_GROUP_SIZE: usize = 3;
 /// Cost in seconds of each position in a prefix's target order, so that processes whose preferred
 /// target is overloaded spill over to the same next one.
-const ORDER_COST: f64 = 0.001;
+const ORDER_COST_S: f64 = 0.001;
 /// Round-trip time in seconds of a call to another failure domain.
-const CROSS_DOMAIN_RTT: f64 = 0.002;
+const CROSS_DOMAIN_RTT_S: f64 = 0.002;
 
 /// Part of a prompt that is shared with other calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
         let domain_cost = if *target.domain == *call.domain {
             0.0
         } else {
-            CROSS_DOMAIN_RTT
+            CROSS_DOMAIN_RTT_S
         };
         if self.parts.is_empty() {
             return queue_wait + domain_cost + pool.expected_response_time(target, call);
@@ -123,11 +123,12 @@
         sort_by_hash(group, targets, full_prefix);
         let mut costs = vec![0.0; targets.len()];
         for (position, &index) in group.iter().enumerate().skip(1) {
-            costs[index] = REREAD_WEIGHT * read_seconds(rest_tokens) + ORDER_COST * position as f64;
+            costs[index] =
+                REREAD_WEIGHT * read_seconds(rest_tokens) + ORDER_COST_S * position as f64;
         }
         for &mut index in outside {
-            costs[index] =
-                REREAD_WEIGHT * read_seconds(rest_tokens + first.tokens) + ORDER_COST * size as f64;
+            costs[index] = REREAD_WEIGHT * read_seconds(rest_tokens + first.tokens)
+                + ORDER_COST_S * size as f64;
         }
         costs
     }
--- a/crates/decide/src/route/pool.rs
+++ b/crates/decide/src/route/pool.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Service time in seconds that is assumed before the first response.
-const INITIAL_SERVICE_TIME: f64 = 0.05;
+const INITIAL_SERVICE_TIME_S: f64 = 0.05;
 /// Weight of one response in the pool's means.
 const POOL_WEIGHT: f64 = 0.05;
 /// Fraction of the service time that a fully cached prefix is assumed to save before it is measured.
@@ -320,7 +320,7 @@
     fn readmit_due(&mut self, now: Duration) {
         for position in self.live..self.targets.len() {
             let target = &mut self.targets[position];
-            if !target.leaving && target.health.due(now) {
+            if !target.leaving && target.health.is_expired(now) {
                 target.health.readmit();
                 self.activate(position);
             }
@@ -350,7 +350,7 @@
     pub fn means(&self) -> PoolMeans {
         let count = self.targets.len().max(1) as f64;
         PoolMeans {
-            service_time: self.service_time.get().unwrap_or(INITIAL_SERVICE_TIME),
+            service_time: self.service_time.get().unwrap_or(INITIAL_SERVICE_TIME_S),
             other_calls: (self.other_calls / count).max(0.0),
             trust: self.trust.get(),
         }
--- a/crates/decide/src/route/sampled.rs
+++ b/crates/decide/src/route/sampled.rs
@@ -11,7 +11,7 @@
 /// Maximum number of candidates that probably have the call's prefix cached.
 const MAX_HOLDERS: usize = 2;
 /// Round-trip time in seconds of a call to another failure domain.
-const CROSS_DOMAIN_RTT: f64 = 0.002;
+const CROSS_DOMAIN_RTT_S: f64 = 0.002;
 /// Fraction of the slack that staying in the own failure domain may cost.
 const SLACK_SHARE: f64 = 0.02;
 /// Fraction of the service time that staying in the own failure domain may cost.
@@ -72,7 +72,7 @@
 /// a margin that is small compared to the slack and to the service time.
 fn domain_margin(pool: &Pool, call: &Call<'_>) -> f64 {
     let allowed = call.slack.as_secs_f64() * SLACK_SHARE;
-    CROSS_DOMAIN_RTT + allowed.min(pool.means().service_time * SERVICE_SHARE)
+    CROSS_DOMAIN_RTT_S + allowed.min(pool.means().service_time * SERVICE_SHARE)
 }
 
 fn draw<'a>(
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -52,8 +52,8 @@
         own: &str,
         others: impl IntoIterator<Item = &'a str>,
     ) -> bool {
-        let mine = (rendezvous_hash(runner, own), own);
-        let before = |other: &&str| (rendezvous_hash(runner, other), *other) < mine;
+        let own_hash = (rendezvous_hash(runner, own), own);
+        let before = |other: &&str| (rendezvous_hash(runner, other), *other) < own_hash;
         others.into_iter().filter(before).count() < self.senders
     }
 }
--- a/crates/decide/src/wait.rs
+++ b/crates/decide/src/wait.rs
@@ -70,9 +70,12 @@
 /// let (limit, hour) = (Duration::from_millis(500), Duration::from_secs(3_600));
 /// let limits = WaitLimits { closed: limit, unknown: 12 * limit, total: hour };
 /// let mut wait = Wait::new(limits, Duration::ZERO);
-/// assert_eq!(wait.observe(TargetAvailability::Open, Duration::ZERO), WaitDecision::Wait { until: hour });
-/// assert_eq!(wait.observe(TargetAvailability::Closed, limit), WaitDecision::Wait { until: 2 * limit });
-/// assert_eq!(wait.observe(TargetAvailability::Closed, 2 * limit), WaitDecision::GiveUp { limit });
+/// let decision = wait.observe(TargetAvailability::Open, Duration::ZERO);
+/// assert_eq!(decision, WaitDecision::Wait { until: hour });
+/// let decision = wait.observe(TargetAvailability::Closed, limit);
+/// assert_eq!(decision, WaitDecision::Wait { until: 2 * limit });
+/// let decision = wait.observe(TargetAvailability::Closed, 2 * limit);
+/// assert_eq!(decision, WaitDecision::GiveUp { limit });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Wait {
--- a/crates/decide/tests/near_inputs.rs
+++ b/crates/decide/tests/near_inputs.rs
@@ -32,7 +32,7 @@
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    simulate(&mut SlackQueue::with(SHAPE, rules), &WORKLOAD, seed)
+    simulate(&mut SlackQueue::with_rules(SHAPE, rules), &WORKLOAD, seed)
 }
 
 /// Requests wait for a runner in the domain of their inputs if it will be free in time. If any free
--- a/crates/decide/tests/whole_groups.rs
+++ b/crates/decide/tests/whole_groups.rs
@@ -38,7 +38,7 @@
 };
 
 fn run(rules: Rules, seed: u64) -> Outcome {
-    simulate(&mut SlackQueue::with(SHAPE, rules), &WORKLOAD, seed)
+    simulate(&mut SlackQueue::with_rules(SHAPE, rules), &WORKLOAD, seed)
 }
 
 /// If calls are always filled up, one request in ten is divided. Such a request depends on two calls
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -50,7 +50,7 @@
         small_first: policy.small_first == Policy::Shipped,
         give_up: policy.admission == Policy::Shipped,
     };
-    ConfiguredQueue::with(shape, rules)
+    ConfiguredQueue::with_rules(shape, rules)
 }
 
 impl State {
