--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A request and the runners that it is sent to.
+//! Attempts of a request: selects runners and sends the request until one responds.
 
 mod flight;
 
@@ -19,64 +19,68 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at};
 
-/// Runners that refuse a request before it is given up; each costs a round trip only.
+/// Refusals after which a request is given up. Each refusal costs only a round trip.
 const MAX_REFUSALS: u32 = 3;
-/// Time below which no call is sent any more: the way there and back and the shortest work.
+/// No call is sent with less time left than this, which covers the round trip and the shortest
+/// processing time.
 const MIN_CALL_TIME: Duration = Duration::from_millis(5);
-/// Time after which a runner that was sent a request has fetched its inputs. It does so before it
-/// reads the prompt, and its answer begins only after that; a few megabytes take milliseconds, and
-/// the room that they take up bounds what the stages can do.
+/// Time after which a runner has fetched the inputs of a request that was sent to it. It fetches
+/// them before it processes the prompt, and its response starts only after that. A few megabytes
+/// take milliseconds, and the room that they occupy limits the throughput of the stages.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(35);
-/// Part of the connections that a runner bears that all processes together may leave open unused.
+/// All processes together may keep one in this many of a runner's connections open and idle.
 const IDLE_CONNECTION_DIVISOR: usize = 3;
-/// When a caller may come back whose request no runner took.
+/// When to retry a request that no runner accepted.
 const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(200);
-/// When a caller may come back to a service all of whose runners have ended: about the time that one
-/// takes to start.
+/// When to retry a request to a service all of whose runners have exited. A runner takes about this
+/// long to start.
 const RETRY_AFTER_ALL_EXITED: Duration = Duration::from_secs(1);
-/// Parts of a stream that wait for a slow caller before its runner is read no further.
+/// Parts of a stream that are buffered for a slow client before reading from its runner stops.
 const STREAM_BUFFER_PARTS: usize = 32;
 
-/// How far a request has got.
+/// Progress of a request over its attempts.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Runners that it was sent to.
+    /// Runners that the request was sent to.
     pub tried: Vec<RunnerId>,
-    /// Runners that may have run it.
+    /// Number of runners that may have run the request.
     pub executions: u32,
-    /// Runners that refused it.
+    /// Number of runners that refused the request.
     pub refusals: u32,
-    /// Why the last one brought no answer.
+    /// Why the last runner gave no response.
     pub last_failure: Option<Failure>,
-    /// Why it was sent to no other one, if it is held back.
+    /// Why the request was sent to no other runner, if it is quarantined.
     pub quarantined: Option<Refusal>,
-    /// Whether a repeat has been counted for a call that was withdrawn.
+    /// Whether a retry has been charged to the budget for a call that was withdrawn before it was
+    /// sent.
     retry_counted: bool,
 }
 
-/// A call that has begun to be answered.
+/// A call whose response has started.
 pub type StartedCall<D> = (InFlightCall<D>, Reply<<D as Downstream>::Body>);
 
 impl Progress {
-    /// Whether the last runner refused the request because results that it needs are gone.
+    /// Whether the last runner refused the request because a result that it needs no longer exists.
     #[must_use]
     pub fn input_gone(&self) -> bool {
         let reason = NotRun::InputGone;
         self.last_failure == Some(Failure::NotRun { reason })
     }
 
-    /// Whether a repeat may be sent; counts it, once for each call that is sent.
+    /// Whether a retry may be sent. The retry is charged to the budget once for each call that is
+    /// sent.
     fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
         self.retry_counted = self.retry_counted || job.relay.may_repeat(&job.service);
         self.retry_counted
     }
 }
 
-/// Sends a request to runners until one answers.
+/// Sends a request to runners until one responds.
 ///
 /// # Errors
 ///
-/// [`Refusal`], of which only those that say so are given if no runner may have run it.
+/// A [`Refusal`]. One that states that the request has not run is returned only if no runner may
+/// have run it.
 pub async fn run<D: Downstream>(job: &Job<D>, mut inputs: Inputs<D>) -> Result<Answer, Refusal> {
     let mut progress = Progress::default();
     job.relay.count_first(&job.service, 1);
@@ -96,11 +100,11 @@
     }
 }
 
-/// Sends the request to one runner after the other until one begins to answer.
+/// Sends the request to one runner after another until a response starts.
 ///
 /// # Errors
 ///
-/// Nothing more than what `progress` says.
+/// Carries no information; `progress` tells the reason.
 pub async fn send<D: Downstream>(
     job: &Job<D>,
     inputs: &mut Inputs<D>,
@@ -119,7 +123,7 @@
             progress.quarantined = Some(refusal);
             return Err(());
         }
-        // That may have taken seconds.
+        // The wait above may have taken seconds.
         if !job.relay.is_open(&runner) {
             let Some(other) = pick_runner(job, &progress.tried, job.remaining()) else {
                 return Err(());
@@ -158,8 +162,8 @@
     }
 }
 
-/// The same, with the results made once more if they are gone: a runner that made some may have
-/// crashed, or was told to drop them before they were fetched.
+/// Like [`send`], but recomputes the inputs once if they no longer exist. A runner that stores them
+/// may have crashed, or may have been told to drop them before they were fetched.
 ///
 /// # Errors
 ///
@@ -179,7 +183,7 @@
     send(job, inputs, progress, resume_after).await
 }
 
-/// Waits for the beginning of an answer, and gives the inputs back once the runner has them.
+/// Waits for the response to start, and releases the inputs once the runner has fetched them.
 async fn release_inputs_when_fetched<D: Downstream, T>(
     calling: impl Future<Output = T>,
     inputs: &mut Inputs<D>,
@@ -192,7 +196,8 @@
     calling.await
 }
 
-/// Waits for the beginning of an answer; a runner from which nothing comes meanwhile may be silent.
+/// Waits for the response to start, and records the call as overdue if nothing arrives in the
+/// meantime: the runner may be unresponsive.
 async fn record_silence<D: Downstream, T>(
     flight: &InFlightCall<D>,
     calling: impl Future<Output = T>,
@@ -216,7 +221,7 @@
             flight.lost().await;
         }
         Failure::NotRun { reason } => {
-            // Nothing was sent: neither a try nor a refusal.
+            // Nothing was sent, so this counts neither as an attempt nor as a refusal.
             if *reason == NotRun::Withdrawn {
                 progress.tried.pop();
                 flight.not_run();
@@ -226,7 +231,7 @@
             match reason {
                 NotRun::Unreachable { .. } => flight.unreachable().await,
                 NotRun::Replaced => flight.failed(),
-                // A full runner is not a faulty one.
+                // A runner at capacity is not faulty.
                 _ => flight.not_run(),
             }
         }
@@ -234,7 +239,7 @@
     progress.last_failure = Some(failure);
 }
 
-/// Whether the request may go to one more runner.
+/// Whether the request may be sent to another runner.
 fn may_send<D: Downstream>(job: &Job<D>, progress: &Progress) -> bool {
     if progress.refusals > MAX_REFUSALS || progress.input_gone() {
         return false;
@@ -269,8 +274,8 @@
     relay.runner(&id)
 }
 
-/// Failure domain of the runner that would be picked now. What is made for the request is best
-/// made there: results that cross failure domains cost far more than those that do not.
+/// Failure domain of the runner that would be selected now. Inputs of the request are best computed
+/// there, since results that cross failure domains cost far more than those that do not.
 pub fn likely_runner_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
     let left = job.remaining();
     pick_runner(job, &[], left).map(|runner| runner.domain.clone())
@@ -298,11 +303,10 @@
     }
 }
 
-/// Connections to one runner that this process may leave open unused.
+/// Number of idle connections to one runner that this process may keep open.
 ///
-/// A runner resets connections beyond those that it bears, and a request that was just sent on one
-/// may have run as far as anybody can tell. Thirty processes that each keep a few open would take
-/// them all up.
+/// A runner resets connections beyond its limit, and it is then unknown whether a request that was
+/// just sent on one has run. Thirty processes that each keep a few open would use up the limit.
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
     let service = job.plan.services.get(&job.service);
     let bearable = service.map_or(0, |service| service.connections as usize);
@@ -328,7 +332,7 @@
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
 
-/// Whether callers take the status for the promise that the request has not run.
+/// Whether clients take the status as a guarantee that the request has not run.
 fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
@@ -337,7 +341,8 @@
     (200..300).contains(&status)
 }
 
-/// Reads an answer that is not a stream; `None` if it is no answer and another runner may be asked.
+/// Reads a response that is not a stream. Returns `None` if it is unusable and another runner may
+/// be tried.
 async fn collect_response<D: Downstream>(
     job: &Job<D>,
     flight: InFlightCall<D>,
@@ -352,7 +357,7 @@
         flight.record_overdue();
     }
     let failure = match body {
-        // A caller would take the status for the promise that nothing has run.
+        // The client would take the status as a guarantee that the request has not run.
         Ok(Ok(_)) if !job.route.repeatable() && promises_not_run(status) => {
             format!("status {status}, though it ran")
         }
@@ -373,14 +378,14 @@
         Ok(Err(broken)) => broken.reason,
         Err(_) => "not whole before the deadline".to_owned(),
     };
-    info!(job.relay.log, "answer of no use"; "request" => &*job.request.id,
+    info!(job.relay.log, "response rejected"; "request" => &*job.request.id,
         "runner" => &*flight.runner.id, "status" => status, "reason" => &failure);
     flight.lost().await;
     progress.last_failure = Some(Failure::Lost { reason: failure });
     None
 }
 
-/// Passes a stream through in a task of its own.
+/// Forwards a stream in a task of its own.
 fn forward_stream<D: Downstream>(
     job: &Job<D>,
     inputs: Inputs<D>,
@@ -400,7 +405,7 @@
     answer
 }
 
-/// What the caller is told once no more runner is asked.
+/// What the client is told when no more runners are tried.
 fn final_refusal<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
     let left = job.remaining();
     if let (0, Some(quarantined)) = (progress.executions, &progress.quarantined) {
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -1,4 +1,4 @@
-//! A call at a runner, and what its end says of the runner.
+//! A call in progress at a runner, and what its outcome shows about the runner.
 
 use crate::core::Relay;
 use crate::downstream::Downstream;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls that were at a runner when one was sent there.
+/// Calls in progress at a runner when another one was sent to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunnerLoad {
-    /// Those of this process.
+    /// Calls of this process.
     pub(super) own: u32,
-    /// Those of the other processes, unless they had not told lately.
+    /// Calls of the other processes, unless their reports are too old.
     pub(super) others: Option<u32>,
-    /// Age of their word.
+    /// Age of the last report of the other processes.
     pub(super) report_age: Option<Duration>,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A call at a runner, counted there until it is over.
+/// A call in progress, which counts towards the runner's load until it is over.
 #[derive(Debug)]
 pub struct InFlightCall<D: Downstream> {
     relay: Arc<Relay<D>>,
@@ -46,9 +46,9 @@
     pub sent: Instant,
     prefill_seconds: f64,
     content: ContentId,
-    /// When something last came from the runner for this call, or when that was sent.
+    /// When data last arrived from the runner for this call, or when the call was sent.
     last_activity: Instant,
-    /// Calls that were at the runner when this one was sent, as far as was known.
+    /// Load of the runner when this call was sent, as far as it was known.
     pub(super) load_before: RunnerLoad,
     is_recorded: bool,
 }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The runner has begun to answer, and has read the prompt by then.
+    /// Notes that the response has started, by which time the runner has processed the prompt.
     pub(super) fn response_started(&mut self) {
         let prefill_seconds = std::mem::take(&mut self.prefill_seconds);
         if prefill_seconds > 0.0 {
@@ -91,19 +91,19 @@
         }
     }
 
-    /// Something has come from the runner.
+    /// Notes that data has arrived from the runner.
     pub fn record_activity(&mut self) {
         self.last_activity = Instant::now();
         self.relay.note_sign(&self.runner, self.last_activity);
     }
 
-    /// The call has waited for long, or its time is over: the runner may be silent.
+    /// Notes that the call is overdue or that its time is over: the runner may be unresponsive.
     pub fn record_overdue(&self) {
         self.relay
             .note_waited(self.content, &self.runner, self.last_activity);
     }
 
-    /// The runner answered as it should; `elapsed` is the time that speaks for its speed.
+    /// Notes a proper response. `elapsed` is the time by which the runner's speed is judged.
     pub fn answered(mut self, elapsed: Duration) {
         self.is_recorded = true;
         let now = self.relay.now();
@@ -120,10 +120,10 @@
         self.relay.note_served(self.content, &self.runner);
     }
 
-    /// The runner's answer was lost: it may have ended under the request.
+    /// Notes that the response was lost: the runner may have exited while running the request.
     ///
-    /// Waits a moment for the answer to that, so that a repeat does not meet the same runner, or a
-    /// second one that it would end as well.
+    /// Waits briefly for a probe of the runner, so that a retry neither goes to the same runner nor
+    /// crashes a second one.
     pub async fn lost(self) {
         let isolated = false;
         self.relay
@@ -132,18 +132,18 @@
         self.failed();
     }
 
-    /// The call has not run, and says nothing against the runner.
+    /// Notes that the call has not run, which does not count against the runner.
     pub(super) fn not_run(mut self) {
         self.last_activity = Instant::now();
     }
 
-    /// No connection to the runner came about.
+    /// Notes that no connection to the runner could be established.
     pub(super) async fn unreachable(self) {
         outage::probe_briefly(&self.relay, &self.runner).await;
         self.failed();
     }
 
-    /// The runner failed.
+    /// Notes a failure of the runner.
     pub fn failed(mut self) {
         self.is_recorded = true;
         let now = self.relay.now();
@@ -153,8 +153,8 @@
     }
 }
 
-/// A caller that leaves drops its request where it stands; the runner must not count as busy with
-/// it for ever.
+/// A client that disconnects cancels its request at any point. The runner must not count as busy
+/// with it for ever.
 impl<D: Downstream> Drop for InFlightCall<D> {
     fn drop(&mut self) {
         self.response_started();
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -1,8 +1,8 @@
-//! The calls that carry pieces to the runners of stage services.
+//! Batches the pieces of stages into calls to the runners of stage services.
 //!
-//! A runner has one call in progress at a time for each of its slots. Pieces wait here, not in the
-//! runner's queue, until a runner is free: what waits here can still share a call, change its place
-//! or be withdrawn.
+//! A runner has one call in progress at a time for each of its slots. Pieces wait here until a
+//! runner is free, rather than in the runner's queue, so that they can still join a larger call, be
+//! reordered or be cancelled.
 
 mod batch_call;
 mod pending;
@@ -29,30 +29,32 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Runners of a stage service whose calls one process forms, and their number among the cells of
-/// the service. A process that formed the calls of all runners of a large service would spend more
-/// time on it than a small VM has.
+/// A partition of the runners of a stage service, for which one process forms the batches. A
+/// process that formed the batches of all runners of a large service would need more CPU time than
+/// a small VM has.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cell {
-    /// The service.
+    /// Service of the runners.
     pub service: ServiceId,
-    /// Number among the service's cells.
+    /// Index among the cells of the service.
     pub index: usize,
 }
 
-/// Time after which a runner that was sent a call has fetched its inputs. It does so before it works;
-/// the 17 MB of a full call take 14 ms at 10 Gbit/s, and calls fetch beside one another.
+/// Time after which a runner has fetched the inputs of a call that was sent to it. It fetches them
+/// before it starts processing. The 17 MB of a full call take 14 ms at 10 Gbit/s, and several calls
+/// fetch at the same time.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(60);
 
-/// Time for which results that are over are gathered before their runners are told.
+/// Time for which results that are no longer needed are collected before their runners are told.
 const RELEASE_DELAY: Duration = Duration::from_millis(25);
 
-/// Runners in a cell at most. At 8 pieces and 0.37 s a call, eight runners make 175 pieces a second
-/// in 22 calls, some hundredths of a core; more runners in one cell share calls hardly better.
+/// Maximum number of runners in a cell. At 8 pieces and 0.37 s per call, eight runners process 175
+/// pieces per second in 22 calls, which takes a few hundredths of a core. Larger cells hardly
+/// improve the batching.
 const MAX_CELL_RUNNERS: usize = 8;
 
 impl Cell {
-    /// The first cell of a service, which each has.
+    /// The first cell of a service; every service has one.
     #[must_use]
     pub fn first(service: &ServiceId) -> Self {
         Self {
@@ -61,8 +63,8 @@
         }
     }
 
-    /// All cells of a service with these runners. All processes that know the same runners form the
-    /// same cells, and those of one failure domain are mostly in one.
+    /// Partitions the runners of a service into cells. All processes that know the same runners
+    /// form the same cells, and the runners of a failure domain are mostly in one cell.
     #[must_use]
     pub fn all(service: &ServiceId, runners: &[Arc<Runner>]) -> Vec<CellRunners> {
         let mut sorted = runners.to_vec();
@@ -87,38 +89,39 @@
         (0..cells).map(share).collect()
     }
 
-    /// The name by which its owner is chosen.
+    /// Key by which the owner of the cell is chosen.
     #[must_use]
     pub fn name(&self) -> String {
         format!("{}/{}", self.service, self.index)
     }
 }
 
-/// A cell with its part of the service's runners.
+/// A cell with its runners.
 #[derive(Clone, Debug)]
 pub struct CellRunners {
     /// The cell.
     pub cell: Cell,
-    /// Its runners.
+    /// Runners of the cell.
     pub runners: Vec<Arc<Runner>>,
-    /// Failure domains that they run in.
+    /// Failure domains of the runners.
     pub domains: Vec<DomainId>,
 }
 
 impl CellRunners {
-    /// Whether one of its runners is in a failure domain.
+    /// Whether one of the runners is in this failure domain.
     #[must_use]
     pub fn is_near(&self, domain: &str) -> bool {
         self.domains.iter().any(|there| **there == *domain)
     }
 }
 
-/// How far results are done with.
+/// Why results are released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseKind {
-    /// A call has fetched them. Until it has ended they are given back only where room is needed.
+    /// A call has fetched the results. Until that call ends, they are dropped only where their room
+    /// is needed.
     Fetched,
-    /// Nobody needs them any more.
+    /// The results are no longer needed.
     Over,
 }
 
@@ -127,54 +130,54 @@
 pub struct Results {
     /// The cell.
     pub cell: Cell,
-    /// The results.
+    /// Handles of the results.
     pub handles: Vec<Handle>,
 }
 
-/// The pieces of one stage of one request.
+/// An order for the pieces of one stage of one request.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The request.
+    /// Request id.
     pub id: RequestId,
-    /// Position of the stage in the route.
+    /// Index of the stage in the route.
     pub stage: usize,
     /// Number of pieces.
     pub pieces: u32,
-    /// What they are made from.
+    /// Input of the pieces.
     pub source: Source,
-    /// Those of the inputs that nothing else needs.
+    /// Inputs that nothing else needs.
     pub inputs: Vec<Results>,
     /// Size of one result in bytes.
     pub result_bytes: u64,
-    /// Moment by which they must be made for the request to be on time.
+    /// When the pieces must be done for the request to be on time.
     pub due: Instant,
-    /// Moment after which they are of no use.
+    /// When the pieces become useless.
     pub expires_at: Instant,
-    /// Urgency.
+    /// Priority.
     pub rank: Rank,
-    /// Failure domain where they are best made, as far as can be told.
+    /// Failure domain where the pieces are best processed, if it is known.
     pub domain: Option<DomainId>,
-    /// How long they wait for a runner of that domain.
+    /// How long the pieces wait for a runner in that domain.
     pub max_domain_wait: Duration,
-    /// What the request asks for of this stage.
+    /// Content id of the request's stage.
     pub content: ContentId,
-    /// Whether they are sent to a runner although the request is held back, to learn whether it still
-    /// should be.
+    /// Whether the pieces are sent to a runner although the request is quarantined, to find out
+    /// whether it still should be.
     pub trial: bool,
 }
 
-/// Expected times until pieces are made, by the rank of their request: urgent ones are taken before
-/// those that wait already.
+/// Expected times until pieces are done, by the rank of their request. Urgent pieces go ahead of
+/// those that already wait.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WaitEstimates(Vec<Duration>);
 
 impl WaitEstimates {
-    /// The times that a function gives for each rank.
+    /// Computes the time for each rank.
     pub fn new(wait: impl FnMut(Rank) -> Duration) -> Self {
         Self((0..=LAST_RANK).map(wait).collect())
     }
 
-    /// The time for a rank.
+    /// Expected time for a rank.
     #[must_use]
     pub fn of(&self, rank: Rank) -> Duration {
         let rank = usize::from(rank.min(LAST_RANK));
@@ -182,33 +185,33 @@
     }
 }
 
-/// Why the pieces of a stage were not made.
+/// Why the pieces of a stage were not processed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum StageError {
-    /// They could not be made in time.
-    #[snafu(display("no time left"))]
+    /// The pieces could not be processed in time.
+    #[snafu(display("pieces cannot be processed in time"))]
     Late,
-    /// An input is gone, and must be made again first.
-    #[snafu(display("input gone"))]
+    /// An input no longer exists and has to be recomputed first.
+    #[snafu(display("input result no longer exists"))]
     InputGone,
-    /// Runners failed, and the budget of repeats is spent.
-    #[snafu(display("runners failed"))]
+    /// Runners failed, and the retry budget is exhausted.
+    #[snafu(display("runners failed and the retry budget is exhausted"))]
     Failed,
-    /// The process that serves the request ends.
-    #[snafu(display("process ends"))]
+    /// The process that serves the request is shutting down.
+    #[snafu(display("process is shutting down"))]
     Ending,
-    /// No runner of the service takes work.
-    #[snafu(display("no runner"))]
+    /// No runner of the service accepts work.
+    #[snafu(display("no runner accepts work"))]
     NoRunner,
-    /// Runners have ended under them.
-    #[snafu(display("held back: runners ended under these pieces"))]
+    /// Runners exited while processing the pieces.
+    #[snafu(display("quarantined: runners exited while processing these pieces"))]
     Poison,
 }
 
-/// What an order ends with: the results in the order of the pieces.
+/// Outcome of an order: the results, in the order of the pieces.
 pub type Outcome = Result<Vec<Handle>, StageError>;
 
-/// The calls to the runners of one cell.
+/// Forms the calls to the runners of one cell.
 #[derive(Debug)]
 pub struct Batcher<D> {
     cell: Cell,
@@ -217,7 +220,7 @@
 }
 
 impl<D: Downstream> Batcher<D> {
-    /// No calls yet.
+    /// Creates a batcher without calls.
     #[must_use]
     pub fn new(cell: Cell) -> Self {
         Self {
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Has the pieces of an order made.
+    /// Queues the pieces of an order.
     pub fn submit(
         self: &Arc<Self>,
         relay: &Arc<Relay<D>>,
@@ -249,7 +252,7 @@
         outcome
     }
 
-    /// Takes in which runners take work.
+    /// Updates the set of runners that accept work.
     pub fn refresh(&self, relay: &Relay<D>) {
         let cells = relay.cells(&self.cell.service);
         let share = cells.get(self.cell.index);
@@ -257,10 +260,10 @@
         lock(&self.state).refresh(runners.unwrap_or_default());
     }
 
-    /// Results that are done with.
+    /// Releases results.
     ///
-    /// Some may have been made for another process that formed the cell's calls before. They take
-    /// up room here all the same, of a size that is not known.
+    /// Some results may have been computed for another process that owned the cell before. They
+    /// occupy room here as well, but their size is unknown.
     pub fn release(
         self: &Arc<Self>,
         relay: &Arc<Relay<D>>,
@@ -283,10 +286,11 @@
         }
     }
 
-    /// Gives back what is over, without waiting for the next call.
+    /// Drops results that are no longer needed, without waiting for the next call.
     ///
-    /// If this process is killed, nobody knows of what still lies at the runners, and it takes up room
-    /// until it lapses: a runner that was told with its next call alone would hold little else.
+    /// If this process is killed, no other process knows which results are still stored at the
+    /// runners, and they occupy room until they expire. A runner that was told only with its next
+    /// call would be filled mostly with such results.
     async fn release_pending(self: Arc<Self>, relay: Arc<Relay<D>>) {
         tokio::time::sleep(RELEASE_DELAY).await;
         let released = lock(&self.state).take_released();
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Results that take up room and were made before this process formed the cell's calls.
+    /// Records results that occupy room and were computed before this process owned the cell.
     pub fn record_results(&self, relay: &Relay<D>, results: &[(Handle, u64)]) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
@@ -307,12 +311,12 @@
         }
     }
 
-    /// Expected times until pieces that come now are made.
+    /// Expected times until pieces that arrive now are done.
     pub fn expected(&self, relay: &Relay<D>, batches: &Batches) -> Option<WaitEstimates> {
         lock(&self.state).expected(relay.started(), batches)
     }
 
-    /// Starts calls as long as pieces wait and a runner is free.
+    /// Starts calls while pieces wait and a runner is free.
     pub(crate) fn dispatch(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
         let Some(batches) = relay.batches(&self.cell.service) else {
             return;
@@ -326,7 +330,7 @@
         self.schedule_dispatch(relay);
     }
 
-    /// Carries out one call and hands out what became of its pieces.
+    /// Sends one call and distributes the outcomes of its pieces.
     async fn execute(self: Arc<Self>, relay: Arc<Relay<D>>, mut batch_call: BatchCall) {
         let begun = Instant::now();
         let runner = batch_call.runner.clone();
@@ -372,11 +376,12 @@
         self.dispatch(&relay);
     }
 
-    /// Waits for the end of a call, and tells where its inputs were made once it has them.
+    /// Waits for the end of a call, and releases its inputs where they are stored once the runner
+    /// has fetched them.
     ///
-    /// A runner has room for the results of two calls and a bit. Held until the next stage's call has
-    /// ended, they took up that room for a third of a second longer than it takes to fetch them, and
-    /// in bursts runners stood still beside pieces that waited.
+    /// A runner has room for the results of a little more than two calls. Inputs that were held
+    /// until the next stage's call had ended occupied that room for a third of a second longer than
+    /// it takes to fetch them, and in bursts runners idled while pieces waited.
     async fn release_inputs_when_fetched<T>(
         &self,
         relay: &Arc<Relay<D>>,
@@ -398,8 +403,8 @@
         making.await
     }
 
-    /// Nothing else wakes a runner whose rest is over, or a group that has waited long enough for a
-    /// runner of its failure domain.
+    /// Schedules the next dispatch: nothing else wakes up when a runner's pause is over, or when a
+    /// group has waited long enough for a runner in its failure domain.
     fn schedule_dispatch(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
         let Some(until) = lock(&self.state).next_wake_time(relay.started()) else {
             return;
@@ -416,7 +421,7 @@
     }
 }
 
-/// Time between calls that a runner asks for, if it does.
+/// Interval between calls that a runner asks for, if any.
 fn asked_spacing(result: &Result<BatchReply, Failure>) -> Option<Duration> {
     match result {
         Ok(batch) => batch.spacing,
@@ -427,14 +432,14 @@
     }
 }
 
-/// Gives results back at their runner.
+/// Tells a runner to drop results.
 async fn release<D: Downstream>(relay: Arc<Relay<D>>, runner: Arc<Runner>, results: Vec<Handle>) {
     let count = results.len();
     if count == 0 {
         return;
     }
     if let Err(error) = relay.downstream.release(&runner, results).await {
-        warn!(relay.log, "results not released, they lapse by themselves";
+        warn!(relay.log, "failed to release results; they will expire";
             "runner" => &*runner.id, "results" => count, "error" => %error);
     }
 }
--- a/crates/relay/src/batch/batch_call.rs
+++ b/crates/relay/src/batch/batch_call.rs
@@ -1,4 +1,4 @@
-//! A call of a cell that is about to be sent.
+//! A call of a cell to one of its runners.
 
 use crate::downstream::{Handle, Item};
 use crate::plan::Batches;
@@ -9,31 +9,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A call that takes so many times its expected time is given up: its runner is dark or much
-/// slower than the others, and its pieces are better made elsewhere.
+/// Factor on the expected time of a call after which the call is given up. Its runner is then
+/// unreachable or much slower than the others, and the pieces are better processed elsewhere.
 const TIMEOUT_FACTOR: f64 = 2.5;
-/// Time for the way there and back, and for delays of this process, besides.
+/// Added to the timeout of a call for the round trip and for delays of this process.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
-/// A call on its way.
+/// A call to one runner.
 #[derive(Debug)]
 pub(super) struct BatchCall {
     pub(super) runner: Arc<Runner>,
     pub(super) portions: Vec<(Ticket, Vec<u32>)>,
     pub(super) items: Vec<Item>,
-    /// What the requests ask for whose pieces it carries, each once.
+    /// Content ids of the requests whose pieces the call carries, without duplicates.
     pub(super) contents: Vec<ContentId>,
-    /// Whether it carries nothing but pieces under which runners have ended.
+    /// Whether the call carries only pieces during which runners have exited.
     pub(super) isolated: bool,
     pub(super) released: Vec<Handle>,
-    /// Whether the results must be given back before there is room for the call's.
+    /// Whether results must be dropped before there is room for those of the call.
     pub(super) release_first: bool,
     pub(super) slowness: f64,
     pub(super) expected: Duration,
-    /// When it is expected to end.
+    /// When the call is expected to end.
     pub(super) until: Instant,
     pub(super) batches: Batches,
-    /// Bytes of its results, and what was believed to be free for them.
+    /// Size of the call's results in bytes, and the room that was believed to be free for them.
     pub(super) needed_bytes: u64,
     pub(super) room: u64,
 }
--- a/crates/relay/src/batch/pending.rs
+++ b/crates/relay/src/batch/pending.rs
@@ -1,24 +1,25 @@
-//! Orders of a cell whose pieces are not all made.
+//! Orders of a cell that are not complete.
 
 use super::{Order, Outcome};
 use crate::downstream::{Handle, Item};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An order whose pieces are not all made.
+/// An order whose pieces are not all done.
 #[derive(Debug)]
 pub(super) struct PendingOrder {
     pub(super) order: Order,
     pub(super) unsent: Vec<u32>,
     pub(super) made: Vec<Option<Handle>>,
     pub(super) since: Instant,
-    /// Most suspects in a call that carries its pieces, if it becomes one.
+    /// Maximum number of suspect orders in a call that carries its pieces, if the order becomes
+    /// suspect.
     pub(super) company: usize,
     pub(super) reply: oneshot::Sender<Outcome>,
 }
 
 impl PendingOrder {
-    /// One of the pieces, as its runner is told of it.
+    /// One of the pieces, in the form that is sent to its runner.
     pub(super) fn item(&self, piece: u32, now: Instant) -> Item {
         Item {
             id: self.order.id.clone(),
--- a/crates/relay/src/batch/runner_state.rs
+++ b/crates/relay/src/batch/runner_state.rs
@@ -1,4 +1,4 @@
-//! A runner of a cell: its calls in progress, its speed and the room for results.
+//! State of a runner of a cell: its calls in progress, its speed and its room for results.
 
 use crate::downstream::{Failure, Handle, NotRun, PieceOutcome};
 use crate::plan::Batches;
@@ -8,34 +8,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time for which a runner is left alone that asks for one: it is called then, to hear whether
-/// it still does.
+/// Longest interval between calls that a runner can ask for. After that it gets a call, whose
+/// response tells whether it still asks for one.
 const MAX_SPACING: Duration = Duration::from_secs(60);
-/// Pause before a runner gets work again that was full.
+/// Pause before a runner that was at capacity gets work again.
 const PAUSE_AFTER_FULL: Duration = Duration::from_millis(50);
-/// Pause before a runner gets work again that had no room for results. Those that it holds were
-/// asked for by another process, or are larger than the configuration says.
+/// Pause before a runner that had no room for results gets work again. The results that it stores
+/// were computed for another process, or are larger than configured.
 const PAUSE_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
-/// Part of the time for which results are kept that a runner which turned some away is taken to hold
-/// what nobody here knows of. Such results lapse or are given back in the meantime; what is left then
-/// costs one more refusal.
+/// After a runner has rejected results it is assumed to store results unknown to this process, for
+/// this fraction of the retention time. Such results expire or are released in the meantime; any
+/// that are left cost one more rejection.
 const UNKNOWN_RESULTS_DIVISOR: u32 = 4;
-/// Pause before a runner gets work again that failed; doubles with each failure.
+/// Pause before a runner that failed gets work again; doubles with each failure.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// Failures after which the pause doubles no further.
+/// Failures after which the pause no longer doubles.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 /// Weight of one call in a runner's smoothed slowness.
 const SLOWNESS_WEIGHT: f64 = 0.4;
-/// Time after which half of a runner's slowness is forgotten. One that is left idle for being slow
-/// could never show that it has recovered otherwise.
+/// Half-life of a runner's slowness. Without the decay, a runner that is left idle because it is
+/// slow could never show that it has recovered.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Factor of a runner's slowness when a call to it is given up: it took at least that much longer.
+/// Factor applied to a runner's slowness when a call to it is given up, since the call took at
+/// least that much longer.
 const FAILED_CALL_SLOWNESS: f64 = 2.0;
-/// Slowness above which a runner is left idle as long as pieces would be made sooner by waiting
-/// for another one.
+/// Slowness above which a runner is left idle while waiting for another runner would finish pieces
+/// sooner.
 const MAX_SLOWNESS: f64 = 2.0;
 
-/// A runner of the service.
+/// State of a runner of the service.
 #[derive(Debug)]
 pub(super) struct RunnerState {
     pub(super) runner: Arc<Runner>,
@@ -43,28 +44,29 @@
     pub(super) calls: Vec<Instant>,
     pub(super) results: Map<Handle, StoredResult>,
     pub(super) released: Vec<Handle>,
-    /// Results that the call which needs them has fetched, the oldest first. If that call fails they
-    /// are needed again.
+    /// Results that have been fetched by the call that needs them, oldest first. They are needed
+    /// again if that call fails.
     fetched: Vec<Handle>,
     slowness: f64,
     slowness_updated: Instant,
     failures: u32,
     pub(super) paused_until: Option<Instant>,
-    /// Whether it has just turned results away, so that it holds more than is known here.
+    /// Whether the runner has just rejected results, so that it stores more than is known here.
     pub(super) lacked_room: bool,
-    /// Bytes that it holds beyond the results that are known here, and until when that is believed.
+    /// Bytes stored beyond the known results, and until when this is assumed.
     unknown_results: Option<(u64, Instant)>,
 }
 
-/// A result that takes up room at its runner.
+/// A result that occupies room at its runner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoredResult {
     pub(super) bytes: u64,
     pub(super) until: Instant,
 }
 
-/// Results differ in size, and the configuration tells an approximate one. Pieces without room are
-/// made once more, which costs a call: too large an estimate only leaves some room unused.
+/// Correction of the configured size of results, which is approximate. Pieces without room have to
+/// be processed again, which costs a call, whereas too large an estimate only leaves some room
+/// unused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inflation(f64);
 
@@ -77,9 +79,9 @@
 impl Inflation {
     /// Factor by which the estimate grows when results had no room.
     const GROW: f64 = 1.1;
-    /// Factor by which it shrinks with each call whose results had.
+    /// Factor by which the estimate shrinks with each call whose results had room.
     const SHRINK: f64 = 0.995;
-    /// Greatest estimate.
+    /// Largest estimate.
     const MAX: f64 = 2.0;
 
     pub(super) fn update(&mut self, had_room: bool) {
@@ -92,10 +94,10 @@
     }
 }
 
-/// The runners that a call may go to now, those with the least results first.
+/// Runners that can be called now, those with the fewest results first.
 ///
-/// A slow one is left idle as long as pieces would be made sooner by waiting for another one:
-/// `queue` is the time that those wait that come last.
+/// A slow runner is left idle while waiting for another one would finish pieces sooner; `queue` is
+/// the waiting time of the last pieces in the queue.
 pub(super) fn available_runners(
     runner_states: &[RunnerState],
     batches: Batches,
@@ -121,12 +123,12 @@
     free
 }
 
-/// Room for results at a runner.
+/// Room for results at a runner, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Room {
-    /// Once all that is released or fetched has been given back.
+    /// Room once all released or fetched results have been dropped.
     pub(super) free: u64,
-    /// As long as none of it has.
+    /// Room before any of them is dropped.
     pub(super) unreleased: u64,
 }
 
@@ -147,7 +149,8 @@
         }
     }
 
-    /// How many times longer than expected its calls take, as far as is still believed.
+    /// How many times longer than expected the runner's calls take, decayed by the age of that
+    /// estimate.
     pub(super) fn slowness(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.slowness_updated);
         let faded = decide::smooth::decay(age, SLOWNESS_HALF_LIFE);
@@ -158,8 +161,8 @@
         self.calls.len() < batches.slots as usize
     }
 
-    /// When its next call is expected to start. A slow runner counts as free later by the time that
-    /// its call takes longer than that of others.
+    /// When the next call is expected to start. A slow runner counts as free later, by the extra
+    /// time that its call takes.
     pub(super) fn free_at(&self, batches: Batches, now: Instant) -> Instant {
         let call = batches.shape.full();
         let longer = call.mul_f64((self.slowness(now) - 1.0).max(0.0));
@@ -168,7 +171,8 @@
         slot.map_or(paused, |until| paused.max(*until)) + longer
     }
 
-    /// It asks for this time between its calls, the last of which began then.
+    /// Applies the interval between calls that the runner asks for; the last call started at
+    /// `begun`.
     pub(super) fn apply_spacing(&mut self, begun: Instant, spacing: Duration) {
         let until = begun + spacing.min(MAX_SPACING);
         self.paused_until = self.paused_until.max(Some(until));
@@ -178,7 +182,7 @@
         self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// Room for the next call's results once all that is released or fetched has been given back.
+    /// Room for the next call's results once all released or fetched results have been dropped.
     pub(super) fn room(&mut self, batches: Batches, now: Instant) -> Room {
         self.results.retain(|_, stored| stored.until > now);
         let results = &self.results;
@@ -192,23 +196,24 @@
         }
     }
 
-    /// When parts of what lies here are gone.
+    /// When parts of the stored results expire.
     pub(super) fn expiries(&self) -> impl Iterator<Item = Instant> + '_ {
         let known = self.results.values().map(|stored| stored.until);
         known.chain(self.unknown_results.map(|(_, until)| until))
     }
 
-    /// Bytes that are taken to lie here besides the results that are known.
+    /// Bytes that are assumed to be stored besides the known results.
     fn unknown_results(&self, now: Instant) -> u64 {
         let believed = self.unknown_results.filter(|(_, until)| *until > now);
         believed.map_or(0, |(bytes, _)| bytes)
     }
 
-    /// Learns from a call some of whose results had no room, although all that is over had been given
-    /// back, that the runner holds more than was believed.
+    /// Records that the runner stores more than was assumed, after a call some of whose results had
+    /// no room although all results that were no longer needed had been dropped.
     ///
-    /// Results whose process died lie at their runner until they lapse. A runner that is taken for
-    /// empty would be asked again and again, make a few pieces of each group, and hold those as well.
+    /// Results whose process died stay at their runner until they expire. A runner that was assumed
+    /// to be empty would be called again and again, process a few pieces of each group, and store
+    /// the results of those as well.
     fn add_unknown_results(
         &mut self,
         call: &FinishedCall<'_>,
@@ -223,7 +228,7 @@
         self.unknown_results = Some((bytes, now + call.keep / UNKNOWN_RESULTS_DIVISOR));
     }
 
-    /// Results that are given back by now, to be told to the runner.
+    /// Takes the released results, which the runner is then told to drop.
     pub(super) fn take_released(&mut self) -> Vec<Handle> {
         for handle in &self.released {
             self.results.remove(handle);
@@ -231,18 +236,19 @@
         std::mem::take(&mut self.released)
     }
 
-    /// Bytes of all results.
+    /// Size of all results in bytes.
     fn stored(&self) -> u64 {
         self.results.values().map(|stored| stored.bytes).sum()
     }
 
-    /// Bytes of some results.
+    /// Size of these results in bytes.
     fn bytes(&self, handles: &[Handle]) -> u64 {
         let stored = handles.iter().filter_map(|handle| self.results.get(handle));
         stored.map(|stored| stored.bytes).sum()
     }
 
-    /// Results are needed no more; some that came before this process may not be known.
+    /// Marks a result as no longer needed; a result from before this process owned the cell may be
+    /// unknown.
     pub(super) fn release(&mut self, handle: &Handle, until: Instant) {
         let unknown_results = StoredResult { bytes: 0, until };
         self.results
@@ -252,7 +258,7 @@
         self.released.push(handle.clone());
     }
 
-    /// A result has been fetched by the call that needs it.
+    /// Marks a result as fetched by the call that needs it.
     pub(super) fn fetched(&mut self, handle: &Handle) {
         let known = self.results.contains_key(handle);
         if known && !self.released.contains(handle) && !self.fetched.contains(handle) {
@@ -260,8 +266,8 @@
         }
     }
 
-    /// Results that the runner is told to drop now, so that there is room for `needed_bytes` bytes: all that
-    /// are released, and of those that are fetched no more than it takes.
+    /// Results that the runner is told to drop now to make room for `needed_bytes` bytes: all
+    /// released ones, and only as many of the fetched ones as necessary.
     pub(super) fn give_back(&mut self, batches: Batches, needed_bytes: u64) -> Vec<Handle> {
         self.lacked_room = false;
         let mut dropped = self.take_released();
@@ -279,7 +285,7 @@
         dropped
     }
 
-    /// Learns from a call that it has ended.
+    /// Updates the state from a call that has ended.
     pub(super) fn record_call(&mut self, call: &FinishedCall<'_>, now: Instant) {
         let ended = self.calls.iter().position(|until| *until == call.until);
         if let Some(ended) = ended {
@@ -294,8 +300,8 @@
                 self.failures = 0;
                 self.update_slowness(call, now);
             }
-            // Pieces without room or inputs are answered at once, which must not make a runner look
-            // fast: it would draw all calls and refuse them.
+            // Pieces without room or inputs are rejected immediately. That must not make a runner
+            // look fast, or it would attract all calls and reject them.
             Ok(made) => {
                 if made.contains(&PieceOutcome::NoRoom) {
                     self.paused_until = Some(now + PAUSE_AFTER_NO_ROOM);
@@ -335,16 +341,16 @@
 pub(super) struct FinishedCall<'a> {
     pub(super) result: &'a Result<Vec<PieceOutcome>, Failure>,
     pub(super) elapsed: Duration,
-    /// What it was expected to take, by what was believed of the runner's slowness then.
+    /// Expected time of the call, given the runner's slowness when it was sent.
     pub(super) expected: Duration,
     pub(super) slowness: f64,
-    /// When it was expected to end.
+    /// When the call was expected to end.
     pub(super) until: Instant,
-    /// Whether what was over had been given back before it was sent.
+    /// Whether results that were no longer needed had been dropped before the call was sent.
     pub(super) release_first: bool,
-    /// Bytes of its results, and what was believed to be free for them.
+    /// Size of the call's results in bytes, and the room that was believed to be free for them.
     pub(super) needed_bytes: u64,
     pub(super) room: u64,
-    /// Time for which results are kept.
+    /// Retention time of results.
     pub(super) keep: Duration,
 }
--- a/crates/relay/src/batch/select.rs
+++ b/crates/relay/src/batch/select.rs
@@ -1,4 +1,4 @@
-//! The next call of a cell: which pieces, and which runner makes them.
+//! Selects the pieces of a cell's next call and the runner that processes them.
 
 use super::batch_call::BatchCall;
 use super::runner_state::{Room, RunnerState, available_runners};
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The pieces of the next call.
+/// The pieces selected for the next call.
 #[derive(Debug)]
 pub(super) struct Selection {
-    /// Their runner's place.
+    /// Index of the runner.
     pub(super) index: usize,
-    /// Room for their results there.
+    /// Room for results at the runner.
     pub(super) room: Room,
     pub(super) portions: Vec<Portion>,
     pub(super) isolated: bool,
 }
 
 impl State {
-    /// The next call that can start now.
+    /// Prepares the next call if one can start now.
     pub(super) fn next_call<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -43,7 +43,7 @@
         Some(self.prepare(choice, batches, now))
     }
 
-    /// The pieces of the next call, and the runner that makes them.
+    /// Selects the pieces of the next call and its runner.
     fn select_pieces(
         &mut self,
         started: Instant,
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Binds chosen pieces to their runner.
+    /// Assigns the selected pieces to their runner.
     fn prepare(&mut self, choice: Selection, batches: Batches, now: Instant) -> BatchCall {
         let Selection {
             index,
@@ -126,7 +126,7 @@
         batch_call
     }
 
-    /// Binds the pieces of a call to its runner.
+    /// Adds the pieces to the call.
     fn assemble(
         &mut self,
         mut batch_call: BatchCall,
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -1,4 +1,4 @@
-//! What waits in a cell and what its runners do.
+//! State of a cell: the pending orders and its runners.
 
 use super::batch_call::BatchCall;
 use super::pending::PendingOrder;
@@ -20,23 +20,23 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Speed of a cell below which its runners are taken to be as slow as that, compared to one that
-/// works as configured: an expected wait must stay finite.
+/// Lower bound on the total speed of a cell's runners, as a multiple of the configured speed of one
+/// runner. It keeps expected waits finite.
 const MIN_SPEED: f64 = 0.1;
 
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) former: Option<Choice>,
-    /// Pieces under which runners have ended.
+    /// Pieces during which runners have exited.
     pub(super) isolation: Isolation,
     pub(super) waiting: Map<Ticket, PendingOrder>,
     pub(super) runner_states: Vec<RunnerState>,
     next: Ticket,
-    /// When calls are looked for next without a cause.
+    /// When the next dispatch without another cause is scheduled.
     next_wake: Option<Instant>,
-    /// How much larger than the configuration says results are taken to be.
+    /// Ratio of the assumed to the configured size of results.
     inflation: Inflation,
-    /// Whether results that are over are about to be given back.
+    /// Whether a task that drops released results is scheduled.
     release_scheduled: bool,
 }
 
@@ -54,24 +54,24 @@
 }
 
 impl State {
-    /// Whether the cell has no runner that takes work.
+    /// Whether the cell has no runner that accepts work.
     pub(super) fn is_empty(&self) -> bool {
         self.runner_states.is_empty()
     }
 
-    /// A result is needed no more.
+    /// Marks a result as no longer needed.
     pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, until: Instant) {
         if let Some(state) = self.at(address) {
             state.release(handle, until);
         }
     }
 
-    /// Whether nobody else is about to give back what is over.
+    /// Whether the caller has to schedule the task that drops released results.
     pub(super) fn schedule_release(&mut self) -> bool {
         !std::mem::replace(&mut self.release_scheduled, true)
     }
 
-    /// The results that are over, by the runner that holds them.
+    /// Takes the released results, by the runner that stores them.
     pub(super) fn take_released(&mut self) -> Vec<(Arc<Runner>, Vec<Handle>)> {
         self.release_scheduled = false;
         let released = |state: &mut RunnerState| {
@@ -81,7 +81,7 @@
         self.runner_states.iter_mut().filter_map(released).collect()
     }
 
-    /// A result has been fetched by the call that needs it.
+    /// Marks a result as fetched by the call that needs it.
     pub(super) fn fetched(&mut self, address: SocketAddr, handle: &Handle) {
         if let Some(state) = self.at(address) {
             state.fetched(handle);
@@ -93,7 +93,7 @@
         runner_states.find(|state| state.runner.address == address)
     }
 
-    /// The inputs of a call's orders that have no pieces left which might fetch them.
+    /// Inputs of a call's orders that have no pieces left that might fetch them.
     pub(super) fn inputs(&self, batch_call: &BatchCall) -> Vec<Results> {
         let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
         let orders = batch_call.portions.iter().filter_map(waiting);
@@ -102,7 +102,7 @@
             .collect()
     }
 
-    /// Results that another process asked for and may still hold.
+    /// Records a result that another process requested and that may still be stored.
     pub(super) fn record_result(
         &mut self,
         address: SocketAddr,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Time that the runners take for each piece that waits.
+    /// Time that the runners take per waiting piece.
     pub(super) fn piece_time(&self, batches: &Batches) -> Duration {
         let shape = batches.shape;
         let now = Instant::now();
@@ -126,7 +126,7 @@
         full.div_f64(speed.max(MIN_SPEED) * f64::from(shape.size.max(1)))
     }
 
-    /// Expected times until pieces that come now are made, by the rank of their request.
+    /// Expected times until pieces that arrive now are done, by the rank of their request.
     pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<WaitEstimates> {
         let runner_states = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
         if runner_states == 0 {
@@ -153,7 +153,7 @@
         Some(WaitEstimates::new(|rank| work + piece * ahead(rank)))
     }
 
-    /// Names of the requests whose pieces a call carries.
+    /// Ids of the requests whose pieces a call carries.
     pub(super) fn requests(&self, batch_call: &BatchCall) -> String {
         let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
         let ids = batch_call.portions.iter().filter_map(waiting);
@@ -188,7 +188,7 @@
         self.waiting.insert(ticket, waiting);
     }
 
-    /// The pieces of an order that still wait, as the former sees them.
+    /// The waiting pieces of an order, as a group for the batch queue.
     pub(super) fn group<D: Downstream>(
         &self,
         waiting: &PendingOrder,
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Drops the orders whose requests are gone, and ends those that cannot be made in time.
+    /// Drops the orders whose requests are gone, and ends those that cannot be completed in time.
     pub(super) fn drop_expired(&mut self, at: Duration, piece: Duration) {
         let Some(former) = self.former.as_mut() else {
             return;
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Ends an order; whoever waited for it may be gone by now, which is no matter.
+    /// Ends an order. Its receiver may be gone by now, which is harmless.
     pub(super) fn finish_order(&mut self, ticket: Ticket, outcome: Outcome) {
         if let Some(former) = self.former.as_mut() {
             former.withdraw(ticket);
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Takes in what became of a call; gives what the orders asked for of which all is made now.
+    /// Processes the outcome of a call; returns the content ids of the orders that it completed.
     pub(super) fn finish<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -277,7 +277,7 @@
             .portions
             .iter()
             .flat_map(|(ticket, pieces)| pieces.iter().map(move |&piece| (*ticket, piece)));
-        // Nothing was sent: the pieces wait for another runner, and no repeat is counted.
+        // Nothing was sent, so the pieces wait for another runner and no retry is charged.
         let unmade = match &result {
             Err(failure) if failure.is_withdrawn() => PieceOutcome::NoRoom,
             _ => PieceOutcome::Failed,
@@ -298,8 +298,8 @@
         complete
     }
 
-    /// Leaves a runner alone that asks for this time between its calls, the last of which began then.
-    /// This process alone forms the calls of the cell.
+    /// Applies the interval between calls that a runner asks for; the last call started at `begun`.
+    /// Only this process forms the calls of the cell.
     pub(super) fn apply_spacing(&mut self, id: &str, begun: Instant, spacing: Option<Duration>) {
         let state = self
             .runner_states
@@ -318,8 +318,8 @@
     ) {
         if let Ok(made) = result {
             let had_room = !made.contains(&PieceOutcome::NoRoom);
-            // Where all that is over had been given back, the runner holds what nobody here knows of,
-            // which says nothing of the size of results.
+            // If all results that were no longer needed had been dropped, the runner stores results
+            // unknown to this process, which tells nothing about the size of results.
             if had_room || !batch_call.release_first {
                 self.inflation.update(had_room);
             }
@@ -340,13 +340,13 @@
             room: batch_call.room,
             keep: batch_call.batches.keep,
         };
-        // A runner that is listed no more has nothing to learn of.
+        // A runner that is no longer listed has no state to update.
         if let Some(state) = state {
             state.record_call(&call, Instant::now());
         }
     }
 
-    /// Takes in what became of one piece; gives the outcome of the order if that ends it.
+    /// Processes the outcome of one piece; returns the outcome of the order if the piece ends it.
     fn settle_piece<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -383,7 +383,7 @@
             }
             PieceOutcome::Late => Some(Err(StageError::Late)),
             PieceOutcome::InputGone => Some(Err(StageError::InputGone)),
-            // One without room has not been worked on.
+            // A piece without room has not been processed.
             PieceOutcome::Failed if !relay.may_repeat(service) => Some(Err(StageError::Failed)),
             PieceOutcome::NoRoom | PieceOutcome::Failed => {
                 waiting.unsent.push(piece);
@@ -398,7 +398,7 @@
         }
     }
 
-    /// Counts a result at its runner; one that nobody waits for is released.
+    /// Records a result at its runner; one that no order waits for is released at once.
     fn store_result(
         &mut self,
         id: &RunnerId,
@@ -423,10 +423,10 @@
         }
     }
 
-    /// When a result lapses or an order is over, if no call is in progress.
+    /// When the next result expires or the next order ends, if no call is in progress.
     ///
-    /// With the room of all runners taken there is nothing whose end would tell. Orders would wait
-    /// until their callers give up, beside runners that have long had room again.
+    /// With the room of all runners taken, no call ends that would cause a dispatch. Orders would
+    /// wait until their requests time out although runners have had room again for a long time.
     fn stalled_until(&self, now: Instant) -> Option<Instant> {
         if self
             .runner_states
@@ -443,7 +443,7 @@
         expiries.chain(orders).filter(|until| *until > now).min()
     }
 
-    /// When something may change that no call or order tells; once for each such moment.
+    /// Time of the next dispatch that no call or order causes; returned once for each such time.
     pub(super) fn next_wake_time(&mut self, started: Instant) -> Option<Instant> {
         let now = Instant::now();
         let pauses = self
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -1,4 +1,4 @@
-//! Pieces under which runners of their stage have ended.
+//! Isolation of pieces during which runners of their stage have exited.
 
 use super::StageError;
 use super::batch_call::BatchCall;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two checks whether suspects that wait may be sent to a runner.
+/// Interval at which waiting suspects are checked for whether they may be sent to a runner.
 pub(super) const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is known of the content of an order.
+/// What is known about the content of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ContentStatus {
-    /// Nothing speaks against it.
+    /// Nothing is known against it.
     Clear,
-    /// So many runners have ended under it.
+    /// This many runners have exited while processing it.
     Suspect(u32),
-    /// It is held back.
+    /// It is quarantined.
     Quarantined,
 }
 
-/// Notes what the failure of a call says of its runner and of what it carried.
+/// Records what the failure of a call shows about its runner and about its pieces.
 ///
-/// Waits a moment for whether the runner has ended, so that the pieces do not go on among others to the
-/// next one.
+/// Waits briefly to learn whether the runner has exited, so that the pieces are not sent to the
+/// next runner together with others.
 pub(super) async fn record_failure<D: Downstream>(
     relay: &Arc<Relay<D>>,
     batch_call: &BatchCall,
@@ -61,8 +61,8 @@
 }
 
 impl State {
-    /// Moves the orders under which runners have ended out of the calls of the others, and those that have
-    /// been cleared back; ends those that are held back.
+    /// Isolates the orders during which runners have exited, returns those that have been cleared
+    /// to the shared queue, and ends those that are quarantined.
     pub(super) fn isolate_suspects<D: Downstream>(&mut self, relay: &Relay<D>, at: Duration) {
         if self.isolation.is_empty() && !relay.has_suspects() {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What is known of the orders that have pieces waiting.
+    /// Status of the orders that have pieces waiting.
     fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(Ticket, ContentStatus)> {
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|(_, waiting)| !waiting.unsent.is_empty());
@@ -140,7 +140,7 @@
         self.isolation.push(suspect);
     }
 
-    /// The suspects of the next call, if some may be sent to one of these places now.
+    /// Selects the suspects of the next call, if some may be sent to one of these runners now.
     pub(super) fn select_suspects<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -182,14 +182,15 @@
 
     fn abandon<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket, standing: Standing) {
         if let Some(waiting) = self.waiting.get(&ticket) {
-            slog::info!(relay.log, "suspect pieces given up"; "request" => &*waiting.order.id,
+            slog::info!(relay.log, "suspect pieces rejected"; "request" => &*waiting.order.id,
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
         self.finish_order(ticket, Err(StageError::Poison));
     }
 
-    /// Learns from the end of a call which of its orders may share their next ones.
+    /// Limits, from the outcome of a call, how many suspect orders may share the next calls of its
+    /// orders.
     pub(super) fn record_call_suspects(
         &mut self,
         batch_call: &BatchCall,
--- a/crates/relay/src/downstream.rs
+++ b/crates/relay/src/downstream.rs
@@ -1,4 +1,5 @@
-//! Calls to runners, as the product sees them; an adapter speaks the runners' protocol.
+//! Calls to runners. The [`Downstream`] trait is implemented by an adapter that speaks the runners'
+//! protocol.
 
 use crate::plan::Rank;
 use crate::request::{EventId, IncompleteBody, Message, RequestId};
@@ -11,116 +12,116 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Names a result that lies at the runner that made it.
+/// Identifier of a stage result, which is stored at the runner that produced it.
 pub type Handle = Arc<str>;
 
-/// A request on its way to a runner.
+/// A request to be sent to a runner.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The request.
+    /// Request id.
     pub id: RequestId,
-    /// What is passed on.
+    /// Message to forward.
     pub message: Arc<Message>,
-    /// Time that is left.
+    /// Time left until the request's deadline.
     pub remaining: Duration,
     /// Workspace that the request belongs to.
     pub workspace: Option<Arc<str>>,
-    /// Urgency of a request to a model.
+    /// Priority of a request to a model.
     pub rank: Option<Rank>,
-    /// Results that the request needs.
+    /// Stage results that the request needs.
     pub inputs: Vec<Handle>,
-    /// Last event that the caller has, where a stream goes on.
+    /// Id of the last event that the client has received, if it resumes a stream.
     pub resume_after: Option<EventId>,
-    /// Whether an open connection may be used again. One that died unnoticed takes the request
-    /// with it, and nobody can tell whether it has run: never for what may run once at most.
+    /// Whether a pooled connection may be reused. If the pooled connection has died unnoticed, the
+    /// request is lost with it and it is unknown whether it has run, so connections are never
+    /// reused for requests that may run at most once.
     pub reuse: bool,
-    /// Connections to the runner that may stay open unused.
+    /// Maximum number of idle connections to keep open to the runner.
     pub idle: usize,
 }
 
 /// One piece of a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// The request.
+    /// Request id.
     pub id: RequestId,
-    /// Position of the stage in the route.
+    /// Index of the stage in the route.
     pub stage: usize,
-    /// Number of the piece.
+    /// Index of the piece in its stage.
     pub piece: u32,
-    /// Time that is left.
+    /// Time left until the piece's deadline.
     pub remaining: Duration,
-    /// What the piece is made from.
+    /// Input of the piece.
     pub source: Source,
 }
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Source {
-    /// The caller's key, for a stage that follows no other.
+    /// Key given by the client, for a stage without preceding stages.
     Key(Arc<str>),
-    /// Results of the stages before.
+    /// Results of the preceding stages.
     Inputs(Arc<[Handle]>),
 }
 
-/// What became of a piece.
+/// Outcome of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// Its result lies here.
+    /// The piece is done; its result is stored under this handle.
     Done(Handle),
-    /// It was too late when its turn came.
+    /// The deadline had passed when the runner got to the piece.
     Late,
-    /// One of its inputs is gone.
+    /// One of the inputs no longer exists.
     InputGone,
     /// The runner had no room for the result.
     NoRoom,
-    /// The runner failed.
+    /// The runner failed to process the piece.
     Failed,
 }
 
-/// What became of the pieces of a call.
+/// Outcome of a batch call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchReply {
-    /// Each of them, in their order.
+    /// Outcome of each piece, in the order of the call.
     pub outcomes: Vec<PieceOutcome>,
-    /// As in [`Reply::spacing`].
+    /// See [`Reply::spacing`].
     pub spacing: Option<Duration>,
 }
 
-/// The beginning of a runner's answer.
+/// Head of a runner's response, with the body still to be read.
 #[derive(Debug)]
 pub struct Reply<B> {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Whether it bears the runner's proof that the answer is its own.
+    /// Whether the response carries the runner's proof that it produced it.
     pub proven: bool,
-    /// Headers that are for the caller.
+    /// Headers to forward to the client.
     pub headers: HeaderMap,
-    /// Mean time between the requests that the runner takes from all processes together, if it asks
-    /// for some.
+    /// Mean interval that the runner asks for between requests from all processes together, if any.
     pub spacing: Option<Duration>,
     /// Body.
     pub body: B,
 }
 
-/// Why a call has no answer.
+/// Why a call got no response.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Failure {
-    /// The runner has not run it and will not.
+    /// The runner has not run the request and will not run it.
     #[snafu(display("not run: {reason}"))]
     NotRun {
-        /// Why not.
+        /// Reason.
         reason: NotRun,
     },
-    /// The call was sent, and its answer did not come whole: it may have run.
+    /// The request was sent but its response was not received completely, so it may have run.
     #[snafu(display("lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
 }
 
 impl Failure {
-    /// Whether nothing was sent, since the runner takes no more work.
+    /// Whether nothing was sent because the runner no longer accepts work.
     #[must_use]
     pub fn is_withdrawn(&self) -> bool {
         let reason = NotRun::Withdrawn;
@@ -131,50 +132,50 @@
 /// Why a runner has not run a call.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum NotRun {
-    /// No connection came about.
+    /// No connection could be established.
     #[snafu(display("unreachable: {reason}"))]
     Unreachable {
-        /// What the system says.
+        /// Error reported by the operating system.
         reason: String,
     },
-    /// It is full.
+    /// The runner is at capacity.
     #[snafu(display("full"))]
     Full {
-        /// As in [`Reply::spacing`].
+        /// See [`Reply::spacing`].
         spacing: Option<Duration>,
     },
-    /// It came to be known that the runner takes no more work before anything was sent.
+    /// The runner stopped accepting work before anything was sent.
     #[snafu(display("withdrawn"))]
     Withdrawn,
-    /// Another runner listens at its address now.
+    /// Another runner now listens at the address.
     #[snafu(display("replaced"))]
     Replaced,
-    /// A result that the request needs is gone.
+    /// A result that the request needs no longer exists.
     #[snafu(display("input gone"))]
     InputGone,
-    /// It refused the call for another reason.
+    /// The runner refused the call for another reason.
     #[snafu(display("refused with status {status}"))]
     Refused {
-        /// Status of the refusal.
+        /// HTTP status of the refusal.
         status: u16,
     },
 }
 
-/// Speaks to runners.
+/// Client for the runners' protocol.
 pub trait Downstream: Clone + Send + Sync + 'static {
-    /// Body of a runner's answer; it ends well only if the answer is whole. Dropping it ends the
-    /// call at the runner.
+    /// Body of a runner's response. The stream ends without an error only if the body is complete.
+    /// Dropping it cancels the call at the runner.
     type Body: Stream<Item = Result<Bytes, IncompleteBody>> + Send + Unpin + 'static;
 
-    /// Sends a request and waits for the beginning of its answer. Dropping the future ends the
-    /// call at the runner.
+    /// Sends a request and waits for the head of the response. Dropping the future cancels the call
+    /// at the runner.
     ///
-    /// `is_open` tells whether the runner still takes work. It is asked when the connection is there, right
-    /// before the first byte is written.
+    /// `is_open` returns whether the runner still accepts work. It is called once the connection is
+    /// established, immediately before the first byte is written.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotRun`] only if it is certain.
+    /// [`Failure::NotRun`] only if it is certain that the request has not run.
     fn call(
         &self,
         runner: &Runner,
@@ -182,11 +183,11 @@
         is_open: impl Fn() -> bool + Send,
     ) -> impl Future<Output = Result<Reply<Self::Body>, Failure>> + Send;
 
-    /// Has pieces made; `is_open` as for [`Downstream::call`].
+    /// Has a runner process pieces; `is_open` as for [`Downstream::call`].
     ///
     /// # Errors
     ///
-    /// [`Failure::NotRun`] if none was made.
+    /// [`Failure::NotRun`] if no piece was processed.
     fn make(
         &self,
         runner: &Runner,
@@ -195,25 +196,25 @@
         is_open: impl Fn() -> bool + Send,
     ) -> impl Future<Output = Result<BatchReply, Failure>> + Send;
 
-    /// Tells a runner that these results are needed no more.
+    /// Tells a runner that these results are no longer needed.
     ///
     /// # Errors
     ///
-    /// Any; the runner drops them later by itself.
+    /// Any failure; the runner eventually drops the results on its own.
     fn release(
         &self,
         runner: &Runner,
         handles: Vec<Handle>,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
-    /// Whether the runner has ended: nothing listens at its address any more. One that cannot be
-    /// reached may have.
+    /// Whether the runner has exited, which is when nothing listens at its address any more. An
+    /// unreachable runner may have exited as well.
     fn has_ended(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
 
-    /// Whether the runner answers a question after its state, which costs it no work. One that does not
-    /// answer within a moment may be busy.
+    /// Whether the runner answers a status query, which costs it no work. A runner that does not
+    /// answer promptly may just be busy.
     fn answers(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
 
-    /// Address of the runner that holds a result.
+    /// Address of the runner that stores a result.
     fn holder(&self, handle: &Handle) -> Option<std::net::SocketAddr>;
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,23 +1,23 @@
-//! Where the events of a stream begin and end.
+//! Boundaries of server-sent events in a byte stream.
 //!
-//! A runner may stop in the middle of an event. Only whole events are passed on, so that another
-//! runner can go on after the last one that the caller has.
+//! A runner may stop in the middle of an event. Only complete events are forwarded, so that another
+//! runner can resume after the last event that the client has received.
 
 use crate::request::EventId;
 use bytes::{Bytes, BytesMut};
 
-/// Whole events that follow one another.
+/// One or more consecutive complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Events {
-    /// As they came.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// Id of the first one that has one.
+    /// Id of the first event that has an id.
     pub first: Option<EventId>,
-    /// Id of the last one that has one.
+    /// Id of the last event that has an id.
     pub last: Option<EventId>,
 }
 
-/// Cuts a stream of bytes behind whole events.
+/// Splits a byte stream into complete events.
 ///
 /// # Examples
 ///
@@ -37,7 +37,7 @@
 }
 
 impl Splitter {
-    /// Takes in bytes and gives the whole events that are there now.
+    /// Adds bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
         let searched = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(bytes);
@@ -50,14 +50,14 @@
         })
     }
 
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     #[must_use]
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 }
 
-/// Position behind the last blank line, looking no further back than `from`.
+/// Position after the last blank line, searching back to `from` at most.
 fn end_of_last_event(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).rev().find_map(|position| {
         let rest = &bytes[position..];
@@ -76,7 +76,7 @@
     *byte == b'\n'
 }
 
-/// Id that a line gives its event, if it does.
+/// Event id set by a line, if any.
 fn id(line: &[u8]) -> Option<EventId> {
     let id = line.strip_prefix(b"id:")?;
     std::str::from_utf8(id).ok()?.trim().parse().ok()
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -1,4 +1,4 @@
-//! The stages of one request.
+//! Runs the stages of a request.
 
 use crate::attempt;
 use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError};
@@ -19,35 +19,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Times that the stages of a request are begun anew because a result was gone.
+/// How often the stages of a request are restarted because a result no longer exists.
 const MAX_RESTARTS: u32 = 1;
-/// Least time from the last stage to the first event that a request is given, whatever its prompt.
+/// Minimum time assumed from the last stage to the first event, whatever the length of the prompt.
 const MIN_MODEL_TIME: Duration = Duration::from_millis(60);
 
-/// Bytes a second up to which it is worth waiting for a runner of the right failure domain. Links
-/// between failure domains are far dearer than those within; at this rate the results of a few
-/// megabytes wait for about a call.
+/// Cross-domain traffic in bytes per second of waiting above which it is worth waiting for a runner
+/// in the preferred failure domain. Links between failure domains cost far more than links within
+/// one; at this rate the results of a few megabytes wait for about one call.
 const CROSS_DOMAIN_BYTES_PER_SECOND: f64 = 10e6;
 
-/// Whether the pieces of a request are asked for the first time. Repeats are paid for from the
+/// Whether the pieces of a request are requested for the first time. Retries are charged to the
 /// budget that the whole fleet shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageRun {
-    /// For the first time.
+    /// The first run.
     First,
-    /// Once more, since results were lost.
+    /// Another run, since results were lost.
     Repeat,
 }
 
-/// Stages beside a longer chain are begun when the chain needs this many times their own time at
-/// most, which leaves them half a call to wait.
+/// A stage beside a longer chain starts once the rest of that chain takes at most this many times
+/// the stage's own time, which leaves the stage half a call to wait.
 const EARLY_START_FACTOR: f64 = 1.5;
 
-/// Times of its own call that the pieces of each stage are given to be on time: the rest of the call
-/// that a runner is busy with, the call itself, and one more for those that are ahead.
+/// Number of own calls that the pieces of each stage may take and still be on time: the rest of the
+/// call that a runner is busy with, the call itself, and one more for pieces ahead in the queue.
 const MIN_DUE_CALLS: u32 = 3;
 
-/// Results that a request holds at the runners that made them, and gives back in the end.
+/// Results that a request keeps at the runners that computed them, and releases in the end.
 #[derive(Debug)]
 pub struct Inputs<D: Downstream> {
     relay: Arc<Relay<D>>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The results that one stage needs and no other.
+    /// Results that this stage needs and no other stage does.
     fn exclusive_to(&self, route: &Route, stage: usize) -> Vec<Results> {
         let after = &route.stages[stage].after;
         let only = |before: usize| after.contains(&before) && route.followers(before).count() == 1;
@@ -73,11 +73,11 @@
         stages.map(|(_, results)| results.clone()).collect()
     }
 
-    /// Gives the results of some stages back.
+    /// Releases the results of some stages.
     ///
-    /// A runner has room for the results of ten to sixty pieces. Those of a stage in the middle are
-    /// of no more use once the stages behind it are made; kept until the request's end they take up
-    /// the room of the next requests.
+    /// A runner has room for the results of ten to sixty pieces. Results of an intermediate stage
+    /// are useless once the stages that follow it are done; kept until the end of the request they
+    /// would occupy room that the next requests need.
     pub fn release(&mut self, which: impl Fn(usize) -> bool) {
         let (over, left) = self.stages.drain(..).partition(|(stage, ..)| which(*stage));
         self.stages = left;
@@ -89,19 +89,19 @@
     }
 }
 
-/// A request that ends, however it does, must not leave its results to take up room until they
-/// lapse: runners without room turn the next requests' pieces away.
+/// However a request ends, its results must not occupy room until they expire: runners without room
+/// reject the pieces of the next requests.
 impl<D: Downstream> Drop for Inputs<D> {
     fn drop(&mut self) {
         self.release(|_| true);
     }
 }
 
-/// Runs the stages of a request and gives the results that the request needs.
+/// Runs the stages of a request and returns the results that the request needs.
 ///
 /// # Errors
 ///
-/// [`StageError`] if the pieces of one stage cannot be made.
+/// [`StageError`] if the pieces of a stage cannot be processed.
 pub async fn run<D: Downstream>(
     job: &Job<D>,
     mut stage_run: StageRun,
@@ -162,8 +162,8 @@
     Ok(inputs)
 }
 
-/// Whether a stage is better begun later: its results would lie at their runner until a longer
-/// chain of stages beside it is done, and take up room for results that long.
+/// Whether a stage should start later. Its results would be stored at their runner until a longer
+/// chain of stages beside it is done, and occupy room for that long.
 fn starts_too_early<D: Downstream>(
     job: &Job<D>,
     stage: usize,
@@ -177,13 +177,14 @@
     longest.is_some_and(|longest| longest > own)
 }
 
-/// Whether the results of a stage have served: other stages follow it, and those are made.
+/// Whether the results of a stage are no longer needed: other stages follow it, and all of those
+/// are done.
 fn is_consumed(route: &Route, made: &[Option<Vec<Handle>>], stage: usize) -> bool {
     let mut followers = route.followers(stage).peekable();
     followers.peek().is_some() && followers.all(|next| made[next].is_some())
 }
 
-/// What the pieces of a stage are made from.
+/// Input of the pieces of a stage.
 fn source<D: Downstream>(job: &Job<D>, stage: usize, made: &[Option<Vec<Handle>>]) -> Source {
     let after = &job.route.stages[stage].after;
     if after.is_empty() {
@@ -253,11 +254,11 @@
     (stage, cell, outcome)
 }
 
-/// Moment by which the pieces of a stage must be made for the request to be on time.
+/// When the pieces of a stage must be done for the request to be on time.
 ///
-/// A prompt of tens of thousands of tokens takes longer than the aim of its route, whatever is done.
-/// Counted as late from the start, such requests would be the first to be given up in every burst,
-/// and hardly any of them would be served. They get about as much time here as the others.
+/// A prompt of tens of thousands of tokens takes longer than the latency target of its route in any
+/// case. If such requests counted as late from the start, they would be dropped first in every
+/// burst, and hardly any of them would be served. Here they get about as much time as others.
 fn stage_due<D: Downstream>(job: &Job<D>, stage: usize, min_time_after: Duration) -> Instant {
     let arrived = job.request.arrived;
     let due = job.due.checked_sub(min_time_after).unwrap_or(arrived);
@@ -267,11 +268,12 @@
     due.max(Instant::now() + job.call_time(stage) * MIN_DUE_CALLS)
 }
 
-/// Where the pieces of a stage are best made, and how long they wait for a runner there.
+/// Failure domain where the pieces of a stage are best processed, and how long they wait for a
+/// runner there.
 ///
-/// Each piece fetches all inputs of its stage, so that a stage of many pieces belongs near its
-/// inputs; one with large results belongs where the model will run. The wait is worth what would
-/// cross failure domains otherwise, as far as the request has time for it. All of that time may be
+/// Each piece fetches all inputs of its stage, so a stage of many pieces belongs near its inputs; a
+/// stage with large results belongs where the model will run. The wait is worth the traffic between
+/// failure domains that it saves, as far as the request has time for it. All of that time can be
 /// offered: the pieces wait only if a runner there will be free within it.
 fn preferred_domain<D: Downstream>(
     job: &Job<D>,
@@ -292,13 +294,13 @@
     let left = job.due.saturating_duration_since(Instant::now());
     let max_domain_wait = match left.checked_sub(expected) {
         Some(spare) => worth.min(spare),
-        // Late already: it has nothing more to lose by the wait.
+        // The request is late already and has nothing to lose by waiting.
         None => worth,
     };
     (domain, max_domain_wait)
 }
 
-/// Failure domain of the runners that hold most of some results.
+/// Failure domain of the runners that store most of these results.
 fn majority_domain<D: Downstream>(job: &Job<D>, handles: &[Handle]) -> Option<DomainId> {
     let addresses = handles
         .iter()
@@ -316,12 +318,12 @@
 }
 
 impl<D: Downstream> Job<D> {
-    /// Pieces of a stage.
+    /// Number of pieces of a stage.
     pub fn pieces(&self, stage: usize) -> u32 {
         self.request.pieces.get(stage).copied().unwrap_or(0)
     }
 
-    /// Least time from the end of a stage to the first event of the answer.
+    /// Minimum time from the end of a stage to the first event of the response.
     fn min_time_after(&self, stage: usize) -> Duration {
         let next = self.route.followers(stage).filter(|&next| next > stage);
         next.map(|next| self.call_time(next) + self.min_time_after(next))
@@ -329,7 +331,7 @@
             .unwrap_or_else(|| self.model_time())
     }
 
-    /// Expected time from the end of a stage to the first event of the answer, waits included.
+    /// Expected time from the end of a stage to the first event of the response, including waits.
     fn expected_time_after(&self, stage: usize) -> Duration {
         let next = self.route.followers(stage).filter(|&next| next > stage);
         next.filter(|&next| self.pieces(next) > 0)
@@ -338,7 +340,7 @@
             .unwrap_or_else(|| self.model_time())
     }
 
-    /// Time of a call that makes the pieces of a stage, waits excluded.
+    /// Time of a call that processes the pieces of a stage, excluding waits.
     fn call_time(&self, stage: usize) -> Duration {
         let pieces = self.pieces(stage);
         let batches = self.plan.batches(&self.route.stages[stage].service);
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Time from the call of the model to its first event, by the length of the prompt.
+    /// Time from the call of the model to its first event, given the length of the prompt.
     pub fn model_time(&self) -> Duration {
         let tokens = self
             .request
@@ -358,7 +360,7 @@
         MIN_MODEL_TIME + Duration::from_secs_f64(affine::reading(tokens))
     }
 
-    /// Expected time until the answer begins, with what waits now before the first stages.
+    /// Expected time until the response starts, given the current waits of the first stages.
     pub fn expected(&self) -> Duration {
         (0..self.route.stages.len())
             .filter(|&stage| self.route.stages[stage].after.is_empty() && self.pieces(stage) > 0)
@@ -367,7 +369,7 @@
             .unwrap_or_default()
     }
 
-    /// Expected time until the pieces of a stage are made.
+    /// Expected time until the pieces of a stage are done.
     fn expected_stage_time(&self, stage: usize) -> Duration {
         let service = &self.route.stages[stage].service;
         let cell = self.relay.cell(service, None, Duration::ZERO);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, and what a caller gets.
+//! Client requests, and the responses to them.
 
 use bytes::Bytes;
 use decide::route::affine::Part;
@@ -10,39 +10,39 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Name of a request; each attempt of a caller has its own.
+/// Request id; each attempt of a client has its own.
 pub type RequestId = Arc<str>;
-/// Position of an event in its stream.
+/// Id of an event in its stream.
 pub type EventId = u64;
 
-/// A request as its caller sent it.
+/// A request as received from its client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its name.
+    /// Request id.
     pub id: RequestId,
-    /// Host that it asks for.
+    /// Requested host.
     pub host: String,
-    /// Key of its workspace.
+    /// API key of the workspace.
     pub key: Option<String>,
-    /// When it had been read.
+    /// When the request had been read.
     pub arrived: Instant,
-    /// Time that the caller waits, if it told.
+    /// How long the client waits, if it has said so.
     pub timeout: Option<Duration>,
-    /// Pieces of each stage; a stage without pieces is left out.
+    /// Number of pieces of each stage; a stage without pieces is skipped.
     pub pieces: Vec<u32>,
     /// Key of the pieces of the first stages.
     pub piece_key: String,
-    /// The prompt of a request to a model.
+    /// Prompt, for a request to a model.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has, where it goes on with a stream.
+    /// Id of the last event that the client has received, if it resumes a stream.
     pub resume_after: Option<EventId>,
-    /// What is passed on to the runner.
+    /// Message to forward to the runner.
     pub message: Arc<Message>,
 }
 
 impl Request {
-    /// Tells requests apart by what they ask for: attempts of one caller with the same host, path and
-    /// body are the same, whatever their names.
+    /// Identifies what a request asks for: attempts of one client with the same host, path and body
+    /// have the same content, whatever their request ids.
     ///
     /// # Examples
     ///
@@ -81,39 +81,39 @@
     }
 }
 
-/// Tells the pieces of one stage of a request apart from those of other stages: a request may end the
-/// runners of one stage, whose calls carry its pieces, and none of another.
+/// Derives the content of one stage of a request. A request may crash the runners of one stage,
+/// which process its pieces, but not those of another.
 #[must_use]
 pub fn stage_content(content: ContentId, stage: usize) -> ContentId {
     foldhash::quality::FixedState::default().hash_one((content, stage))
 }
 
-/// The part of a request that is passed on as it is.
+/// The part of a request that is forwarded unchanged.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// Headers that are for the runner.
+    /// Headers to forward to the runner.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// The prompt of a request to a model.
+/// Prompt of a request to a model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
-    /// Tokens to read.
+    /// Number of prompt tokens.
     pub input: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub output: u32,
-    /// Parts that it shares with other requests, in their order.
+    /// Prompt parts shared with other requests, in order.
     pub shared: Vec<Part>,
 }
 
 impl Prompt {
-    /// Tokens that are its own, which a runner reads in any case.
+    /// Number of tokens not shared with other requests, which a runner has to process in any case.
     #[must_use]
     pub fn unshared(&self) -> u32 {
         let shared: u32 = self.shared.iter().map(|part| part.tokens).sum();
@@ -121,38 +121,40 @@
     }
 }
 
-/// What a caller gets.
+/// Response to a client.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Headers of the runner's answer, or of the refusal.
+    /// Headers of the runner's response or of the refusal.
     pub headers: HeaderMap,
-    /// When the caller should come back, where the request has not run.
+    /// When the client should retry, if the request has not run.
     pub retry_after: Option<Duration>,
     /// Body.
     pub body: Body,
 }
 
-/// The body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Full(Bytes),
-    /// Parts as they come. It ends well only if the channel closes without a [`IncompleteBody`].
+    /// Parts as they arrive. The body is complete only if the channel closes without an
+    /// [`IncompleteBody`].
     Stream(mpsc::Receiver<Result<Bytes, IncompleteBody>>),
 }
 
-/// An answer that ended before it was whole; the caller's connection must not make it look whole.
+/// A response body that ended early. The client must be able to tell: its connection is aborted so
+/// that the body does not look complete.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("answer broke off: {reason}"))]
+#[snafu(display("response body incomplete: {reason}"))]
 pub struct IncompleteBody {
-    /// What happened.
+    /// Description of the failure.
     pub reason: String,
 }
 
 impl Answer {
-    /// An answer of the relay itself.
+    /// Creates the relay's own response to a refused request.
     #[must_use]
     pub fn from_refusal(refusal: &Refusal) -> Self {
         Self {
@@ -164,58 +166,58 @@
     }
 }
 
-/// Why a request gets no answer of a runner.
+/// Why a request gets no response from a runner.
 ///
-/// Only the first five say that it has not run and never will; a caller may safely send it again
-/// after those.
+/// Only the first five variants state that the request has not run and never will, so that the
+/// client may safely send it again.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
 pub enum Refusal {
-    /// No configuration or no list of runners is known yet.
+    /// No configuration or no runner list is available yet.
     #[snafu(display("not ready"))]
     NotReady,
-    /// It cannot be served in time, or no runner takes it.
+    /// The request cannot be served in time, or no runner accepts it.
     #[snafu(display("overloaded: {reason}"))]
     Overloaded {
-        /// What is short.
+        /// What is lacking.
         reason: &'static str,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// It has ended the runners that ran it.
+    /// The request is quarantined because runners exited while running it.
     #[snafu(display("held back: runners ended under this request"))]
     Poison {
-        /// When it is tried again.
+        /// When the request is tried again.
         retry_after: Duration,
     },
-    /// No route leads there.
+    /// No route matches the request.
     #[snafu(display("no such route"))]
     NoRoute,
-    /// No workspace holds its key.
+    /// The API key belongs to no workspace.
     #[snafu(display("unknown key"))]
     NoKey,
-    /// The request makes no sense.
+    /// The request is invalid.
     #[snafu(display("bad request: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// What is invalid.
         reason: &'static str,
     },
-    /// The runner's answer was lost; the request may have run.
+    /// The runner's response was lost; the request may have run.
     #[snafu(display("answer lost: {reason}"))]
     Lost {
-        /// What happened to it.
+        /// How it was lost.
         reason: String,
     },
-    /// No answer came in time; the request may have run.
+    /// No response arrived in time; the request may have run.
     #[snafu(display("timed out"))]
     Late,
 }
 
-/// Time after which a caller may come back that was refused for want of a configuration: about
-/// that of reading it.
+/// When to retry a request that was refused because no configuration was available. Reading the
+/// configuration takes about this long.
 const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(300);
 
 impl Refusal {
-    /// Its status.
+    /// HTTP status.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// When the caller should come back, where the request has not run.
+    /// When the client should retry, if the request has not run.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! Handles one request from its arrival to its response.
 
 use crate::attempt;
 use crate::batch::StageError;
@@ -16,44 +16,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time after which a request may come back that failed for a reason which passes soon.
+/// When to retry a request that failed for a transient reason.
 const RETRY_AFTER_TRANSIENT: Duration = Duration::from_millis(200);
-/// Part of the time that its caller has left after which a request may come back that was refused for
-/// want of capacity. Bursts last for seconds, and one that comes back sooner is refused once more;
-/// two thirds of the time are enough to be served.
+/// Divisor of the client's remaining time after which to retry a request that was refused for lack
+/// of capacity. Bursts last for seconds, and a request that comes back sooner is refused again; two
+/// thirds of the time are enough to serve it.
 pub(crate) const RETRY_TIME_DIVISOR: u32 = 3;
 
-/// A request with all that was decided for it on arrival.
+/// A request with everything that was determined for it on arrival.
 #[derive(Clone, Debug)]
 pub struct Job<D> {
-    /// Who runs it.
+    /// Relay that serves the request.
     pub relay: Arc<Relay<D>>,
     /// The request.
     pub request: Arc<Request>,
-    /// The configuration that was in force when it arrived.
+    /// Configuration in force when the request arrived.
     pub plan: Arc<Plan>,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Service that runs it.
+    /// Service that runs the request.
     pub service: ServiceId,
-    /// Its workspace.
+    /// Workspace of the request.
     pub workspace: Option<Arc<Workspace>>,
-    /// What it asks for.
+    /// Content that the request asks for.
     pub content: ContentId,
-    /// Its urgency.
+    /// Priority of the request.
     pub rank: Rank,
-    /// Whether its caller seems to have tried before.
+    /// Whether the client seems to have tried before.
     pub is_retry: bool,
-    /// By when its answer, or its first event, is on time.
+    /// When the response, or its first event, must arrive to be on time.
     pub due: Instant,
-    /// When it is given up.
+    /// When the request is given up.
     pub deadline: Instant,
-    /// Time that the steady clock had not counted when it arrived.
+    /// Suspended time that the monotonic clock had not counted when the request arrived.
     pub uncounted: Duration,
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Serves a request. Dropping the future gives it up.
+    /// Serves a request. Dropping the future cancels it.
     pub async fn serve(self: &Arc<Self>, request: Request) -> Answer {
         let request = Arc::new(request);
         self.catch_up().await;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Looks up what the configuration says of a request.
+    /// Looks up the configuration that applies to a request.
     fn create_job(self: &Arc<Self>, request: &Arc<Request>) -> Result<Job<D>, Refusal> {
         if !self.informed() || self.ending.is_cancelled() {
             return Err(Refusal::NotReady);
@@ -119,7 +119,8 @@
         let making = timeout_at(job.deadline, graph::run(job, StageRun::First));
         let made = tokio::select! {
             made = making => made,
-            // Cut off with the process, the caller would not know that it has not run.
+            // If the request were cut off with the process, the client would not know that it has
+            // not run.
             () = self.ending.cancelled() => Ok(Err(StageError::Ending)),
         };
         match made {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Refuses a request that cannot be served in time before anything is spent on it.
+/// Refuses a request that cannot be served in time, before any work is spent on it.
 fn admit<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let expected = job.expected();
     let left = job.remaining();
@@ -178,7 +179,7 @@
     })
 }
 
-/// A content as logs name it.
+/// Formats a content id for logs.
 pub(crate) fn content_name(content: ContentId) -> String {
     format!("{content:016x}")
 }
@@ -187,7 +188,7 @@
     (job.remaining() / RETRY_TIME_DIVISOR).max(RETRY_AFTER_TRANSIENT)
 }
 
-/// Nothing of the request itself has run when its stages fail.
+/// Refusal of a request whose stages failed, so that the request itself has not run.
 fn stage_refusal<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
     let (reason, retry_after) = match spoiled {
         StageError::Late => ("the stages took too long", retry_after_overload(job)),
@@ -207,8 +208,9 @@
 }
 
 impl<D: Downstream> Job<D> {
-    /// Time that its caller still waits. A suspension counts for the caller, though not for the
-    /// steady clock: a runner would be given time that nobody waits.
+    /// Time that the client still waits. While the process is suspended the client's time goes on
+    /// but the monotonic clock does not; without the correction a runner would be given time that
+    /// no client waits for.
     #[must_use]
     pub fn remaining(&self) -> Duration {
         self.relay.look();
@@ -216,20 +218,20 @@
         left.saturating_sub(self.relay.pause.uncounted() - self.uncounted)
     }
 
-    /// What the request asks for of one stage.
+    /// Content id of one stage of the request.
     #[must_use]
     pub fn stage_content(&self, stage: usize) -> ContentId {
         request::stage_content(self.content, stage)
     }
 
-    /// What it asks for, of the runners of each of its stages and of its own.
+    /// Content ids of the request itself and of each of its stages.
     pub(crate) fn contents(&self) -> impl Iterator<Item = ContentId> + '_ {
         let stages = (0..self.route.stages.len()).filter(|&stage| self.pieces(stage) > 0);
         let stages = stages.map(|stage| self.stage_content(stage));
         std::iter::once(self.content).chain(stages)
     }
 
-    /// Whether the request is answered by a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub fn streams(&self) -> bool {
         self.route.kind == Kind::Streaming
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -1,7 +1,7 @@
-//! One stream for the caller, made of the streams of one or more runners.
+//! Forwards a stream to the client, spliced from the streams of one or more runners.
 //!
-//! A runner may stop anywhere. Whole events are passed on as they come; where the route allows it,
-//! another runner goes on after the last one that was passed on.
+//! A runner may stop anywhere. Complete events are forwarded as they arrive. If the route allows
+//! it, another runner resumes after the last forwarded event.
 
 use crate::attempt::{self, InFlightCall, Progress};
 use crate::downstream::{Downstream, Reply};
@@ -20,14 +20,15 @@
 use tokio::sync::mpsc::{self, error::SendError};
 use tokio::time::{Instant, sleep_until};
 
-/// Silence after which a stream is taken for dead where another runner may go on, at least. Engines
-/// that are merely crowded make an event every few hundred milliseconds.
+/// Minimum silence after which a stream counts as dead if another runner may resume it. Engines
+/// that are merely busy produce an event every few hundred milliseconds.
 const MIN_SILENCE: Duration = Duration::from_millis(1_000);
-/// The same, as a multiple of the longest pause that is still on time.
+/// Silence after which a stream counts as dead, as a multiple of the longest pause that is still on
+/// time.
 const SILENCE_GAPS: u32 = 3;
-/// Bytes that wait for one slow caller before its runner is read no further.
+/// Bytes that are buffered for a slow client before reading from its runner stops.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Time without reading after which a runner may break off a stream for want of a reader.
+/// Time without a read after which a runner may close a stream because nothing reads it.
 const UNREAD_LIMIT: Duration = Duration::from_secs(1);
 
 type Part = Result<Bytes, IncompleteBody>;
@@ -35,32 +36,33 @@
 
 /// How a runner's stream ended.
 enum End {
-    /// As it should.
+    /// Completely.
     Complete,
-    /// Before it was whole.
+    /// Before it was complete.
     Broken(String),
-    /// The caller has left.
+    /// The client has disconnected.
     ClientGone,
-    /// The request's time is over.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
 }
 
-/// A stream on its way to the caller.
+/// Forwards a stream to a client.
 pub struct StreamForwarder<D: Downstream> {
     job: Job<D>,
     inputs: Inputs<D>,
     progress: Progress,
     parts: Parts,
-    /// Memory for what waits for the caller.
+    /// Memory for data that the client has not read yet.
     memory: Memory,
-    /// Whether the runner's stream was not read for so long that it may break off for that.
+    /// Whether the runner's stream was left unread for so long that the runner may have closed it
+    /// for that.
     unread: bool,
     last: Option<EventId>,
     events: u64,
 }
 
 impl<D: Downstream> StreamForwarder<D> {
-    /// Nothing has been passed on yet.
+    /// Creates a forwarder that has forwarded nothing yet.
     pub fn new(job: Job<D>, inputs: Inputs<D>, progress: Progress, parts: Parts) -> Self {
         let last = job.request.resume_after;
         Self {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Passes a runner's stream on, and those of the runners after it.
+    /// Forwards a runner's stream, and the streams of the runners that resume it.
     pub async fn run(mut self, flight: InFlightCall<D>, body: D::Body) {
         let (mut flight, mut body) = (flight, body);
         loop {
@@ -87,7 +89,7 @@
                 End::ClientGone => return,
                 End::DeadlineExceeded => {
                     drop(flight);
-                    return self.abort("out of time").await;
+                    return self.abort("deadline exceeded").await;
                 }
                 End::Broken(reason) => reason,
             };
@@ -120,7 +122,7 @@
                     continue;
                 }
                 () = sleep_until(silent_since + self.silence_limit()) => {
-                    return End::Broken(format!("silent at {}", flight.runner.id));
+                    return End::Broken(format!("no data from runner {} in time", flight.runner.id));
                 }
             };
             match part {
@@ -132,9 +134,9 @@
                 }
                 Some(Err(broken)) => return End::Broken(broken.reason),
                 None if splitter.rest().is_empty() => return End::Complete,
-                None => return End::Broken("ended within an event".to_owned()),
+                None => return End::Broken("stream ended within an event".to_owned()),
             }
-            // A pause of the caller is no silence of the runner.
+            // A pause of the client does not count as silence of the runner.
             silent_since = Instant::now();
             is_noted = false;
         }
@@ -143,11 +145,13 @@
     async fn forward_events(&mut self, events: Option<Events>) -> Option<End> {
         let events = events?;
         if events.first.is_some_and(|first| self.was_sent(first)) {
-            return Some(End::Broken("events that the caller has".to_owned()));
+            return Some(End::Broken(
+                "runner sent events that the client already has".to_owned(),
+            ));
         }
-        // The runner has fetched its inputs before it reads the prompt. Kept until the stream's end
-        // they would fill the runners that made them: 1.5 MB a piece for seconds where there is
-        // room for twelve.
+        // The runner has fetched its inputs before it processes the prompt. Kept until the end of
+        // the stream, they would fill the runners that computed them: 1.5 MB a piece for seconds,
+        // with room for twelve.
         self.inputs.release(|_| true);
         self.events += 1;
         self.last = events.last.or(self.last);
@@ -161,9 +165,10 @@
         sent.is_err().then_some(End::ClientGone)
     }
 
-    /// Passes bytes on, once there is room for them beside what the caller has not read yet.
+    /// Sends bytes to the client once there is memory for them beside what the client has not read
+    /// yet.
     async fn send(&self, bytes: Bytes) -> Result<(), SendError<Part>> {
-        // A caller that keeps up holds nothing.
+        // A client that keeps up uses no budget.
         if self.parts.capacity() == self.parts.max_capacity() {
             return self.parts.send(Ok(bytes)).await;
         }
@@ -173,13 +178,14 @@
         self.parts.send(Ok(bytes)).await
     }
 
-    /// Whether the caller has this event. Ids increase; a runner that overlooks after which one it
-    /// should go on begins anew, and the caller would take text that it has for new.
+    /// Whether the client has received this event. Ids increase. A runner that ignores the id after
+    /// which to resume starts over, and the client would take repeated text for new text.
     fn was_sent(&self, id: EventId) -> bool {
         self.last.is_some_and(|last| id <= last)
     }
 
-    /// How long a silence is borne; for ever where no other runner may go on.
+    /// How long silence is tolerated. Where no other runner may resume, this is the whole timeout
+    /// of the route.
     fn silence_limit(&self) -> Duration {
         if !self.job.route.repeatable() {
             return self.job.route.timeout;
@@ -191,7 +197,7 @@
         bearable
     }
 
-    /// Asks another runner to go on after the last event that was passed on.
+    /// Asks another runner to resume after the last forwarded event.
     async fn resume(&mut self) -> Option<(InFlightCall<D>, Reply<D::Body>)> {
         if !self.job.route.repeatable() {
             return None;
@@ -212,11 +218,12 @@
         None
     }
 
-    /// The request as one of the most urgent, with time until half of what is left has passed, if the
-    /// caller has a part of its answer.
+    /// The request with top priority, and due after half of its remaining time or the target of its
+    /// route, whichever is longer, if the client has received part of the response.
     ///
-    /// Results that have to be made again count as late by when the request came. In a burst that is
-    /// what is given up first, although one call more saves all that went into the stream.
+    /// Inputs that have to be recomputed count as late, since the request arrived long ago. In a
+    /// burst, late requests are dropped first, although a single further call would save all the
+    /// work that went into the stream.
     fn with_top_priority(&self) -> Job<D> {
         let mut job = self.job.clone();
         if self.events > 0 {
@@ -226,10 +233,10 @@
         job
     }
 
-    /// Ends the caller's connection without the mark of a whole answer. The caller may have left
-    /// already, which is no matter.
+    /// Closes the client's connection without marking the response as complete. The client may
+    /// already have disconnected, which is harmless.
     async fn abort(self, reason: &str) {
-        info!(self.job.relay.log, "stream broken off"; "request" => &*self.job.request.id,
+        info!(self.job.relay.log, "stream aborted"; "request" => &*self.job.request.id,
             "reason" => reason, "last_event" => self.last, "tried" => self.progress.tried.len(),
             "resumable" => self.job.route.repeatable(),
             "after_ms" => millis(self.job.request.arrived.elapsed()));
@@ -239,10 +246,10 @@
 
     fn log(&self, flight: &InFlightCall<D>, end: &End) {
         let outcome = match end {
-            End::Complete => "whole",
+            End::Complete => "complete",
             End::Broken(reason) => reason,
-            End::ClientGone => "caller left",
-            End::DeadlineExceeded => "out of time",
+            End::ClientGone => "client disconnected",
+            End::DeadlineExceeded => "deadline exceeded",
         };
         info!(self.job.relay.log, "stream"; "request" => &*self.job.request.id,
             "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last,
