--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -264,24 +264,19 @@
     ///
     /// Some results may have been computed for another process that owned the cell before. They
     /// occupy room here as well, but their size is unknown.
-    pub fn release(
-        self: &Arc<Self>,
-        relay: &Arc<Relay<D>>,
-        handles: &[Handle],
-        spent: ReleaseKind,
-    ) {
+    pub fn release(self: &Arc<Self>, relay: &Arc<Relay<D>>, handles: &[Handle], kind: ReleaseKind) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
         let until = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
         for handle in handles {
             if let Some(address) = relay.downstream.holder(handle) {
-                match spent {
+                match kind {
                     ReleaseKind::Fetched => state.fetched(address, handle),
                     ReleaseKind::Over => state.release(address, handle, until),
                 }
             }
         }
-        if spent == ReleaseKind::Over && state.schedule_release() {
+        if kind == ReleaseKind::Over && state.schedule_release() {
             tokio::spawn(self.clone().release_pending(relay.clone()));
         }
     }
@@ -332,7 +327,7 @@
 
     /// Sends one call and distributes the outcomes of its pieces.
     async fn execute(self: Arc<Self>, relay: Arc<Relay<D>>, mut batch_call: BatchCall) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let runner = batch_call.runner.clone();
         let released = std::mem::take(&mut batch_call.released);
         let releasing = release(relay.clone(), runner.clone(), released);
@@ -343,16 +338,16 @@
         }
         let items = std::mem::take(&mut batch_call.items);
         let count = items.len();
-        let (waited, age) = (begun.elapsed(), relay.list_age());
+        let (waited, age) = (started_at.elapsed(), relay.list_age());
         let is_open = || relay.is_open(&runner);
         let timeout = batch_call.timeout();
-        let making = relay.downstream.make(&runner, items, timeout, is_open);
+        let running = relay.downstream.make(&runner, items, timeout, is_open);
         let result = self
-            .release_inputs_when_fetched(&relay, &batch_call, making)
+            .release_inputs_when_fetched(&relay, &batch_call, running)
             .await;
-        let elapsed = begun.elapsed();
+        let elapsed = started_at.elapsed();
         if let Err(failure) = &result {
-            suspect::record_failure(&relay, &batch_call, begun, failure).await;
+            suspect::record_failure(&relay, &batch_call, started_at, failure).await;
         }
         let spacing = asked_spacing(&result);
         let result = result.map(|batch| batch.outcomes);
@@ -363,14 +358,14 @@
             "waited_ms" => millis(waited), "runners_age_ms" => age.map(millis),
             "one_in_ms" => spacing.map(millis),
             "outcome" => result.as_ref().map_or_else(ToString::to_string, |made| describe_outcomes(made)));
-        let lives = result.is_ok();
+        let has_response = result.is_ok();
         let made = {
             let mut state = lock(&self.state);
             let made = state.finish(&relay, &self.cell.service, &batch_call, result, elapsed);
-            state.apply_spacing(&runner.id, begun, spacing);
+            state.apply_spacing(&runner.id, started_at, spacing);
             made
         };
-        if lives {
+        if has_response {
             relay.note_made(&runner, made);
         }
         self.dispatch(&relay);
@@ -386,21 +381,21 @@
         &self,
         relay: &Arc<Relay<D>>,
         batch_call: &BatchCall,
-        making: impl Future<Output = T>,
+        running: impl Future<Output = T>,
     ) -> T {
         if relay.options.policy.fetched == Policy::Naive {
-            return making.await;
+            return running.await;
         }
-        let mut making = std::pin::pin!(making);
+        let mut running = std::pin::pin!(running);
         tokio::select! {
-            result = &mut making => return result,
+            result = &mut running => return result,
             () = tokio::time::sleep(INPUT_FETCH_TIME) => {}
         }
         let inputs = lock(&self.state).inputs(batch_call);
         for results in inputs {
             relay.peers.release(relay, results, ReleaseKind::Fetched);
         }
-        making.await
+        running.await
     }
 
     /// Schedules the next dispatch: nothing else wakes up when a runner's pause is over, or when a
--- a/crates/relay/src/batch/batch_call.rs
+++ b/crates/relay/src/batch/batch_call.rs
@@ -31,7 +31,7 @@
     pub(super) slowness: f64,
     pub(super) expected: Duration,
     /// When the call is expected to end.
-    pub(super) until: Instant,
+    pub(super) expected_end: Instant,
     pub(super) batches: Batches,
     /// Size of the call's results in bytes, and the room that was believed to be free for them.
     pub(super) needed_bytes: u64,
--- a/crates/relay/src/batch/runner_state.rs
+++ b/crates/relay/src/batch/runner_state.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoredResult {
     pub(super) bytes: u64,
-    pub(super) until: Instant,
+    pub(super) expires_at: Instant,
 }
 
 /// Correction of the configured size of results, which is approximate. Pieces without room have to
@@ -112,11 +112,11 @@
         return Vec::new();
     };
     let call = batches.shape.full();
-    let elsewhere = queue + call.mul_f64(fastest * MAX_SLOWNESS);
+    let wait_for_other = queue + call.mul_f64(fastest * MAX_SLOWNESS);
     let free = |&index: &usize| {
         let state = &runner_states[index];
-        let here = call.mul_f64(state.slowness(now));
-        state.has_slot(batches) && !state.is_paused(now) && here < elsewhere
+        let own_time = call.mul_f64(state.slowness(now));
+        state.has_slot(batches) && !state.is_paused(now) && own_time < wait_for_other
     };
     let mut free: Vec<usize> = (0..runner_states.len()).filter(free).collect();
     free.sort_by_key(|&index| runner_states[index].results.len());
@@ -172,9 +172,9 @@
     }
 
     /// Applies the interval between calls that the runner asks for; the last call started at
-    /// `begun`.
-    pub(super) fn apply_spacing(&mut self, begun: Instant, spacing: Duration) {
-        let until = begun + spacing.min(MAX_SPACING);
+    /// `started_at`.
+    pub(super) fn apply_spacing(&mut self, started_at: Instant, spacing: Duration) {
+        let until = started_at + spacing.min(MAX_SPACING);
         self.paused_until = self.paused_until.max(Some(until));
     }
 
@@ -184,28 +184,30 @@
 
     /// Room for the next call's results once all released or fetched results have been dropped.
     pub(super) fn room(&mut self, batches: Batches, now: Instant) -> Room {
-        self.results.retain(|_, stored| stored.until > now);
+        self.results.retain(|_, stored| stored.expires_at > now);
         let results = &self.results;
         self.released.retain(|handle| results.contains_key(handle));
         self.fetched.retain(|handle| results.contains_key(handle));
         let stored = self.stored() + self.unknown_results(now);
-        let spent = self.bytes(&self.released) + self.bytes(&self.fetched);
+        let droppable = self.bytes(&self.released) + self.bytes(&self.fetched);
         Room {
-            free: batches.room.saturating_sub(stored.saturating_sub(spent)),
+            free: batches
+                .room
+                .saturating_sub(stored.saturating_sub(droppable)),
             unreleased: batches.room.saturating_sub(stored),
         }
     }
 
     /// When parts of the stored results expire.
     pub(super) fn expiries(&self) -> impl Iterator<Item = Instant> + '_ {
-        let known = self.results.values().map(|stored| stored.until);
+        let known = self.results.values().map(|stored| stored.expires_at);
         known.chain(self.unknown_results.map(|(_, until)| until))
     }
 
     /// Bytes that are assumed to be stored besides the known results.
     fn unknown_results(&self, now: Instant) -> u64 {
-        let believed = self.unknown_results.filter(|(_, until)| *until > now);
-        believed.map_or(0, |(bytes, _)| bytes)
+        let assumed = self.unknown_results.filter(|(_, until)| *until > now);
+        assumed.map_or(0, |(bytes, _)| bytes)
     }
 
     /// Records that the runner stores more than was assumed, after a call some of whose results had
@@ -249,8 +251,11 @@
 
     /// Marks a result as no longer needed; a result from before this process owned the cell may be
     /// unknown.
-    pub(super) fn release(&mut self, handle: &Handle, until: Instant) {
-        let unknown_results = StoredResult { bytes: 0, until };
+    pub(super) fn release(&mut self, handle: &Handle, expires_at: Instant) {
+        let unknown_results = StoredResult {
+            bytes: 0,
+            expires_at,
+        };
         self.results
             .entry(handle.clone())
             .or_insert(unknown_results);
@@ -287,7 +292,7 @@
 
     /// Updates the state from a call that has ended.
     pub(super) fn record_call(&mut self, call: &FinishedCall<'_>, now: Instant) {
-        let ended = self.calls.iter().position(|until| *until == call.until);
+        let ended = self.calls.iter().position(|end| *end == call.expected_end);
         if let Some(ended) = ended {
             self.calls.swap_remove(ended);
         }
@@ -345,7 +350,7 @@
     pub(super) expected: Duration,
     pub(super) slowness: f64,
     /// When the call was expected to end.
-    pub(super) until: Instant,
+    pub(super) expected_end: Instant,
     /// Whether results that were no longer needed had been dropped before the call was sent.
     pub(super) release_first: bool,
     /// Size of the call's results in bytes, and the room that was believed to be free for them.
--- a/crates/relay/src/batch/select.rs
+++ b/crates/relay/src/batch/select.rs
@@ -117,12 +117,14 @@
             contents: Vec::new(),
             isolated,
             expected: Duration::ZERO,
-            until: now,
+            expected_end: now,
             needed_bytes,
             room: room.free,
         };
         let batch_call = self.assemble(batch_call, &portions, now);
-        self.runner_states[index].calls.push(batch_call.until);
+        self.runner_states[index]
+            .calls
+            .push(batch_call.expected_end);
         batch_call
     }
 
@@ -150,7 +152,7 @@
         let count = u32::try_from(batch_call.items.len()).unwrap_or(u32::MAX);
         let shape = batch_call.batches.shape;
         batch_call.expected = shape.time(count).mul_f64(batch_call.slowness);
-        batch_call.until = now + batch_call.expected;
+        batch_call.expected_end = now + batch_call.expected;
         batch_call
     }
 }
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -60,9 +60,9 @@
     }
 
     /// Marks a result as no longer needed.
-    pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, until: Instant) {
+    pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, expires_at: Instant) {
         if let Some(state) = self.at(address) {
-            state.release(handle, until);
+            state.release(handle, expires_at);
         }
     }
 
@@ -108,10 +108,10 @@
         address: SocketAddr,
         handle: &Handle,
         bytes: u64,
-        until: Instant,
+        expires_at: Instant,
     ) {
         if let Some(state) = self.at(address) {
-            let held = StoredResult { bytes, until };
+            let held = StoredResult { bytes, expires_at };
             state.results.entry(handle.clone()).or_insert(held);
         }
     }
@@ -232,20 +232,20 @@
         let Some(former) = self.former.as_mut() else {
             return;
         };
-        let gone: Vec<Ticket> = self
+        let cancelled: Vec<Ticket> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.reply.is_closed())
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in gone {
+        for ticket in cancelled {
             former.withdraw(ticket);
             self.isolation.withdraw(ticket);
             self.waiting.remove(&ticket);
         }
         let shortest = former.shortest();
-        let late = former.expire(at, piece).into_iter();
-        for ticket in late.chain(self.isolation.expire(at, shortest)) {
+        let expired = former.expire(at, piece).into_iter();
+        for ticket in expired.chain(self.isolation.expire(at, shortest)) {
             self.finish_order(ticket, Err(StageError::Late));
         }
     }
@@ -298,15 +298,20 @@
         complete
     }
 
-    /// Applies the interval between calls that a runner asks for; the last call started at `begun`.
+    /// Applies the interval between calls that a runner asks for; the last began at `started_at`.
     /// Only this process forms the calls of the cell.
-    pub(super) fn apply_spacing(&mut self, id: &str, begun: Instant, spacing: Option<Duration>) {
+    pub(super) fn apply_spacing(
+        &mut self,
+        id: &str,
+        started_at: Instant,
+        spacing: Option<Duration>,
+    ) {
         let state = self
             .runner_states
             .iter_mut()
             .find(|state| *state.runner.id == *id);
         if let (Some(state), Some(spacing)) = (state, spacing) {
-            state.apply_spacing(begun, spacing);
+            state.apply_spacing(started_at, spacing);
         }
     }
 
@@ -334,7 +339,7 @@
             elapsed,
             expected: batch_call.expected,
             slowness: batch_call.slowness,
-            until: batch_call.until,
+            expected_end: batch_call.expected_end,
             release_first: batch_call.release_first,
             needed_bytes: batch_call.needed_bytes,
             room: batch_call.room,
@@ -414,10 +419,10 @@
         else {
             return;
         };
-        let until = Instant::now() + batches.keep;
+        let expires_at = Instant::now() + batches.keep;
         state
             .results
-            .insert(handle.clone(), StoredResult { bytes, until });
+            .insert(handle.clone(), StoredResult { bytes, expires_at });
         if !wanted {
             state.released.push(handle.clone());
         }
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -37,20 +37,25 @@
 pub(super) async fn record_failure<D: Downstream>(
     relay: &Arc<Relay<D>>,
     batch_call: &BatchCall,
-    begun: Instant,
+    started_at: Instant,
     failure: &Failure,
 ) {
     if relay.options.policy.suspects == Policy::Naive {
         return;
     }
     let is_unreached = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
-    let is_silent = begun.elapsed() >= batch_call.timeout();
+    let is_silent = started_at.elapsed() >= batch_call.timeout();
     match failure {
         Failure::Lost { .. } => {
             for content in &batch_call.contents {
-                relay.note_lost(*content, &batch_call.runner, begun, batch_call.isolated);
+                relay.note_lost(
+                    *content,
+                    &batch_call.runner,
+                    started_at,
+                    batch_call.isolated,
+                );
                 if is_silent {
-                    relay.note_waited(*content, &batch_call.runner, begun);
+                    relay.note_waited(*content, &batch_call.runner, started_at);
                 }
             }
         }
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -68,8 +68,9 @@
     /// Results that this stage needs and no other stage does.
     fn exclusive_to(&self, route: &Route, stage: usize) -> Vec<Results> {
         let after = &route.stages[stage].after;
-        let only = |before: usize| after.contains(&before) && route.followers(before).count() == 1;
-        let stages = self.stages.iter().filter(|(before, ..)| only(*before));
+        let exclusive =
+            |before: usize| after.contains(&before) && route.followers(before).count() == 1;
+        let stages = self.stages.iter().filter(|(before, ..)| exclusive(*before));
         stages.map(|(_, results)| results.clone()).collect()
     }
 
@@ -79,10 +80,10 @@
     /// are useless once the stages that follow it are done; kept until the end of the request they
     /// would occupy room that the next requests need.
     pub fn release(&mut self, which: impl Fn(usize) -> bool) {
-        let (over, left) = self.stages.drain(..).partition(|(stage, ..)| which(*stage));
+        let (released, left) = self.stages.drain(..).partition(|(stage, ..)| which(*stage));
         self.stages = left;
-        let over: Vec<(usize, Results)> = over;
-        for (_, results) in over {
+        let released: Vec<(usize, Results)> = released;
+        for (_, results) in released {
             let peers = &self.relay.peers;
             peers.release(&self.relay, results, ReleaseKind::Over);
         }
@@ -127,22 +128,22 @@
     let mut made: Vec<Option<Vec<Handle>>> = (0..stages.len())
         .map(|stage| (job.pieces(stage) == 0).then(Vec::new))
         .collect();
-    let mut begun: Vec<bool> = made.iter().map(Option::is_some).collect();
+    let mut started: Vec<bool> = made.iter().map(Option::is_some).collect();
     let mut running = FuturesUnordered::new();
     loop {
         for stage in 0..stages.len() {
             let ready = |&before: &usize| made.get(before).is_none_or(Option::is_some);
-            if !begun[stage]
+            if !started[stage]
                 && stages[stage].after.iter().all(ready)
                 && !starts_too_early(job, stage, &made)
             {
-                begun[stage] = true;
-                let only = inputs.exclusive_to(&job.route, stage);
+                started[stage] = true;
+                let exclusive = inputs.exclusive_to(&job.route, stage);
                 running.push(run_stage(
                     job,
                     stage,
                     source(job, stage, &made),
-                    only,
+                    exclusive,
                     stage_run,
                 ));
             }
@@ -154,8 +155,8 @@
         job.relay.peers.hold(&cell, &handles, stages[stage].result);
         made[stage] = Some(handles.clone());
         inputs.stages.push((stage, Results { cell, handles }));
-        let used = |before: usize| is_consumed(&job.route, &made, before);
-        inputs.release(used);
+        let is_done = |before: usize| is_consumed(&job.route, &made, before);
+        inputs.release(is_done);
     }
     let leaves = job.route.leaves().filter_map(|stage| made[stage].clone());
     inputs.leaves = leaves.flatten().collect();
@@ -243,13 +244,13 @@
         content,
         trial,
     };
-    let (asked, wanted) = (Instant::now(), order.domain.clone());
+    let (started_at, wanted) = (Instant::now(), order.domain.clone());
     let outcome = peer::make(&job.relay, &cell, order).await;
     info!(job.relay.log, "stage"; "request" => &*job.request.id, "stage" => stage,
         "cell" => cell.name(), "owner" => &*job.relay.owner(&cell), "pieces" => job.pieces(stage),
         "expected_ms" => millis(expected), "domain" => wanted.as_deref(),
         "patience_ms" => millis(max_domain_wait), "content" => content_name(content), "trial" => trial,
-        "took_ms" => millis(asked.elapsed()),
+        "took_ms" => millis(started_at.elapsed()),
         "outcome" => outcome.as_ref().map_or_else(ToString::to_string, |_| "made".to_owned()));
     (stage, cell, outcome)
 }
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -56,7 +56,7 @@
     memory: Memory,
     /// Whether the runner's stream was left unread for so long that the runner may have closed it
     /// for that.
-    unread: bool,
+    was_unread: bool,
     last: Option<EventId>,
     events: u64,
 }
@@ -71,7 +71,7 @@
             progress,
             parts,
             memory: Memory::new(MAX_BUFFERED_BYTES),
-            unread: false,
+            was_unread: false,
             last,
             events: 0,
         }
@@ -93,7 +93,7 @@
                 }
                 End::Broken(reason) => reason,
             };
-            if self.unread {
+            if self.was_unread {
                 drop(flight);
             } else {
                 flight.lost().await;
@@ -108,16 +108,16 @@
     async fn forward(&mut self, flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
         let mut splitter = Splitter::default();
         let mut silent_since = Instant::now();
-        let mut is_noted = false;
-        self.unread = false;
+        let mut is_overdue_recorded = false;
+        self.was_unread = false;
         loop {
             let part = tokio::select! {
                 biased;
                 part = body.next() => part,
                 () = self.parts.closed() => return End::ClientGone,
                 () = sleep_until(self.job.deadline) => return End::DeadlineExceeded,
-                () = sleep_until(silent_since + SILENCE), if !is_noted => {
-                    is_noted = true;
+                () = sleep_until(silent_since + SILENCE), if !is_overdue_recorded => {
+                    is_overdue_recorded = true;
                     flight.record_overdue();
                     continue;
                 }
@@ -138,7 +138,7 @@
             }
             // A pause of the client does not count as silence of the runner.
             silent_since = Instant::now();
-            is_noted = false;
+            is_overdue_recorded = false;
         }
     }
 
@@ -155,13 +155,13 @@
         self.inputs.release(|_| true);
         self.events += 1;
         self.last = events.last.or(self.last);
-        let response_started = Instant::now();
+        let started_at = Instant::now();
         let sent = tokio::select! {
             biased;
             sent = self.send(events.bytes) => sent,
             () = sleep_until(self.job.deadline) => return Some(End::DeadlineExceeded),
         };
-        self.unread |= response_started.elapsed() >= UNREAD_LIMIT;
+        self.was_unread |= started_at.elapsed() >= UNREAD_LIMIT;
         sent.is_err().then_some(End::ClientGone)
     }
 
@@ -190,11 +190,11 @@
         if !self.job.route.repeatable() {
             return self.job.route.timeout;
         }
-        let bearable = MIN_SILENCE.max(self.job.route.gap * SILENCE_GAPS);
+        let limit = MIN_SILENCE.max(self.job.route.gap * SILENCE_GAPS);
         if self.events == 0 {
-            return bearable + self.job.model_time() * 2;
+            return limit + self.job.model_time() * 2;
         }
-        bearable
+        limit
     }
 
     /// Asks another runner to resume after the last forwarded event.
--- a/crates/relay/tests/at_most_once.rs
+++ b/crates/relay/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What may run once at most, and what a refusal says.
+//! Requests that may run at most once, and what a refusal guarantees.
 
 mod common;
 
@@ -18,15 +18,16 @@
     (fake, body(answer).await)
 }
 
-/// A runner prints a label and its answer is lost. A second runner would print it once more, so
-/// that two looms carry one serial; the caller hears that it may have run.
+/// A response is lost after the runner may have printed a label. Another runner would print it
+/// again, so that two looms carry one serial number; the client is told that the request may have
+/// run.
 #[tokio::test(start_paused = true)]
 async fn answer_lost() {
     let (fake, (status, ..)) = serve("unsafe", [Act::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
-/// The same for a request that may be repeated: another runner answers it.
+/// The same for a request that may be retried: another runner responds to it.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_safe() {
     let (fake, (status, text, _)) = serve("safe", [Act::Lose]).await;
@@ -36,15 +37,15 @@
     assert_ne!(sent[0].runner, sent[1].runner);
 }
 
-/// A stream that no other runner may go on with is lost before its first event. It is not sent
-/// again.
+/// The response to a stream that no other runner may resume is lost before its first event. The
+/// request is not sent again.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_once() {
     let (fake, (status, ..)) = serve("once", [Act::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
-/// A runner says that it has not run a request. That is certain, and another one may.
+/// A runner states that it has not run a request. The request may safely go to another runner.
 #[tokio::test(start_paused = true)]
 async fn refused_by_runner() {
     for reason in [
@@ -59,7 +60,7 @@
     }
 }
 
-/// Every runner refuses: the caller hears that the request has not run, and when to come back.
+/// All runners refuse: the client is told that the request has not run, and when to retry.
 #[tokio::test(start_paused = true)]
 async fn refused_by_all() {
     let fake = Fake::doing([
@@ -72,8 +73,8 @@
     assert!(answer.retry_after.is_some());
 }
 
-/// One runner refuses and the next one loses the answer. It may have run: saying otherwise would
-/// let the caller send it again.
+/// One runner refuses and the next one loses the response. The request may have run; saying
+/// otherwise would let the client send it again.
 #[tokio::test(start_paused = true)]
 async fn refused_then_lost() {
     let (_, (status, ..)) = serve(
@@ -84,16 +85,16 @@
     assert_eq!(status, 502);
 }
 
-/// A runner is silent until the deadline. The caller is told so, and nobody claims that the
-/// request has not run.
+/// A runner does not respond until the deadline. The client gets a timeout, which does not state
+/// that the request has not run.
 #[tokio::test(start_paused = true)]
 async fn silent_runner() {
     let (fake, (status, ..)) = serve("unsafe", [Act::Silent]).await;
     assert_eq!((status, fake.sent().len()), (504, 1));
 }
 
-/// A runner's own failure counts as run. For what may be repeated another runner is asked, and if
-/// it fails as well, its answer is the caller's.
+/// An error of the runner itself counts as a run. If the request may be retried, another runner is
+/// tried, and if that fails as well, its response goes to the client.
 #[tokio::test(start_paused = true)]
 async fn runner_fails() {
     let (fake, (status, ..)) = serve("safe", [FAILED]).await;
@@ -107,7 +108,7 @@
     assert_eq!((status, fake.sent().len()), (500, 1));
 }
 
-/// An answer without the runner's proof is nobody's answer, whatever its status says.
+/// A response without the runner's proof is rejected, whatever its status.
 #[tokio::test(start_paused = true)]
 async fn answer_without_proof() {
     let forged = || Act::Answer {
@@ -122,8 +123,8 @@
     assert_eq!((status, text.as_str()), (200, "done"));
 }
 
-/// An open connection may have died unnoticed, and takes the request with it. What may run once at
-/// most is given a new one.
+/// A pooled connection may have died unnoticed, in which case the request is lost with it. Requests
+/// that may run at most once get a new connection.
 #[tokio::test(start_paused = true)]
 async fn fresh_connection() {
     for (route, reuse) in [
@@ -137,8 +138,8 @@
     }
 }
 
-/// The budget of repeats is spent: a lost answer is told as such. Repeats of every request would
-/// double the load just when runners fail.
+/// The retry budget is exhausted, and a lost response is reported as such. Retrying every request
+/// would double the load just when runners fail.
 #[tokio::test(start_paused = true)]
 async fn budget_spent() {
     let fake = Fake::doing((0..200).map(|_| Act::Lose));
--- a/crates/relay/tests/cold_runners.rs
+++ b/crates/relay/tests/cold_runners.rs
@@ -1,4 +1,4 @@
-//! What runners are sent that have just started.
+//! Load sent to runners that have just started.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (String::leak(id.to_owned()), Some(member))
 }
 
-/// Routes of [`plan`] before runners that bear two requests a second after their start.
+/// Routes of [`plan`] to runners that can take two requests a second after their start.
 fn warming() -> Plan {
     let whole = plan(2);
     let route = whole.route("host", "/safe/x").expect("there").as_ref();
@@ -56,8 +56,8 @@
     })
 }
 
-/// A relay that knows of these other processes, and has for long.
-async fn among(others: &[&str]) -> Arc<Relay<Fake>> {
+/// A relay that has known of these other processes for a long time.
+async fn with_members(others: &[&str]) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
     relay.adopt(warming());
     let rows = others.iter().map(|id| row(id)).collect();
@@ -69,11 +69,11 @@
     relay
 }
 
-/// Requests that come within a second.
+/// Number of requests sent within a second.
 const BURST: usize = 30;
 
-/// Sends them; how many were answered.
-async fn press(relay: &Arc<Relay<Fake>>) -> usize {
+/// Sends a burst of requests and returns how many succeeded.
+async fn send_burst(relay: &Arc<Relay<Fake>>) -> usize {
     let mut answered = 0;
     for number in 0..BURST {
         let answer = relay.serve(request(&number.to_string(), "safe")).await;
@@ -83,36 +83,36 @@
     answered
 }
 
-/// All runners of a service are back after a crash, and a burst meets them. Sent all of it, they
+/// All runners of a service are back after a crash, and a burst arrives. Sent all of it, they would
 /// crash again.
 #[tokio::test(start_paused = true)]
-async fn bounded() {
-    let relay = among(&[]).await;
+async fn burst_bounded() {
+    let relay = with_members(&[]).await;
     relay.update(vec![cold("p-1"), cold("p-2")]);
-    let answered = press(&relay).await;
+    let answered = send_burst(&relay).await;
     assert!((2..=4).contains(&answered), "{answered}");
     sleep(COLD).await;
-    assert_eq!(press(&relay).await, BURST, "they are warm");
+    assert_eq!(send_burst(&relay).await, BURST, "they are warm");
 }
 
-/// One of two runners is cold: the other one gets what the cold one does not bear, and nobody is
+/// One of two runners is cold: the other one gets what the cold one cannot take, and no request is
 /// refused.
 #[tokio::test(start_paused = true)]
-async fn warm_one_left() {
-    let relay = among(&[]).await;
+async fn warm_runner_takes_rest() {
+    let relay = with_members(&[]).await;
     relay.update(vec![cold("p-1")]);
-    assert_eq!(press(&relay).await, BURST);
+    assert_eq!(send_burst(&relay).await, BURST);
     let sent = relay.downstream.sent();
     let to_cold = sent.iter().filter(|sent| sent.runner == "p-1").count();
     assert!((1..=2).contains(&to_cold), "{to_cold}");
 }
 
-/// Many processes see the same idle runner. Those without a place leave it alone.
+/// Many processes see the same idle runner. Those that are not among its senders leave it alone.
 #[tokio::test(start_paused = true)]
-async fn no_place() {
+async fn not_a_sender() {
     let names: Vec<String> = (0..30).map(|number| format!("other-{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let relay = among(&names).await;
+    let relay = with_members(&names).await;
     relay.update(vec![Change::Gone("p-1".into()), Change::Gone("p-2".into())]);
     let mut served = 0;
     for number in 0..40 {
@@ -128,8 +128,8 @@
     );
 }
 
-/// A process that has just started does not know who else sends, and the others do not know of it.
-/// Thirty that start together would each send all that one runner bears.
+/// A process that has just started does not know which others send, and the others do not know of
+/// it. Thirty processes that start together would each send as much as one runner can take.
 #[tokio::test(start_paused = true)]
 async fn just_started() {
     let relay = ready(Fake::default());
@@ -140,11 +140,11 @@
     assert!(relay.downstream.sent().is_empty());
 }
 
-/// A failure domain gets work again whose runners were started anew meanwhile. Their entries are from
-/// before that, and say nothing of it until the next heartbeat.
+/// The runners of a drained failure domain were restarted in the meantime, and the domain gets work
+/// again. Their rows date from before the restart and do not show it until the next heartbeat.
 #[tokio::test(start_paused = true)]
-async fn back_from_a_drain() {
-    let relay = among(&[]).await;
+async fn back_after_drain() {
+    let relay = with_members(&[]).await;
     let drains = |revision, domains: &[&str]| Drains {
         revision,
         settled: 0,
@@ -152,6 +152,6 @@
     };
     relay.drain(&drains(1, &["a"]), "test");
     relay.drain(&drains(2, &[]), "test");
-    let answered = press(&relay).await;
+    let answered = send_burst(&relay).await;
     assert!((2..=4).contains(&answered), "{answered}");
 }
--- a/crates/relay/tests/event_streams.rs
+++ b/crates/relay/tests/event_streams.rs
@@ -1,4 +1,4 @@
-//! Streams: every event once and in order, over several runners where the route allows it.
+//! Streams: every event exactly once and in order, over several runners where the route allows it.
 
 mod common;
 
@@ -24,8 +24,8 @@
     (fake, body(answer).await)
 }
 
-/// A runner dies in the middle of an event. Another one goes on after the last whole event; the
-/// caller sees one stream without a gap or a repeat.
+/// A runner dies in the middle of an event. Another one resumes after the last complete event; the
+/// client sees one stream without gaps or repetitions.
 #[tokio::test(start_paused = true)]
 async fn broken_within_event() {
     let first = stream(&[ONE, "id: 2\nda"], End::Broken);
@@ -35,8 +35,8 @@
     assert_eq!(fake.sent()[1].resume_after, Some(1));
 }
 
-/// A runner goes silent in the middle of a stream without closing anything. Waiting for it until
-/// the deadline would leave the caller with half an answer.
+/// A runner stops sending in the middle of a stream without closing the connection. Waiting for it
+/// until the deadline would leave the client with half a response.
 #[tokio::test(start_paused = true)]
 async fn silent_within_stream() {
     let first = stream(&[ONE], End::Silent);
@@ -45,8 +45,7 @@
     assert_eq!(answer, (200, [ONE, TWO].concat(), true));
 }
 
-/// A stream that no other runner may go on with breaks off. The caller must see that it is not
-/// whole.
+/// A stream that no other runner may resume breaks off. The client must see that it is incomplete.
 #[tokio::test(start_paused = true)]
 async fn not_resumable() {
     let (fake, (_, text, whole)) = serve("once", vec![stream(&[ONE], End::Broken)]).await;
@@ -54,9 +53,9 @@
     assert_eq!(fake.sent().len(), 1);
 }
 
-/// No other runner can go on: what the caller has is not whole either.
+/// No other runner can resume the stream. The client must see that it is incomplete.
 #[tokio::test(start_paused = true)]
-async fn resumed_in_vain() {
+async fn resume_failed() {
     let acts = vec![
         stream(&[ONE], End::Broken),
         Act::Answer {
@@ -69,10 +68,10 @@
     assert_eq!((text.as_str(), whole), (ONE, false));
 }
 
-/// The runner that goes on overlooks where it should, and begins anew. The caller would read part of
-/// the text twice and take it for a whole answer.
+/// The runner that resumes ignores the event id and starts over. The client would read part of the
+/// text twice and take it for a complete response.
 #[tokio::test(start_paused = true)]
-async fn resumed_elsewhere() {
+async fn resumed_from_start() {
     let acts = vec![stream(&[ONE], End::Broken), stream(&[ONE, TWO], End::Whole)];
     let (_, (_, text, whole)) = serve("stream", acts).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
@@ -82,17 +81,18 @@
     assert_eq!(answer, (200, [ONE, TWO, THREE].concat(), true));
 }
 
-/// The stream ends well, but within an event. That is no whole answer.
+/// The stream ends without an error, but within an event. The client must see that it is
+/// incomplete.
 #[tokio::test(start_paused = true)]
 async fn ends_within_event() {
     let (_, (_, text, whole)) = serve("once", vec![stream(&[ONE, "id: 2\n"], End::Whole)]).await;
     assert_eq!((text.as_str(), whole), (ONE, false));
 }
 
-/// A caller leaves during a pause of its stream. The runner is told within moments, not with the
-/// next event: it works for nobody meanwhile.
+/// A client disconnects during a pause of its stream. The call must be cancelled promptly rather
+/// than at the next event, since the runner would do useless work in the meantime.
 #[tokio::test(start_paused = true)]
-async fn caller_left() {
+async fn client_disconnected() {
     let fake = Fake::doing([stream(&[ONE], End::Silent)]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "once")).await;
@@ -107,9 +107,9 @@
     assert_eq!(busy, 0);
 }
 
-/// A caller goes on with a stream that it has the beginning of. The runner hears after which event.
+/// A client resumes a stream. The runner is told after which event to resume.
 #[tokio::test(start_paused = true)]
-async fn caller_resumes() {
+async fn client_resumes() {
     let fake = Fake::doing([stream(&[THREE], End::Whole)]);
     let relay = ready(fake.clone());
     let mut request = request("a", "stream");
@@ -119,8 +119,8 @@
     assert_eq!(fake.sent()[0].resume_after, Some(2));
 }
 
-/// A stream begins without the runner's proof that it is its own. It is nobody's answer, like any
-/// other without it.
+/// A stream starts without the runner's proof of origin. It is rejected like any other response
+/// without proof.
 #[tokio::test(start_paused = true)]
 async fn without_proof() {
     let forged = || Act::Answer {
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -1,4 +1,4 @@
-//! Results that lie at runners of a stage after all processes were killed.
+//! Results that are still stored at the runners of a stage after all processes were killed.
 
 mod common;
 
@@ -9,8 +9,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Answers of runners that are full of what nobody knows of.
-fn full(fake: &Fake, calls: usize) {
+/// Makes the runners reject results for this many calls, as if they were full of results that no
+/// process knows of.
+fn reject_results(fake: &Fake, calls: usize) {
     let mut acts = fake.stage_acts.lock().expect("free");
     acts.extend(std::iter::repeat_n(Ok(vec![PieceOutcome::NoRoom]), calls));
 }
@@ -22,13 +23,13 @@
     }
 }
 
-/// All processes were killed, and the room of every runner is taken up by results that nobody knows
-/// of. Runners that are asked again every few milliseconds spend the time that these take to lapse
-/// on refusals, some hundred a second.
+/// All processes were killed, and results that no process knows of occupy the room of every runner.
+/// If the runners were called again every few milliseconds until these expire, they would spend
+/// that time on rejections, some hundred a second.
 #[tokio::test(start_paused = true)]
-async fn not_asked_again() {
+async fn not_called_again() {
     let fake = Fake::default();
-    full(&fake, 1_000);
+    reject_results(&fake, 1_000);
     let relay = ready(fake.clone());
     let outcome = relay.batcher(&cell()).submit(&relay, patient("a")).await;
     assert_eq!(outcome, Ok(Err(StageError::Late)));
@@ -36,21 +37,23 @@
     assert!((4..=16).contains(&calls), "{calls} calls to two runners");
 }
 
-/// The results lapse. What waits is made within a second of that, although nothing tells of it.
+/// The unknown results expire. Waiting pieces are processed within a second of that, although no
+/// message announces it.
 #[tokio::test(start_paused = true)]
-async fn found_out() {
+async fn expiry_detected() {
     let fake = Fake::default();
-    full(&fake, 4);
+    reject_results(&fake, 4);
     let relay = ready(fake.clone());
     let made = relay.batcher(&cell()).submit(&relay, patient("a"));
     let made = timeout(Duration::from_millis(1_700), made).await;
     assert!(made.expect("in time").expect("an outcome").is_ok());
 }
 
-/// A process is killed between two calls to a runner. What is over must have been given back by
-/// then: told with the next call alone, it takes up room for seconds after the kill.
+/// A process is killed between two calls to a runner. Results that are no longer needed must have
+/// been dropped by then: if the runner were told only with the next call, they would occupy room
+/// for seconds after the kill.
 #[tokio::test(start_paused = true)]
-async fn given_back_at_once() {
+async fn dropped_at_once() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
@@ -63,9 +66,9 @@
     assert_eq!(released, made);
 }
 
-/// Results that a call has fetched are kept until it has ended: if it fails they are needed again.
+/// Results that a call has fetched are kept until it ends, since they are needed again if it fails.
 #[tokio::test(start_paused = true)]
-async fn fetched_are_kept() {
+async fn fetched_results_kept() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
@@ -76,13 +79,13 @@
     assert!(fake.released.lock().expect("free").is_empty());
 }
 
-/// Runners refuse results for two seconds, since they are full of forgotten ones. The sizes of results
-/// are as before: taken for twice as large, they would leave half of the room unused for the next
-/// hundred calls.
+/// Runners reject results for two seconds because they are full of unknown ones. The estimated size
+/// of results must not change: doubled, it would leave half of the room unused for the next hundred
+/// calls.
 #[tokio::test(start_paused = true)]
-async fn sizes_stay() {
+async fn size_estimate_unchanged() {
     let fake = Fake::default();
-    full(&fake, 9);
+    reject_results(&fake, 9);
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
     let made = batcher
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -1,8 +1,8 @@
-//! Results that the next stage's call has fetched, and the room that they take up until it has ended.
+//! Room taken by results that the next stage's call has fetched, until that call ends.
 //!
-//! A runner has room for the results of two calls and a bit, and each is held from the turn of its
-//! call until the next stage's call has ended: under a burst the room of all runners is taken by
-//! results that have long been fetched.
+//! A runner has room for the results of a little more than two calls. If each result were held
+//! until the next stage's call had ended, a burst would fill all runners with results that had been
+//! fetched long before.
 
 mod common;
 
@@ -37,9 +37,9 @@
     made
 }
 
-/// With all room taken, a request's pieces are made as soon as some of the results there have been
-/// fetched. Held until the calls that fetched them end, the request would stand still meanwhile; its
-/// user would see a late answer.
+/// With all room taken, the pieces of a request are processed as soon as some of the stored results
+/// have been fetched. Held until the calls that fetched them end, they would stall the request, and
+/// its user would get a late response.
 #[tokio::test(start_paused = true)]
 async fn makes_room() {
     let fake = Fake::default();
@@ -55,10 +55,10 @@
     assert_eq!(released, 4, "no more than the call needs");
 }
 
-/// Results that have been fetched stay as long as there is room. The call that fetched them may still
-/// fail, and without them its request would have to begin anew.
+/// Fetched results are kept as long as there is room. The call that fetched them may still fail,
+/// and without them its request would have to start over.
 #[tokio::test(start_paused = true)]
-async fn stays_otherwise() {
+async fn kept_while_room() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let made = make(&relay, "first").await;
@@ -76,10 +76,10 @@
     assert_eq!(fake.released.lock().expect("free").len(), made.len());
 }
 
-/// A request's second stage is at work. The results of its first stage make room for others from
-/// shortly after that call's start, not only from its end.
+/// While the second stage of a request is processed, the results of its first stage make room for
+/// others shortly after that call has started, and not only when it ends.
 #[tokio::test(start_paused = true)]
-async fn told_by_next_stage() {
+async fn released_by_next_stage() {
     for (fetched, given_back) in [(Policy::Shipped, 3), (Policy::Naive, 0)] {
         let fake = Fake::default();
         let policy = Policies {
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -1,4 +1,5 @@
-//! What comes to be known between the choice of a runner and the moment at which it is sent something.
+//! Changes that become known between the selection of a runner and the moment at which something is
+//! sent to it.
 
 mod common;
 
@@ -14,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time after which a runner says that it leaves, within each of the waits below.
+/// Time after which a runner announces that it leaves, during each of the waits below.
 const LEAVES_AFTER: Duration = Duration::from_millis(100);
 
 fn leaving(id: &str, service: &str) -> Change {
@@ -24,7 +25,7 @@
     })
 }
 
-/// Takes up nearly all room of a runner with a result that is given back before the next call.
+/// Takes up nearly all room of a runner with a result that is released before the next call.
 fn fill(relay: &Arc<Relay<Fake>>, id: &str) {
     let address = runner(id, "stage").address;
     let result: Handle = format!("{address}/old").into();
@@ -33,8 +34,8 @@
     batcher.release(relay, &[result], ReleaseKind::Over);
 }
 
-/// Submits four pieces for the only runner, which leaves while results are given back to make room for them; another
-/// one is listed at that moment.
+/// Submits four pieces for the only runner, which announces that it leaves while results are
+/// dropped to make room for them; another runner is listed at that moment.
 async fn submit_and_leave(relay: &Arc<Relay<Fake>>) -> Outcome {
     relay.update(vec![Change::Gone("s-2".into())]);
     *relay.downstream.release_time.lock().expect("free") = Duration::from_millis(400);
@@ -46,8 +47,8 @@
     outcome.await.expect("an outcome")
 }
 
-/// Guards against pieces for a runner that has said that it leaves while results were given back to make room
-/// for the call.
+/// Guards against sending pieces to a runner that announced that it leaves while results were
+/// dropped to make room for the call.
 #[tokio::test(start_paused = true)]
 async fn left_while_releasing() {
     let relay = ready(Fake::default());
@@ -58,18 +59,18 @@
     assert_eq!(runners, ["s-2"]);
 }
 
-/// Guards against a budget of repeats that is spent on calls which no runner was sent.
+/// Guards against charging the retry budget for calls that were never sent.
 #[tokio::test(start_paused = true)]
-async fn nothing_spent() {
+async fn no_retry_charged() {
     let relay = ready(Fake::default());
-    // As many as the budget allows beside none that were sent first.
+    // Exhausts the budget, with no first attempts to add to it.
     while relay.may_repeat(&"stage".into()) {}
     let made = submit_and_leave(&relay).await;
     assert_eq!(made.map(|made| made.len()), Ok(4));
 }
 
-/// Guards against a request, or a piece, for a runner that has said that it leaves while the connection to it
-/// came about.
+/// Guards against sending a request or a piece to a runner that announced that it leaves while the
+/// connection to it was being established.
 #[tokio::test(start_paused = true)]
 async fn left_while_connecting() {
     for (route, service, id) in [("unsafe", "plain", "p"), ("staged", "stage", "s")] {
@@ -95,8 +96,8 @@
     }
 }
 
-/// Guards against a request that waits for runners to come back, as a suspect does, and is then sent to one
-/// that has left meanwhile.
+/// Guards against a request that waits for runners to come back, as a suspect does, and is then
+/// sent to one that has left in the meantime.
 #[tokio::test(start_paused = true)]
 async fn left_while_waiting() {
     let relay = ready(Fake::default());
@@ -110,7 +111,7 @@
     });
     sleep(LEAVES_AFTER).await;
     set_deadly(None);
-    // One runner has ended; a suspect does not get the one that is left.
+    // One runner has exited; a suspect is not sent to the one that is left.
     let ended = relay.downstream.ended.lock().expect("free").clone();
     let left = if ended == ["p-1"] { "p-2" } else { "p-1" };
     assert_eq!(relay.downstream.sent().len(), 1);
--- a/crates/relay/tests/slow_callers.rs
+++ b/crates/relay/tests/slow_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that read their answers slowly, or not at all.
+//! Clients that read their responses slowly, or not at all.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// More events than wait for a caller at any time.
+/// More events than are buffered for a client at any time.
 const EVENTS: usize = 80;
-/// Longer than a runner may be silent, shorter than the caller's patience.
+/// Longer than a runner may be silent, shorter than the client's timeout.
 const PAUSE: Duration = Duration::from_secs(3);
-/// Longer than the caller's patience.
-const LONG: Duration = Duration::from_secs(6);
-/// Bytes that wait for one caller at most.
-const HELD: usize = 1 << 20;
+/// Longer than the client's timeout.
+const LONG_PAUSE: Duration = Duration::from_secs(6);
+/// Maximum number of bytes buffered for one client.
+const MAX_BUFFERED: usize = 1 << 20;
 
 /// Events with text of this length.
 fn events(length: usize) -> Vec<&'static str> {
@@ -30,7 +30,7 @@
     Fake::doing([Act::Stream { parts, end }])
 }
 
-/// Calls that count as being at runners.
+/// Calls that count as in progress at runners.
 fn in_flight(relay: &Arc<Relay<Fake>>) -> u32 {
     relay.pool(&"plain".into(), |pool| {
         let targets = pool.targets().iter();
@@ -38,9 +38,9 @@
     })
 }
 
-/// Guards against a stream that is taken for dead, and its runner for faulty, since the caller paused.
+/// Guards against treating a stream as dead, and its runner as faulty, because the client paused.
 #[tokio::test(start_paused = true)]
-async fn pause_of_caller() {
+async fn client_pauses() {
     for route in ["stream", "once"] {
         let fake = streaming(1);
         let relay = ready(fake.clone());
@@ -52,20 +52,20 @@
     }
 }
 
-/// Guards against calls and memory that a caller keeps for ever who stopped reading.
+/// Guards against calls and memory that a client which stopped reading keeps for ever.
 #[tokio::test(start_paused = true)]
 async fn never_read() {
     let relay = ready(streaming(1));
     let answer = relay.serve(request("a", "stream")).await;
     assert_eq!(in_flight(&relay), 1);
-    sleep(LONG).await;
+    sleep(LONG_PAUSE).await;
     assert_eq!(in_flight(&relay), 0);
     drop(answer);
 }
 
-/// Guards against memory that grows with what a runner sends to a caller that doesn't read.
+/// Guards against memory that grows with what a runner sends to a client that does not read.
 #[tokio::test(start_paused = true)]
-async fn bytes_held() {
+async fn buffer_bounded() {
     let relay = ready(streaming(64 << 10));
     let answer = relay.serve(request("a", "stream")).await;
     sleep(PAUSE).await;
@@ -76,12 +76,12 @@
     while let Ok(part) = parts.try_recv() {
         held += part.map_or(0, |part| part.len());
     }
-    assert!(held <= HELD, "{held}");
+    assert!(held <= MAX_BUFFERED, "{held}");
 }
 
-/// Guards against memory that grows with the number of such callers.
+/// Guards against memory that grows with the number of such clients.
 #[tokio::test(start_paused = true)]
-async fn bytes_held_for_all() {
+async fn total_buffer_bounded() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let mut answers = Vec::new();
@@ -97,7 +97,7 @@
         let Body::Stream(parts) = &mut answer.body else {
             panic!("a stream")
         };
-        // Without a pause, so that nothing follows what was there.
+        // Without a pause, so that nothing is added to what was buffered.
         while let Ok(part) = parts.try_recv() {
             held += part.map_or(0, |part| part.len());
         }
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -22,8 +22,8 @@
     outcome.expect("an outcome")
 }
 
-/// Requests that come while both runners are busy share the next call. One call each would take
-/// the runners three times as long, and under load the queue would never end.
+/// Requests that arrive while both runners are busy share the next call. One call each would take
+/// the runners three times as long, and under load the queue would never drain.
 #[tokio::test(start_paused = true)]
 async fn calls_shared() {
     let fake = Fake::default();
@@ -36,8 +36,8 @@
     assert_eq!(sizes, [2, 2, 4]);
 }
 
-/// The naive decisions, for comparison: each request has calls of its own, and nobody is refused
-/// before the last moment.
+/// The naive policies, for comparison: each request has calls of its own, and none is refused
+/// before its deadline.
 #[tokio::test(start_paused = true)]
 async fn naive_calls() {
     let fake = Fake::default();
@@ -55,8 +55,9 @@
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
-/// Without admission a late request keeps its place in the queue until its last moment; with it, it
-/// hears at once that it is too late, while more than a call's worth waits that is not.
+/// Without admission control a late request keeps its place in the queue until its deadline. With
+/// it, the request is refused at once while more than a call's worth of work that is not late
+/// waits.
 #[tokio::test(start_paused = true)]
 async fn naive_admission() {
     for (admission, given_up) in [(Policy::Shipped, true), (Policy::Naive, false)] {
@@ -87,11 +88,11 @@
     }
 }
 
-/// A request with two stages: the pieces of the second are made from all results of the first, and
-/// the runner gets those of the second. With another request's or only some of them it would work
-/// on a drawing that is not the caller's.
+/// A request with two stages: the pieces of the second are computed from all results of the first,
+/// and the runner gets the results of the second. With results of another request, or with only
+/// some of them, it would work on a drawing that is not the client's.
 #[tokio::test(start_paused = true)]
-async fn results_handed_on() {
+async fn results_passed_to_next_stage() {
     let events = vec!["id: 1\ndata: x\n\n"];
     let fake = Fake::doing([Act::Stream {
         parts: events,
@@ -114,8 +115,8 @@
     assert_eq!(fake.sent()[0].inputs, 2);
 }
 
-/// A call to a stage runner is lost. Its pieces are made at another runner; the request neither
-/// fails nor waits for the one that is dark.
+/// A call to a stage runner is lost. Its pieces are processed by another runner; the request
+/// neither fails nor waits for the unreachable one.
 #[tokio::test(start_paused = true)]
 async fn call_lost() {
     let fake = Fake::default();
@@ -131,10 +132,10 @@
     assert_ne!(calls[0].runner, calls[1].runner);
 }
 
-/// A caller leaves while its pieces wait. They are not sent any more: the runner would work for
-/// nobody while others wait.
+/// A client disconnects while its pieces wait. They must not be sent any more, or the runner would
+/// do useless work while others wait.
 #[tokio::test(start_paused = true)]
-async fn caller_left() {
+async fn client_disconnected() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
@@ -152,7 +153,7 @@
     );
 }
 
-/// Pieces that can no longer be made in time are given up where they wait, so that the caller is
+/// Pieces that can no longer be processed in time are dropped from the queue, so that the client is
 /// told at once and no runner works on them.
 #[tokio::test(start_paused = true)]
 async fn too_late() {
@@ -169,9 +170,9 @@
     assert_eq!(fake.carried().len(), 2);
 }
 
-/// The process that formed a runner's calls is gone, and another one does so now. It hears of
-/// results that it never asked for and that are needed no more; unless it gives them back, the
-/// runner has no room for seconds and turns the next requests' pieces away.
+/// Another process takes over a cell. It is told to release results that it never requested; unless
+/// it has them dropped, the runner has no room for seconds and rejects the pieces of the next
+/// requests.
 #[tokio::test(start_paused = true)]
 async fn results_of_another_owner() {
     let fake = Fake::default();
@@ -200,8 +201,8 @@
     );
 }
 
-/// A runner answers at once that it has no room. It must not look fast for that: it would be given
-/// all calls, refuse them and starve the others.
+/// A runner responds at once that it has no room. That must not make it look fast: it would get all
+/// calls, reject them and starve the others.
 #[tokio::test(start_paused = true)]
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
@@ -214,7 +215,8 @@
     assert_ne!(calls[0].runner, calls[1].runner);
 }
 
-/// A runner is full. That says nothing of its health, and the pieces go elsewhere.
+/// A runner is at capacity. That says nothing about its health, and the pieces go to another
+/// runner.
 #[tokio::test(start_paused = true)]
 async fn runner_full() {
     let fake = Fake::default();
@@ -227,10 +229,10 @@
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
 }
 
-/// The results of a request whose answer has begun are given back before the next call that needs
+/// The results of a request whose response has started are dropped before the next call that needs
 /// their room.
 #[tokio::test(start_paused = true)]
-async fn room_given_back() {
+async fn released_results_dropped() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let mut made = Vec::new();
@@ -247,19 +249,19 @@
     assert!(released >= 4, "{released}");
 }
 
-/// The room of all runners is taken by results that nobody gives back, and nothing else happens: no
-/// call ends and no order comes. The next order must be made as soon as those lapse, and one that
-/// cannot wait so long is told at its last moment; both would wait until their callers give up,
-/// beside idle runners.
+/// The room of all runners is taken by results that are never released, and no call ends and no
+/// order arrives. The next order must be processed as soon as those results expire, and one that
+/// cannot wait that long must fail at its deadline; otherwise both would wait until their requests
+/// time out, beside idle runners.
 #[tokio::test(start_paused = true)]
-async fn room_lapses() {
+async fn results_expire() {
     let relay = ready(Fake::default());
     for number in 0..6 {
         let made = submit(&relay, order(&format!("kept-{number}"), 4)).await;
         assert!(made.is_ok());
     }
     let begun = Instant::now();
-    let hasty = Order {
+    let impatient = Order {
         expires_at: begun + Duration::from_secs(1),
         ..order("hasty", 4)
     };
@@ -267,13 +269,14 @@
         expires_at: begun + Duration::from_secs(8),
         ..order("patient", 4)
     };
-    let (hasty, patient) = tokio::join!(submit(&relay, hasty), submit(&relay, patient));
-    assert!(hasty.is_err());
+    let (impatient, patient) = tokio::join!(submit(&relay, impatient), submit(&relay, patient));
+    assert!(impatient.is_err());
     assert!(patient.is_ok());
     assert!(begun.elapsed() < Duration::from_secs(5));
 }
 
-/// A runner answers at once that an input is gone. Like one without room it must not look fast.
+/// A runner responds at once that an input no longer exists. As with a runner without room, that
+/// must not make it look fast.
 #[tokio::test(start_paused = true)]
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
@@ -300,11 +303,11 @@
     );
 }
 
-/// The model runner of a stream dies midway, and its results, long given back, must be made again
-/// while a burst waits. Judged by when its caller first came, the stream is late and is the first to
-/// be given up: the caller is left with half an answer, after all the work that went into it.
+/// The model runner of a stream dies midway, and its inputs, released long before, must be
+/// recomputed during a burst. Judged by when it arrived, the request is late and would be dropped
+/// first, leaving the client with half a response after all the work that went into the stream.
 #[tokio::test(start_paused = true)]
-async fn remade_midway() {
+async fn recomputed_midway() {
     let part = |parts: &[&'static str], end| Act::Stream {
         parts: parts.to_vec(),
         end,
@@ -332,8 +335,8 @@
     assert_eq!((text.matches("data").count(), whole), (2, true));
 }
 
-/// All runners of a stage are gone. The caller hears so at once; its pieces would wait for nobody
-/// until it has no time left to come back.
+/// All runners of a stage are gone. The client is told at once; otherwise its pieces would wait
+/// until the client has no time left to retry.
 #[tokio::test(start_paused = true)]
 async fn no_runner() {
     let relay = ready(Fake::default());
--- a/crates/relay/tests/urgent_kind.rs
+++ b/crates/relay/tests/urgent_kind.rs
@@ -1,7 +1,8 @@
 //! A burst of one kind of request beside a more urgent kind that needs the same stage.
 //!
-//! Two runners take calls of four pieces; at two pieces a request they make 14 requests a second. For
-//! three seconds eight urgent requests a second come, and thirty-two of the other kind.
+//! Two runners take calls of four pieces; at two pieces per request they serve 14 requests a
+//! second. For three seconds, eight urgent requests and thirty-two of the other kind arrive each
+//! second.
 
 mod common;
 
@@ -15,10 +16,11 @@
 use tokio::time::sleep;
 
 const URGENT: usize = 24;
-const EVERY: Duration = Duration::from_millis(125);
-const AIM: Duration = Duration::from_secs(1);
+const INTERVAL: Duration = Duration::from_millis(125);
+const TARGET: Duration = Duration::from_secs(1);
 
-/// A plan in which `/urgent/` comes before `/other/`, for a workspace whose rank all others have.
+/// A plan in which `/urgent/` has priority over `/other/`, for a workspace whose rank all others
+/// have.
 fn ranked() -> Plan {
     let shape = plan(1);
     let staged = shape.route("host", "/staged/x").expect("listed");
@@ -53,17 +55,18 @@
     relay
 }
 
-/// Whether a request is answered within the aim.
+/// Whether a request is served within the latency target.
 async fn on_time(relay: Arc<Relay<Fake>>, id: String, route: &'static str) -> bool {
     let mut request = request(&id, route);
     request.pieces = vec![2];
     let arrived = request.arrived;
     let answer = relay.serve(request).await;
-    answer.status == 200 && arrived.elapsed() <= AIM
+    answer.status == 200 && arrived.elapsed() <= TARGET
 }
 
-/// A story breaks and one kind of request fills the stage that an urgent kind needs as well. Callers
-/// of the urgent kind get late answers or none, although the stage could serve all of them.
+/// A burst of one kind of request fills the stage that an urgent kind needs as well. Clients of the
+/// urgent kind would get late responses or none, although the stage has enough capacity for all of
+/// them.
 #[tokio::test(start_paused = true)]
 async fn urgent_served() {
     let relay = serving();
@@ -74,7 +77,7 @@
             let id = format!("o-{number}-{copy}");
             others.spawn(on_time(relay.clone(), id, "other"));
         }
-        sleep(EVERY).await;
+        sleep(INTERVAL).await;
     }
     let served = |outcomes: Vec<bool>| outcomes.into_iter().filter(|on_time| *on_time).count();
     let (urgent, others) = (
