--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -6,13 +6,13 @@
 
 use crate::downstream::{Call, Downstream, Failure, NotRun, Reply};
 use crate::graph::{self, Inputs, StageRun};
-use crate::quarantine::{self, SILENCE};
+use crate::quarantine::{self, SILENCE_TIMEOUT};
 use crate::request::{Answer, Body, EventId, Refusal};
 use crate::runner::{DomainId, Runner, RunnerId};
 use crate::serve::Job;
 use crate::splice;
 use crate::telemetry::millis;
-use decide::route::{self, Affine, Router};
+use decide::route::{self, PrefixAffinity, Router};
 use slog::info;
 use std::sync::Arc;
 use std::time::Duration;
@@ -70,7 +70,7 @@
     /// Whether a retry may be sent. The retry is charged to the budget once for each call that is
     /// sent.
     fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
-        self.retry_counted = self.retry_counted || job.relay.may_repeat(&job.service);
+        self.retry_counted = self.retry_counted || job.relay.try_retry(&job.service);
         self.retry_counted
     }
 }
@@ -83,7 +83,7 @@
 /// have run it.
 pub async fn run<D: Downstream>(job: &Job<D>, mut inputs: Inputs<D>) -> Result<Answer, Refusal> {
     let mut progress = Progress::default();
-    job.relay.count_first(&job.service, 1);
+    job.relay.count_first_attempts(&job.service, 1);
     loop {
         let sent =
             send_or_recompute_inputs(job, &mut inputs, &mut progress, job.request.resume_after)
@@ -119,7 +119,7 @@
         let Some(mut runner) = pick_runner(job, &progress.tried, left) else {
             return Err(());
         };
-        if let Err(refusal) = quarantine::begin(job).await {
+        if let Err(refusal) = quarantine::admit_attempt(job).await {
             progress.quarantined = Some(refusal);
             return Err(());
         }
@@ -205,7 +205,7 @@
     let mut calling = std::pin::pin!(calling);
     tokio::select! {
         result = &mut calling => return result,
-        () = sleep(SILENCE) => flight.record_overdue(),
+        () = sleep(SILENCE_TIMEOUT) => flight.record_overdue(),
     }
     calling.await
 }
@@ -253,10 +253,17 @@
     left: Duration,
 ) -> Option<Arc<Runner>> {
     let relay = &job.relay;
-    let closed = relay.closed(&job.service);
+    let throttled = relay.throttled(&job.service);
     let limited = relay.limited(&job.service);
     let absent = relay.absent(&job.service);
-    let without = [tried, &closed, &limited, &absent, &job.abroad()].concat();
+    let without = [
+        tried,
+        &throttled,
+        &limited,
+        &absent,
+        &job.runners_outside_regions(),
+    ]
+    .concat();
     let shared = job.request.prompt.as_ref();
     let shared = shared.map_or(&[][..], |prompt| &prompt.shared);
     let call = route::Call {
@@ -269,7 +276,7 @@
     let processes = relay.processes();
     let id = relay.pool(&job.service, |pool| {
         pool.readmit(call.now);
-        relay.random(|rng| Affine::new(processes, shared).pick(pool, &call, rng))
+        relay.random(|rng| PrefixAffinity::new(processes, shared).pick(pool, &call, rng))
     })?;
     relay.runner(&id)
 }
@@ -308,7 +315,7 @@
 /// A runner resets connections beyond its limit, and it is then unknown whether a request that was
 /// just sent on one has run. Thirty processes that each keep a few open would use up the limit.
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
-    let service = job.plan.services.get(&job.service);
+    let service = job.configuration.services.get(&job.service);
     let bearable = service.map_or(0, |service| service.connections as usize);
     bearable / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
 }
@@ -327,7 +334,7 @@
         "in_flight" => flight.load_before.own,
         "others_in_flight" => flight.load_before.others,
         "told_age_ms" => flight.load_before.report_age.map(millis),
-        "runners_age_ms" => job.relay.list_age().map(millis),
+        "runners_age_ms" => job.relay.runner_list_age().map(millis),
         "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -1,13 +1,13 @@
 //! A call in progress at a runner, and what its outcome shows about the runner.
 
+use crate::configuration::ServiceId;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::outage;
-use crate::plan::ServiceId;
 use crate::request::ContentId;
 use crate::runner::Runner;
 use crate::serve::Job;
-use decide::route::{self, Pool, Target, affine};
+use decide::route::{self, Pool, Target, affinity};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,11 +26,11 @@
 impl RunnerLoad {
     fn new(pool: &Pool, id: &str, now: Duration) -> Self {
         let target = pool.get(id);
-        let others = target.and_then(|target| pool.elsewhere(target, now));
+        let others = target.and_then(|target| pool.peer_load(target, now));
         Self {
             own: target.map_or(0, Target::in_flight),
             others: others.map(|others| others.calls),
-            report_age: pool.told_age(now),
+            report_age: pool.peer_loads_age(now),
         }
     }
 }
@@ -57,16 +57,17 @@
     pub(super) fn new(job: &Job<D>, runner: Arc<Runner>) -> Self {
         let now = job.relay.now();
         let prompt = job.request.prompt.as_ref();
-        let prefill_seconds = prompt.map_or(0.0, |prompt| affine::reading(prompt.unshared()));
+        let prefill_seconds =
+            prompt.map_or(0.0, |prompt| affinity::read_seconds(prompt.unshared()));
         let load_before = job.relay.pool(&job.service, |pool| {
             let load_before = RunnerLoad::new(pool, &runner.id, now);
             pool.sent(&runner.id, now);
             if prompt.is_some() {
-                pool.reads(&runner.id, now, prefill_seconds);
+                pool.prompt_sent(&runner.id, now, prefill_seconds);
             }
             load_before
         });
-        job.relay.note_begun(job.content, &runner);
+        job.relay.record_sent(job.content, &runner);
         let now = Instant::now();
         Self {
             relay: job.relay.clone(),
@@ -86,7 +87,7 @@
         let prefill_seconds = std::mem::take(&mut self.prefill_seconds);
         if prefill_seconds > 0.0 {
             self.relay.pool(&self.service, |pool| {
-                pool.has_read(&self.runner.id, prefill_seconds);
+                pool.prompt_read(&self.runner.id, prefill_seconds);
             });
         }
     }
@@ -94,20 +95,20 @@
     /// Notes that data has arrived from the runner.
     pub fn record_activity(&mut self) {
         self.last_activity = Instant::now();
-        self.relay.note_sign(&self.runner, self.last_activity);
+        self.relay.record_activity(&self.runner, self.last_activity);
     }
 
     /// Notes that the call is overdue or that its time is over: the runner may be unresponsive.
     pub fn record_overdue(&self) {
         self.relay
-            .note_waited(self.content, &self.runner, self.last_activity);
+            .record_overdue(self.content, &self.runner, self.last_activity);
     }
 
     /// Notes a proper response. `elapsed` is the time by which the runner's speed is judged.
     pub fn answered(mut self, elapsed: Duration) {
         self.is_recorded = true;
         let now = self.relay.now();
-        let answer = route::Answer {
+        let answer = route::ResponseStats {
             busy: elapsed,
             elapsed,
             prefix: &[],
@@ -117,7 +118,7 @@
             pool.answered(&self.runner.id, now, &answer);
         });
         self.relay.telemetry.attempt("answered");
-        self.relay.note_served(self.content, &self.runner);
+        self.relay.record_answer(self.content, &self.runner);
     }
 
     /// Notes that the response was lost: the runner may have exited while running the request.
@@ -127,7 +128,7 @@
     pub async fn lost(self) {
         let isolated = false;
         self.relay
-            .note_lost(self.content, &self.runner, self.sent, isolated);
+            .record_lost_answer(self.content, &self.runner, self.sent, isolated);
         outage::probe_briefly(&self.relay, &self.runner).await;
         self.failed();
     }
@@ -158,7 +159,7 @@
 impl<D: Downstream> Drop for InFlightCall<D> {
     fn drop(&mut self) {
         self.response_started();
-        self.relay.note_over(self.content, &self.runner);
+        self.relay.record_finished(self.content, &self.runner);
         if !self.is_recorded {
             self.record_overdue();
             self.relay
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -11,9 +11,9 @@
 mod state;
 mod suspect;
 
+use crate::configuration::{BatchSettings, LAST_RANK, Rank, ServiceId};
 use crate::core::{Relay, lock};
 use crate::downstream::{BatchReply, Downstream, Failure, Handle, NotRun, PieceOutcome, Source};
-use crate::plan::{Batches, LAST_RANK, Rank, ServiceId};
 use crate::request::{ContentId, RequestId};
 use crate::runner::{DomainId, Runner};
 use crate::telemetry::millis;
@@ -307,7 +307,7 @@
     }
 
     /// Expected times until pieces that arrive now are done.
-    pub fn expected(&self, relay: &Relay<D>, batches: &Batches) -> Option<WaitEstimates> {
+    pub fn expected(&self, relay: &Relay<D>, batches: &BatchSettings) -> Option<WaitEstimates> {
         lock(&self.state).expected(relay.started(), batches)
     }
 
@@ -338,7 +338,7 @@
         }
         let items = std::mem::take(&mut batch_call.items);
         let count = items.len();
-        let (waited, age) = (started_at.elapsed(), relay.list_age());
+        let (waited, age) = (started_at.elapsed(), relay.runner_list_age());
         let is_open = || relay.is_open(&runner);
         let timeout = batch_call.timeout();
         let running = relay.downstream.make(&runner, items, timeout, is_open);
@@ -366,7 +366,7 @@
             made
         };
         if has_response {
-            relay.note_made(&runner, made);
+            relay.record_batch_answer(&runner, made);
         }
         self.dispatch(&relay);
     }
--- a/crates/relay/src/batch/batch_call.rs
+++ b/crates/relay/src/batch/batch_call.rs
@@ -1,10 +1,10 @@
 //! A call of a cell to one of its runners.
 
+use crate::configuration::BatchSettings;
 use crate::downstream::{Handle, Item};
-use crate::plan::Batches;
 use crate::request::ContentId;
 use crate::runner::Runner;
-use decide::batch::Ticket;
+use decide::batch::GroupId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(super) struct BatchCall {
     pub(super) runner: Arc<Runner>,
-    pub(super) portions: Vec<(Ticket, Vec<u32>)>,
+    pub(super) portions: Vec<(GroupId, Vec<u32>)>,
     pub(super) items: Vec<Item>,
     /// Content ids of the requests whose pieces the call carries, without duplicates.
     pub(super) contents: Vec<ContentId>,
@@ -32,7 +32,7 @@
     pub(super) expected: Duration,
     /// When the call is expected to end.
     pub(super) expected_end: Instant,
-    pub(super) batches: Batches,
+    pub(super) batches: BatchSettings,
     /// Size of the call's results in bytes, and the room that was believed to be free for them.
     pub(super) needed_bytes: u64,
     pub(super) room: u64,
--- a/crates/relay/src/batch/pending.rs
+++ b/crates/relay/src/batch/pending.rs
@@ -14,7 +14,7 @@
     pub(super) since: Instant,
     /// Maximum number of suspect orders in a call that carries its pieces, if the order becomes
     /// suspect.
-    pub(super) company: usize,
+    pub(super) max_suspects: usize,
     pub(super) reply: oneshot::Sender<Outcome>,
 }
 
--- a/crates/relay/src/batch/runner_state.rs
+++ b/crates/relay/src/batch/runner_state.rs
@@ -1,7 +1,7 @@
 //! State of a runner of a cell: its calls in progress, its speed and its room for results.
 
+use crate::configuration::BatchSettings;
 use crate::downstream::{Failure, Handle, NotRun, PieceOutcome};
-use crate::plan::Batches;
 use crate::runner::Runner;
 use decide::Map;
 use std::sync::Arc;
@@ -100,7 +100,7 @@
 /// the waiting time of the last pieces in the queue.
 pub(super) fn available_runners(
     runner_states: &[RunnerState],
-    batches: Batches,
+    batches: BatchSettings,
     queue: Duration,
     now: Instant,
 ) -> Vec<usize> {
@@ -157,13 +157,13 @@
         1.0 + (self.slowness - 1.0) * faded
     }
 
-    pub(super) fn has_slot(&self, batches: Batches) -> bool {
+    pub(super) fn has_slot(&self, batches: BatchSettings) -> bool {
         self.calls.len() < batches.slots as usize
     }
 
     /// When the next call is expected to start. A slow runner counts as free later, by the extra
     /// time that its call takes.
-    pub(super) fn free_at(&self, batches: Batches, now: Instant) -> Instant {
+    pub(super) fn free_at(&self, batches: BatchSettings, now: Instant) -> Instant {
         let call = batches.shape.full();
         let longer = call.mul_f64((self.slowness(now) - 1.0).max(0.0));
         let paused = self.paused_until.map_or(now, |until| until.max(now));
@@ -183,7 +183,7 @@
     }
 
     /// Room for the next call's results once all released or fetched results have been dropped.
-    pub(super) fn room(&mut self, batches: Batches, now: Instant) -> Room {
+    pub(super) fn room(&mut self, batches: BatchSettings, now: Instant) -> Room {
         self.results.retain(|_, stored| stored.expires_at > now);
         let results = &self.results;
         self.released.retain(|handle| results.contains_key(handle));
@@ -273,7 +273,7 @@
 
     /// Results that the runner is told to drop now to make room for `needed_bytes` bytes: all
     /// released ones, and only as many of the fetched ones as necessary.
-    pub(super) fn give_back(&mut self, batches: Batches, needed_bytes: u64) -> Vec<Handle> {
+    pub(super) fn give_back(&mut self, batches: BatchSettings, needed_bytes: u64) -> Vec<Handle> {
         self.lacked_room = false;
         let mut dropped = self.take_released();
         let mut missing = (self.stored() + needed_bytes).saturating_sub(batches.room);
--- a/crates/relay/src/batch/select.rs
+++ b/crates/relay/src/batch/select.rs
@@ -3,10 +3,10 @@
 use super::batch_call::BatchCall;
 use super::runner_state::{Room, RunnerState, available_runners};
 use super::state::State;
+use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::plan::{Batches, ServiceId};
-use decide::batch::{Former, Free, Need, Offer, Portion};
+use decide::batch::{BatchQueue, FreeRunner, Portion, RequiredGroup, RunnerFreeTime};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -27,14 +27,14 @@
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        batches: Batches,
+        batches: BatchSettings,
     ) -> Option<BatchCall> {
         let now = Instant::now();
         let at = relay.at(now);
         self.isolate_suspects(relay, at);
         self.drop_expired(at, self.piece_time(&batches));
-        let former = self.former.as_ref()?;
-        let queue = self.piece_time(&batches) * former.waiting();
+        let batch_queue = self.batch_queue.as_ref()?;
+        let queue = self.piece_time(&batches) * batch_queue.waiting_pieces();
         let runner_states = available_runners(&self.runner_states, batches, queue, now);
         let choice = match self.select_suspects(relay, service, batches, &runner_states) {
             Some(choice) => choice,
@@ -47,35 +47,35 @@
     fn select_pieces(
         &mut self,
         started: Instant,
-        batches: Batches,
+        batches: BatchSettings,
         runner_states: &[usize],
     ) -> Option<Selection> {
         let now = Instant::now();
         let at = now.saturating_duration_since(started);
-        if runner_states.is_empty() || self.former.as_ref()?.waiting() == 0 {
+        if runner_states.is_empty() || self.batch_queue.as_ref()?.waiting_pieces() == 0 {
             return None;
         }
-        let free = |state: &RunnerState| Free {
+        let free = |state: &RunnerState| RunnerFreeTime {
             domain: state.runner.domain.clone(),
             at: state
                 .free_at(batches, now)
                 .saturating_duration_since(started),
         };
-        let frees: Vec<Free> = self.runner_states.iter().map(free).collect();
-        let former = self.former.as_mut()?;
-        let tries = [Need::Near, Need::Any].into_iter();
+        let free_times: Vec<RunnerFreeTime> = self.runner_states.iter().map(free).collect();
+        let batch_queue = self.batch_queue.as_mut()?;
+        let tries = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
         let mut tries =
             tries.flat_map(|need| runner_states.iter().map(move |&index| (index, need)));
         tries.find_map(|(index, need)| {
             let state = &mut self.runner_states[index];
             let room = state.room(batches, now);
-            let offer = Offer {
+            let offer = FreeRunner {
                 room: room.free,
                 domain: &state.runner.domain,
                 need,
-                frees: &frees,
+                free_times: &free_times,
             };
-            let portions = former.take(at, &offer);
+            let portions = batch_queue.take(at, &offer);
             (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
@@ -86,7 +86,7 @@
     }
 
     /// Assigns the selected pieces to their runner.
-    fn prepare(&mut self, choice: Selection, batches: Batches, now: Instant) -> BatchCall {
+    fn prepare(&mut self, choice: Selection, batches: BatchSettings, now: Instant) -> BatchCall {
         let Selection {
             index,
             room,
@@ -97,7 +97,7 @@
         let waiting = &self.waiting;
         let bytes = |portion: &Portion| {
             let result = waiting
-                .get(&portion.ticket)
+                .get(&portion.group_id)
                 .map_or(0, |waiting| waiting.order.result_bytes);
             result * u64::from(portion.pieces)
         };
@@ -136,7 +136,7 @@
         now: Instant,
     ) -> BatchCall {
         for portion in portions {
-            let Some(waiting) = self.waiting.get_mut(&portion.ticket) else {
+            let Some(waiting) = self.waiting.get_mut(&portion.group_id) else {
                 continue;
             };
             let at = waiting.unsent.len().saturating_sub(portion.pieces as usize);
@@ -144,7 +144,7 @@
             pieces.reverse();
             let items = pieces.iter().map(|&piece| waiting.item(piece, now));
             batch_call.items.extend(items);
-            batch_call.portions.push((portion.ticket, pieces));
+            batch_call.portions.push((portion.group_id, pieces));
             if !batch_call.contents.contains(&waiting.order.content) {
                 batch_call.contents.push(waiting.order.content);
             }
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -5,13 +5,13 @@
 use super::runner_state::{FinishedCall, Inflation, RunnerState, StoredResult};
 use super::suspect::SUSPECT_POLL_INTERVAL;
 use super::{Order, Outcome, Results, StageError, WaitEstimates};
+use crate::configuration::{BatchSettings, Rank, ServiceId};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Failure, Handle, PieceOutcome};
-use crate::plan::{Batches, Rank, ServiceId};
 use crate::request::ContentId;
 use crate::runner::{Runner, RunnerId};
 use decide::Map;
-use decide::batch::{Choice, Former, Group, Isolation, Rules, Shape, Ticket};
+use decide::batch::{BatchQueue, ConfiguredQueue, Group, GroupId, Isolation, Rules, Shape};
 use setting::Policy;
 use setting::relay::Policies;
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 
 #[derive(Debug, Default)]
 pub(super) struct State {
-    pub(super) former: Option<Choice>,
+    pub(super) batch_queue: Option<ConfiguredQueue>,
     /// Pieces during which runners have exited.
     pub(super) isolation: Isolation,
-    pub(super) waiting: Map<Ticket, PendingOrder>,
+    pub(super) waiting: Map<GroupId, PendingOrder>,
     pub(super) runner_states: Vec<RunnerState>,
-    next: Ticket,
+    next: GroupId,
     /// When the next dispatch without another cause is scheduled.
     next_wake: Option<Instant>,
     /// Ratio of the assumed to the configured size of results.
@@ -40,9 +40,9 @@
     release_scheduled: bool,
 }
 
-fn former(policy: Policies, shape: Shape) -> Choice {
+fn batch_queue(policy: Policies, shape: Shape) -> ConfiguredQueue {
     if policy.batches == Policy::Naive {
-        return Choice::naive(shape);
+        return ConfiguredQueue::naive(shape);
     }
     let rules = Rules {
         near: policy.near == Policy::Shipped,
@@ -50,7 +50,7 @@
         small_first: policy.small_first == Policy::Shipped,
         give_up: policy.admission == Policy::Shipped,
     };
-    Choice::with(shape, rules)
+    ConfiguredQueue::with(shape, rules)
 }
 
 impl State {
@@ -95,7 +95,7 @@
 
     /// Inputs of a call's orders that have no pieces left that might fetch them.
     pub(super) fn inputs(&self, batch_call: &BatchCall) -> Vec<Results> {
-        let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
+        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
         let orders = batch_call.portions.iter().filter_map(waiting);
         let sent = orders.filter(|waiting| waiting.unsent.is_empty());
         sent.flat_map(|waiting| waiting.order.inputs.clone())
@@ -117,7 +117,7 @@
     }
 
     /// Time that the runners take per waiting piece.
-    pub(super) fn piece_time(&self, batches: &Batches) -> Duration {
+    pub(super) fn piece_time(&self, batches: &BatchSettings) -> Duration {
         let shape = batches.shape;
         let now = Instant::now();
         let speed = |state: &RunnerState| 1.0 / state.slowness(now).max(1.0);
@@ -127,7 +127,11 @@
     }
 
     /// Expected times until pieces that arrive now are done, by the rank of their request.
-    pub(super) fn expected(&self, started: Instant, batches: &Batches) -> Option<WaitEstimates> {
+    pub(super) fn expected(
+        &self,
+        started: Instant,
+        batches: &BatchSettings,
+    ) -> Option<WaitEstimates> {
         let runner_states = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
         if runner_states == 0 {
             return None;
@@ -147,15 +151,15 @@
         let piece = self.piece_time(batches);
         let now = Instant::now().saturating_duration_since(started);
         let ahead = |rank: Rank| {
-            let former = self.former.as_ref();
-            former.map_or(0, |former| former.ahead(now, rank))
+            let batch_queue = self.batch_queue.as_ref();
+            batch_queue.map_or(0, |batch_queue| batch_queue.pieces_ahead(now, rank))
         };
         Some(WaitEstimates::new(|rank| work + piece * ahead(rank)))
     }
 
     /// Ids of the requests whose pieces a call carries.
     pub(super) fn requests(&self, batch_call: &BatchCall) -> String {
-        let waiting = |(ticket, _): &(Ticket, Vec<u32>)| self.waiting.get(ticket);
+        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
         let ids = batch_call.portions.iter().filter_map(waiting);
         ids.map(|waiting| &*waiting.order.id)
             .collect::<Vec<_>>()
@@ -165,34 +169,34 @@
     pub(super) fn enqueue<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        batches: Batches,
+        batches: BatchSettings,
         order: Order,
         reply: oneshot::Sender<Outcome>,
     ) {
-        let ticket = self.next;
+        let group_id = self.next;
         self.next += 1;
         let waiting = PendingOrder {
             unsent: (0..order.pieces).rev().collect(),
             made: vec![None; order.pieces as usize],
             since: Instant::now(),
-            company: 1,
+            max_suspects: 1,
             order,
             reply,
         };
-        let group = self.group(&waiting, ticket, relay);
+        let group = self.group(&waiting, group_id, relay);
         let policy = relay.options.policy;
-        let former = || former(policy, batches.shape);
-        let former = self.former.get_or_insert_with(former);
-        former.reshape(batches.shape);
-        former.push(group);
-        self.waiting.insert(ticket, waiting);
+        let batch_queue = || batch_queue(policy, batches.shape);
+        let batch_queue = self.batch_queue.get_or_insert_with(batch_queue);
+        batch_queue.reshape(batches.shape);
+        batch_queue.push(group);
+        self.waiting.insert(group_id, waiting);
     }
 
     /// The waiting pieces of an order, as a group for the batch queue.
     pub(super) fn group<D: Downstream>(
         &self,
         waiting: &PendingOrder,
-        ticket: Ticket,
+        group_id: GroupId,
         relay: &Relay<D>,
     ) -> Group {
         let order = &waiting.order;
@@ -201,15 +205,15 @@
             self.runner_states.iter().any(there)
         });
         Group {
-            ticket,
+            group_id,
             pieces: u32::try_from(waiting.unsent.len()).unwrap_or(u32::MAX),
-            result: self.inflation.apply(order.result_bytes),
+            result_bytes: self.inflation.apply(order.result_bytes),
             due: relay.at(order.due),
-            last: relay.at(order.expires_at),
+            expires_at: relay.at(order.expires_at),
             rank: order.rank,
             domain,
-            since: relay.at(waiting.since),
-            patience: order.max_domain_wait,
+            arrived_at: relay.at(waiting.since),
+            max_domain_wait: order.max_domain_wait,
         }
     }
 
@@ -229,34 +233,34 @@
 
     /// Drops the orders whose requests are gone, and ends those that cannot be completed in time.
     pub(super) fn drop_expired(&mut self, at: Duration, piece: Duration) {
-        let Some(former) = self.former.as_mut() else {
+        let Some(batch_queue) = self.batch_queue.as_mut() else {
             return;
         };
-        let cancelled: Vec<Ticket> = self
+        let cancelled: Vec<GroupId> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.reply.is_closed())
-            .map(|(ticket, _)| *ticket)
+            .map(|(group_id, _)| *group_id)
             .collect();
-        for ticket in cancelled {
-            former.withdraw(ticket);
-            self.isolation.withdraw(ticket);
-            self.waiting.remove(&ticket);
+        for group_id in cancelled {
+            batch_queue.withdraw(group_id);
+            self.isolation.withdraw(group_id);
+            self.waiting.remove(&group_id);
         }
-        let shortest = former.shortest();
-        let expired = former.expire(at, piece).into_iter();
-        for ticket in expired.chain(self.isolation.expire(at, shortest)) {
-            self.finish_order(ticket, Err(StageError::Late));
+        let shortest = batch_queue.shortest();
+        let expired = batch_queue.expire(at, piece).into_iter();
+        for group_id in expired.chain(self.isolation.expire(at, shortest)) {
+            self.finish_order(group_id, Err(StageError::Late));
         }
     }
 
     /// Ends an order. Its receiver may be gone by now, which is harmless.
-    pub(super) fn finish_order(&mut self, ticket: Ticket, outcome: Outcome) {
-        if let Some(former) = self.former.as_mut() {
-            former.withdraw(ticket);
+    pub(super) fn finish_order(&mut self, group_id: GroupId, outcome: Outcome) {
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.withdraw(group_id);
         }
-        self.isolation.withdraw(ticket);
-        if let Some(waiting) = self.waiting.remove(&ticket) {
+        self.isolation.withdraw(group_id);
+        if let Some(waiting) = self.waiting.remove(&group_id) {
             let _ = waiting.reply.send(outcome);
         }
     }
@@ -276,7 +280,7 @@
         let pieces = batch_call
             .portions
             .iter()
-            .flat_map(|(ticket, pieces)| pieces.iter().map(move |&piece| (*ticket, piece)));
+            .flat_map(|(group_id, pieces)| pieces.iter().map(move |&piece| (*group_id, piece)));
         // Nothing was sent, so the pieces wait for another runner and no retry is charged.
         let unmade = match &result {
             Err(failure) if failure.is_withdrawn() => PieceOutcome::NoRoom,
@@ -285,14 +289,14 @@
         let mut made = result
             .map_or_else(|_| Vec::new(), std::convert::identity)
             .into_iter();
-        for (ticket, piece) in pieces {
+        for (group_id, piece) in pieces {
             let made = made.next().unwrap_or_else(|| unmade.clone());
             if let Some(outcome) =
-                self.settle_piece(relay, service, batch_call, (ticket, piece), made)
+                self.settle_piece(relay, service, batch_call, (group_id, piece), made)
             {
-                let waiting = self.waiting.get(&ticket).filter(|_| outcome.is_ok());
+                let waiting = self.waiting.get(&group_id).filter(|_| outcome.is_ok());
                 complete.extend(waiting.map(|waiting| waiting.order.content));
-                self.finish_order(ticket, outcome);
+                self.finish_order(group_id, outcome);
             }
         }
         complete
@@ -357,16 +361,16 @@
         relay: &Relay<D>,
         service: &ServiceId,
         batch_call: &BatchCall,
-        (ticket, piece): (Ticket, u32),
+        (group_id, piece): (GroupId, u32),
         made: PieceOutcome,
     ) -> Option<Outcome> {
         if let PieceOutcome::Done(handle) = &made {
             let bytes = self
                 .waiting
-                .get(&ticket)
+                .get(&group_id)
                 .map_or(0, |waiting| waiting.order.result_bytes);
             let bytes = self.inflation.apply(bytes);
-            let wanted = self.waiting.contains_key(&ticket);
+            let wanted = self.waiting.contains_key(&group_id);
             self.store_result(
                 &batch_call.runner.id,
                 handle,
@@ -375,7 +379,7 @@
                 wanted,
             );
         }
-        let waiting = self.waiting.get_mut(&ticket)?;
+        let waiting = self.waiting.get_mut(&group_id)?;
         match made {
             PieceOutcome::Done(handle) => {
                 waiting.made[piece as usize] = Some(handle);
@@ -389,15 +393,15 @@
             PieceOutcome::Late => Some(Err(StageError::Late)),
             PieceOutcome::InputGone => Some(Err(StageError::InputGone)),
             // A piece without room has not been processed.
-            PieceOutcome::Failed if !relay.may_repeat(service) => Some(Err(StageError::Failed)),
+            PieceOutcome::Failed if !relay.try_retry(service) => Some(Err(StageError::Failed)),
             PieceOutcome::NoRoom | PieceOutcome::Failed => {
                 waiting.unsent.push(piece);
-                let waiting = self.waiting.get(&ticket)?;
-                let group = self.group(waiting, ticket, relay);
-                self.isolation.withdraw(ticket);
-                let former = self.former.as_mut()?;
-                former.withdraw(ticket);
-                former.push(group);
+                let waiting = self.waiting.get(&group_id)?;
+                let group = self.group(waiting, group_id, relay);
+                self.isolation.withdraw(group_id);
+                let batch_queue = self.batch_queue.as_mut()?;
+                batch_queue.withdraw(group_id);
+                batch_queue.push(group);
                 None
             }
         }
@@ -409,7 +413,7 @@
         id: &RunnerId,
         handle: &Handle,
         bytes: u64,
-        batches: Batches,
+        batches: BatchSettings,
         wanted: bool,
     ) {
         let Some(state) = self
@@ -457,12 +461,12 @@
             .filter_map(|state| state.paused_until);
         let pause = pauses.filter(|until| *until > now).min();
         let suspects = (!self.isolation.is_empty()).then(|| now + SUSPECT_POLL_INTERVAL);
-        let former = self.former.as_ref()?;
-        if former.waiting() == 0 && suspects.is_none() {
+        let batch_queue = self.batch_queue.as_ref()?;
+        if batch_queue.waiting_pieces() == 0 && suspects.is_none() {
             return None;
         }
         let at = now.saturating_duration_since(started);
-        let moved = former.next(at).map(|moment| started + moment);
+        let moved = batch_queue.next_wakeup(at).map(|moment| started + moment);
         let stuck = self.stalled_until(now);
         let wakes = pause.into_iter().chain(moved).chain(stuck);
         let wake = wakes.chain(suspects).min()?;
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -4,13 +4,13 @@
 use super::batch_call::BatchCall;
 use super::select::Selection;
 use super::state::State;
+use crate::configuration::{BatchSettings, ServiceId};
 use crate::core::Relay;
 use crate::downstream::{Downstream, Failure, NotRun, PieceOutcome};
 use crate::outage;
-use crate::plan::{Batches, ServiceId};
 use crate::request::ContentId;
-use decide::batch::{Former, Space, Suspect, Ticket};
-use protocol::quarantine::{Pass, Standing};
+use decide::batch::{BatchQueue, CallCapacity, GroupId, Suspect};
+use protocol::quarantine::{Admission, Availability};
 use setting::Policy;
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,14 +48,14 @@
     match failure {
         Failure::Lost { .. } => {
             for content in &batch_call.contents {
-                relay.note_lost(
+                relay.record_lost_answer(
                     *content,
                     &batch_call.runner,
                     started_at,
                     batch_call.isolated,
                 );
                 if is_silent {
-                    relay.note_waited(*content, &batch_call.runner, started_at);
+                    relay.record_overdue(*content, &batch_call.runner, started_at);
                 }
             }
         }
@@ -72,24 +72,24 @@
         if self.isolation.is_empty() && !relay.has_suspects() {
             return;
         }
-        for (ticket, status) in self.content_statuses(relay) {
+        for (group_id, status) in self.content_statuses(relay) {
             match status {
-                ContentStatus::Clear => self.rejoin(relay, ticket),
-                ContentStatus::Suspect(crashes) => self.isolate(relay, ticket, crashes, at),
-                ContentStatus::Quarantined => self.finish_order(ticket, Err(StageError::Poison)),
+                ContentStatus::Clear => self.rejoin(relay, group_id),
+                ContentStatus::Suspect(crashes) => self.isolate(relay, group_id, crashes, at),
+                ContentStatus::Quarantined => self.finish_order(group_id, Err(StageError::Poison)),
             }
         }
     }
 
     /// Status of the orders that have pieces waiting.
-    fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(Ticket, ContentStatus)> {
+    fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, ContentStatus)> {
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|(_, waiting)| !waiting.unsent.is_empty());
         let now = relay.now();
         relay.suspects(|known| {
             let status = |content: ContentId, trial: bool| {
                 let risk = known.risk(content, now);
-                let is_held = known.pass(content, 0, now) != Pass::Free;
+                let is_held = known.admission(content, 0, now) != Admission::Free;
                 match risk {
                     _ if is_held && !trial => ContentStatus::Quarantined,
                     0 => ContentStatus::Clear,
@@ -97,50 +97,50 @@
                 }
             };
             waiting
-                .map(|(ticket, waiting)| {
+                .map(|(group_id, waiting)| {
                     let order = &waiting.order;
-                    (*ticket, status(order.content, order.trial))
+                    (*group_id, status(order.content, order.trial))
                 })
                 .collect()
         })
     }
 
-    fn rejoin<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket) {
-        if self.isolation.withdraw(ticket).is_none() {
+    fn rejoin<D: Downstream>(&mut self, relay: &Relay<D>, group_id: GroupId) {
+        if self.isolation.withdraw(group_id).is_none() {
             return;
         }
-        let Some(waiting) = self.waiting.get(&ticket) else {
+        let Some(waiting) = self.waiting.get(&group_id) else {
             return;
         };
-        let group = self.group(waiting, ticket, relay);
-        if let Some(former) = self.former.as_mut() {
-            former.push(group);
+        let group = self.group(waiting, group_id, relay);
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.push(group);
         }
     }
 
     fn isolate<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        ticket: Ticket,
+        group_id: GroupId,
         crashes: u32,
         at: Duration,
     ) {
-        if self.isolation.contains(ticket) {
-            self.isolation.set_crashes(ticket, crashes);
+        if self.isolation.contains(group_id) {
+            self.isolation.set_crashes(group_id, crashes);
             return;
         }
-        let Some(waiting) = self.waiting.get(&ticket) else {
+        let Some(waiting) = self.waiting.get(&group_id) else {
             return;
         };
         let suspect = Suspect {
-            group: self.group(waiting, ticket, relay),
+            group: self.group(waiting, group_id, relay),
             content: waiting.order.content,
             crashes,
-            company: waiting.company,
+            max_suspects: waiting.max_suspects,
             since: at,
         };
-        if let Some(former) = self.former.as_mut() {
-            former.withdraw(ticket);
+        if let Some(batch_queue) = self.batch_queue.as_mut() {
+            batch_queue.withdraw(group_id);
         }
         self.isolation.push(suspect);
     }
@@ -150,7 +150,7 @@
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
-        batches: Batches,
+        batches: BatchSettings,
         runner_states: &[usize],
     ) -> Option<Selection> {
         if self.isolation.is_empty() {
@@ -158,9 +158,9 @@
         }
         let now = Instant::now();
         let standing = relay.standing(service);
-        let may_run = |crashes: u32| standing.bears(crashes);
-        for ticket in self.isolation.give_up(relay.at(now), may_run) {
-            self.abandon(relay, ticket, standing);
+        let may_run = |crashes: u32| standing.allows_attempt(crashes);
+        for group_id in self.isolation.give_up(relay.at(now), may_run) {
+            self.abandon(relay, group_id, standing);
         }
         let runners = self.runner_states.len();
         let (silent, absent) = (relay.silent(service), relay.absent(service));
@@ -171,7 +171,7 @@
         let healthy: Vec<usize> = runner_states.iter().filter(healthy).copied().collect();
         healthy.into_iter().find_map(|index| {
             let room = self.runner_states[index].room(batches, now);
-            let space = Space {
+            let space = CallCapacity {
                 pieces: batches.shape.size,
                 room: room.free,
             };
@@ -185,13 +185,18 @@
         })
     }
 
-    fn abandon<D: Downstream>(&mut self, relay: &Relay<D>, ticket: Ticket, standing: Standing) {
-        if let Some(waiting) = self.waiting.get(&ticket) {
+    fn abandon<D: Downstream>(
+        &mut self,
+        relay: &Relay<D>,
+        group_id: GroupId,
+        standing: Availability,
+    ) {
+        if let Some(waiting) = self.waiting.get(&group_id) {
             slog::info!(relay.log, "suspect pieces rejected"; "request" => &*waiting.order.id,
                 "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
-        self.finish_order(ticket, Err(StageError::Poison));
+        self.finish_order(group_id, Err(StageError::Poison));
     }
 
     /// Limits, from the outcome of a call, how many suspect orders may share the next calls of its
@@ -207,10 +212,10 @@
         if !matches!(result, Err(Failure::Lost { .. })) {
             return;
         }
-        let company = batch_call.contents.len().div_ceil(2);
-        for (ticket, _) in &batch_call.portions {
-            if let Some(waiting) = self.waiting.get_mut(ticket) {
-                waiting.company = company;
+        let max_suspects = batch_call.contents.len().div_ceil(2);
+        for (group_id, _) in &batch_call.portions {
+            if let Some(waiting) = self.waiting.get_mut(group_id) {
+                waiting.max_suspects = max_suspects;
                 waiting.order.trial = false;
             }
         }
--- a/crates/relay/src/downstream.rs
+++ b/crates/relay/src/downstream.rs
@@ -1,7 +1,7 @@
 //! Calls to runners. The [`Downstream`] trait is implemented by an adapter that speaks the runners'
 //! protocol.
 
-use crate::plan::Rank;
+use crate::configuration::Rank;
 use crate::request::{EventId, IncompleteBody, Message, RequestId};
 use crate::runner::Runner;
 use bytes::Bytes;
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -2,16 +2,16 @@
 
 use crate::attempt;
 use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError};
+use crate::configuration::Route;
 use crate::core::Relay;
 use crate::downstream::{Downstream, Handle, Source};
 use crate::peer;
-use crate::plan::Route;
 use crate::quarantine;
 use crate::runner::{DomainId, Fleet};
 use crate::serve::{Job, content_name};
 use crate::telemetry::millis;
 use decide::Map;
-use decide::route::affine;
+use decide::route::affinity;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use slog::info;
@@ -152,7 +152,9 @@
             break;
         };
         let handles = outcome?;
-        job.relay.peers.hold(&cell, &handles, stages[stage].result);
+        job.relay
+            .peers
+            .record_results(&cell, &handles, stages[stage].result);
         made[stage] = Some(handles.clone());
         inputs.stages.push((stage, Results { cell, handles }));
         let is_done = |before: usize| is_consumed(&job.route, &made, before);
@@ -221,8 +223,9 @@
         Err(held) => return (stage, cell, Err(held)),
     };
     if stage_run == StageRun::First {
-        job.relay.count_first(&spec.service, job.pieces(stage));
-    } else if !job.relay.may_repeat(&spec.service) {
+        job.relay
+            .count_first_attempts(&spec.service, job.pieces(stage));
+    } else if !job.relay.try_retry(&spec.service) {
         return (stage, cell, Err(StageError::Failed));
     }
     let min_time_after = job.min_time_after(stage);
@@ -245,7 +248,7 @@
         trial,
     };
     let (started_at, wanted) = (Instant::now(), order.domain.clone());
-    let outcome = peer::make(&job.relay, &cell, order).await;
+    let outcome = peer::execute_order(&job.relay, &cell, order).await;
     info!(job.relay.log, "stage"; "request" => &*job.request.id, "stage" => stage,
         "cell" => cell.name(), "owner" => &*job.relay.owner(&cell), "pieces" => job.pieces(stage),
         "expected_ms" => millis(expected), "domain" => wanted.as_deref(),
@@ -344,7 +347,9 @@
     /// Time of a call that processes the pieces of a stage, excluding waits.
     fn call_time(&self, stage: usize) -> Duration {
         let pieces = self.pieces(stage);
-        let batches = self.plan.batches(&self.route.stages[stage].service);
+        let batches = self
+            .configuration
+            .batches(&self.route.stages[stage].service);
         match batches {
             Some(batches) if pieces > 0 => batches.shape.time(pieces),
             _ => Duration::ZERO,
@@ -358,7 +363,7 @@
             .prompt
             .as_ref()
             .map_or(0, |prompt| prompt.input);
-        MIN_MODEL_TIME + Duration::from_secs_f64(affine::reading(tokens))
+        MIN_MODEL_TIME + Duration::from_secs_f64(affinity::read_seconds(tokens))
     }
 
     /// Expected time until the response starts, given the current waits of the first stages.
@@ -374,6 +379,8 @@
     fn expected_stage_time(&self, stage: usize) -> Duration {
         let service = &self.route.stages[stage].service;
         let cell = self.relay.cell(service, None, Duration::ZERO);
-        self.relay.peers.expected(&self.relay, &cell, self.rank)
+        self.relay
+            .peers
+            .expected_wait(&self.relay, &cell, self.rank)
     }
 }
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -1,16 +1,16 @@
 //! The frames, and what the asking end of a link does with them.
 
-use super::overlay::{self, Beat};
+use super::overlay::{self, StateDigest};
 use super::transfer::Part;
-use super::{Burdens, Line, News, board, transfer};
+use super::{CallLoads, PeerLink, TableUpdate, call_loads, transfer};
 use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, WaitEstimates};
+use crate::configuration::{Rank, ServiceId, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
 use crate::drain::Drains;
-use crate::limit::Notice;
+use crate::limit::LimitNotice;
 use crate::member::MemberId;
 use crate::outage;
-use crate::plan::{Rank, ServiceId, Version};
 use crate::quarantine::Suspicion;
 use crate::request::{ContentId, RequestId};
 use crate::runner::DomainId;
@@ -25,7 +25,7 @@
 /// Silence after which a link with orders on it is given up. The other end tells its load every
 /// [`super::serving::LOAD_EVERY`] as long as orders wait; waiting much longer for a process that is
 /// frozen would cost the requests their aim.
-const SILENCE: Duration = Duration::from_millis(900);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two looks at the silence of a link.
 const LOOK: Duration = Duration::from_millis(300);
 /// Time that the table service is given to tell a process that reads it of a configuration which a peer has
@@ -45,7 +45,7 @@
         /// Cell whose calls the other process forms.
         cell: Cell,
         /// The pieces.
-        sheet: Box<Sheet>,
+        sheet: Box<WireOrder>,
     },
     /// The order's request is gone.
     Withdraw {
@@ -87,14 +87,14 @@
         /// The sender.
         from: MemberId,
         /// The calls.
-        burdens: Burdens,
+        burdens: CallLoads,
     },
     /// Calls that all other processes have there, in reply.
     Elsewhere {
         /// The service.
         service: ServiceId,
         /// The calls.
-        burdens: Burdens,
+        burdens: CallLoads,
     },
     /// What is new in a table of the platform?
     AskNews {
@@ -110,7 +110,7 @@
         /// The question.
         ticket: u64,
         /// What is new.
-        news: Option<News>,
+        news: Option<TableUpdate>,
     },
     /// The configuration that is in force at the sender.
     Version(Version),
@@ -121,12 +121,12 @@
     /// What the sender knows, in brief.
     Beat {
         /// Hashes of it.
-        beat: Beat,
+        beat: StateDigest,
         /// Whether this answers the other end's.
         answers: bool,
     },
     /// What a runner asks for in its answers.
-    Limit(Notice),
+    Limit(LimitNotice),
     /// The sender stops, and takes no more orders until it starts anew.
     Leaving {
         /// Its name.
@@ -147,7 +147,7 @@
 
 /// An order as another process gets it: clocks differ, so that times are told from now on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct WireOrder {
     id: RequestId,
     stage: usize,
     pieces: u32,
@@ -163,7 +163,7 @@
     trial: bool,
 }
 
-impl Sheet {
+impl WireOrder {
     /// The order as of now.
     #[must_use]
     pub fn new(order: &Order) -> Self {
@@ -210,7 +210,7 @@
 /// Reads the link's frames until it is lost.
 pub(super) fn start<D: Downstream>(
     relay: Arc<Relay<D>>,
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     receiver: Receiver<Frame>,
 ) {
     relay.peers.subscribe(line.sender.clone());
@@ -233,13 +233,17 @@
         // Those that do not fit into the queue are announced after the next beat.
         let _ = sender.try_send(&Frame::Suspicion(suspicion));
     }
-    if let Some(plan) = relay.plan() {
+    if let Some(configuration) = relay.configuration() {
         // A link that is gone already shows when it is read.
-        let _ = sender.try_send(&Frame::Version(plan.version));
+        let _ = sender.try_send(&Frame::Version(configuration.version));
     }
 }
 
-async fn read<D: Downstream>(relay: Arc<Relay<D>>, line: Arc<Line>, mut receiver: Receiver<Frame>) {
+async fn read<D: Downstream>(
+    relay: Arc<Relay<D>>,
+    line: Arc<PeerLink>,
+    mut receiver: Receiver<Frame>,
+) {
     loop {
         let frame = tokio::select! {
             frame = receiver.recv() => frame,
@@ -258,7 +262,7 @@
             pending.beaten = None;
         }
         match frame {
-            Frame::Elsewhere { service, burdens } => board::take(&relay, &service, burdens),
+            Frame::Elsewhere { service, burdens } => call_loads::take(&relay, &service, burdens),
             Frame::Outcome { ticket, outcome } => {
                 let reply = lock(&line.pending).waiting.remove(&ticket);
                 // Whoever waited may have left meanwhile.
@@ -281,14 +285,14 @@
     pending.news.clear();
 }
 
-impl Line {
+impl PeerLink {
     fn is_silent(&self) -> bool {
         let pending = lock(&self.pending);
         let silent = pending.received.elapsed();
         let unanswered = pending
             .beaten
-            .is_some_and(|at| at.elapsed() > overlay::SILENCE);
-        !pending.waiting.is_empty() && silent > SILENCE || unanswered
+            .is_some_and(|at| at.elapsed() > overlay::SILENCE_TIMEOUT);
+        !pending.waiting.is_empty() && silent > SILENCE_TIMEOUT || unanswered
     }
 }
 
@@ -305,7 +309,9 @@
         Frame::Beat { beat, answers } => overlay::compare(relay, sender, beat, answers),
         Frame::Leaving { id, incarnation } => {
             info!(relay.log, "peer leaves"; "peer" => &*id, "incarnation" => incarnation);
-            relay.peers.members(|members| members.left(id, incarnation));
+            relay
+                .peers
+                .members(|members| members.mark_left(id, incarnation));
         }
         Frame::AskPart { version, offset } => transfer::answer(relay, sender, version, offset),
         Frame::Part(part) => transfer::take(relay, sender, &part),
@@ -316,7 +322,11 @@
 /// Processes that do not read the tables themselves learn of a new configuration, and of keys that were taken
 /// away, from their peers alone; so do those that the table service turns away.
 fn compare_version<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, version: Version) {
-    let behind = move |relay: &Relay<D>| relay.plan().is_none_or(|plan| plan.version < version);
+    let behind = move |relay: &Relay<D>| {
+        relay
+            .configuration()
+            .is_none_or(|configuration| configuration.version < version)
+    };
     if !behind(relay) {
         return;
     }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,7 +1,7 @@
 //! Client requests, and the responses to them.
 
 use bytes::Bytes;
-use decide::route::affine::Part;
+use decide::route::affinity::PromptPart;
 use http::{HeaderMap, Method, Uri};
 pub use protocol::ContentId;
 use std::hash::BuildHasher;
@@ -109,7 +109,7 @@
     /// Maximum number of tokens to generate.
     pub output: u32,
     /// Prompt parts shared with other requests, in order.
-    pub shared: Vec<Part>,
+    pub shared: Vec<PromptPart>,
 }
 
 impl Prompt {
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -4,12 +4,12 @@
 //! it, another runner resumes after the last forwarded event.
 
 use crate::attempt::{self, InFlightCall, Progress};
+use crate::configuration::FIRST_RANK;
 use crate::downstream::{Downstream, Reply};
 use crate::event::{Events, Splitter};
 use crate::graph::Inputs;
-use crate::memory::Memory;
-use crate::plan::FIRST_RANK;
-use crate::quarantine::SILENCE;
+use crate::memory::MemoryBudget;
+use crate::quarantine::SILENCE_TIMEOUT;
 use crate::request::{EventId, IncompleteBody};
 use crate::serve::Job;
 use crate::telemetry::millis;
@@ -53,7 +53,7 @@
     progress: Progress,
     parts: Parts,
     /// Memory for data that the client has not read yet.
-    memory: Memory,
+    memory: MemoryBudget,
     /// Whether the runner's stream was left unread for so long that the runner may have closed it
     /// for that.
     was_unread: bool,
@@ -70,7 +70,7 @@
             inputs,
             progress,
             parts,
-            memory: Memory::new(MAX_BUFFERED_BYTES),
+            memory: MemoryBudget::new(MAX_BUFFERED_BYTES),
             was_unread: false,
             last,
             events: 0,
@@ -116,7 +116,7 @@
                 part = body.next() => part,
                 () = self.parts.closed() => return End::ClientGone,
                 () = sleep_until(self.job.deadline) => return End::DeadlineExceeded,
-                () = sleep_until(silent_since + SILENCE), if !is_overdue_recorded => {
+                () = sleep_until(silent_since + SILENCE_TIMEOUT), if !is_overdue_recorded => {
                     is_overdue_recorded = true;
                     flight.record_overdue();
                     continue;
--- a/crates/relay/tests/cold_runners.rs
+++ b/crates/relay/tests/cold_runners.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::feed::{Script, Told};
-use common::{Fake, plan, ready, request, runner};
+use common::feed::{FeedReply, ScriptedFeed};
+use common::{Fake, configuration, ready, request, runner};
+use relay::configuration::{Configuration, Limits, Service, Warmup};
 use relay::drain::Drains;
-use relay::plan::{Limits, Plan, Service, Warmup};
 use relay::runner::{Change, Runner};
 use relay::{Relay, member};
 use serde_json::{Value, json};
@@ -24,8 +24,8 @@
 }
 
 /// Routes of [`plan`] to runners that can take two requests a second after their start.
-fn warming() -> Plan {
-    let whole = plan(2);
+fn warming() -> Configuration {
+    let whole = configuration(2);
     let route = whole.route("host", "/safe/x").expect("there").as_ref();
     let service = Service {
         name: "plain".into(),
@@ -36,11 +36,11 @@
             rate: 2.0,
         }),
     };
-    let public = relay::plan::Route {
+    let public = relay::configuration::Route {
         public: true,
         ..route.clone()
     };
-    Plan::new(
+    Configuration::new(
         2,
         vec![public],
         vec![service],
@@ -61,10 +61,12 @@
     let relay = ready(Fake::default());
     relay.adopt(warming());
     let rows = others.iter().map(|id| row(id)).collect();
-    let script = Script::new(vec![Told::Rows(rows)]);
+    let script = ScriptedFeed::new(vec![FeedReply::Rows(rows)]);
     tokio::spawn(member::follow(relay.clone(), script));
     let now = relay.now();
-    relay.peers.members(|members| members.enlisted(now, 1));
+    relay
+        .peers
+        .members(|members| members.mark_registered(now, 1));
     sleep(SETTLED).await;
     relay
 }
--- a/crates/relay/tests/fleet_start.rs
+++ b/crates/relay/tests/fleet_start.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::service::Service;
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, follow, member, peer};
 use serde_json::json;
@@ -51,13 +51,13 @@
             weight: 1.0,
             since: None,
         };
-        let relay = blank_as(Fake::default(), own);
+        let relay = unconfigured_member(Fake::default(), own);
         let service = self.service.clone();
         self.tasks.spawn(peer::serve(relay.clone(), listener));
         self.tasks
             .spawn(follow::tables(relay.clone(), service.clone()));
         self.tasks
-            .spawn(member::enlist(relay.clone(), service.clone()));
+            .spawn(member::register(relay.clone(), service.clone()));
         self.tasks.spawn(member::follow(relay.clone(), service));
         self.relays.push(relay);
     }
@@ -66,7 +66,7 @@
     async fn informed(&self, runners: usize) {
         self.until(|relay| {
             let known = relay.fleet(|fleet| fleet.of("plain").len());
-            relay.informed() && known == Some(runners)
+            relay.is_ready() && known == Some(runners)
         })
         .await;
     }
@@ -123,7 +123,11 @@
     }
     fleet.service.put("plans", "config", Some(json!(2)));
     fleet.informed(2 * RUNNERS).await;
-    let is_new = |relay: &Relay<Fake>| relay.plan().is_some_and(|plan| plan.version == 2);
+    let is_new = |relay: &Relay<Fake>| {
+        relay
+            .configuration()
+            .is_some_and(|configuration| configuration.version == 2)
+    };
     fleet.until(is_new).await;
     let lists = |calls: &std::collections::BTreeMap<String, usize>| {
         let lists = calls.iter().filter(|(name, _)| name.starts_with("list"));
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -12,8 +12,8 @@
 /// Makes the runners reject results for this many calls, as if they were full of results that no
 /// process knows of.
 fn reject_results(fake: &Fake, calls: usize) {
-    let mut acts = fake.stage_acts.lock().expect("free");
-    acts.extend(std::iter::repeat_n(Ok(vec![PieceOutcome::NoRoom]), calls));
+    let mut behaviors = fake.stage_behaviors.lock().expect("free");
+    behaviors.extend(std::iter::repeat_n(Ok(vec![PieceOutcome::NoRoom]), calls));
 }
 
 fn patient(id: &str) -> Order {
@@ -33,7 +33,7 @@
     let relay = ready(fake.clone());
     let outcome = relay.batcher(&cell()).submit(&relay, patient("a")).await;
     assert_eq!(outcome, Ok(Err(StageError::Late)));
-    let calls = fake.carried().len();
+    let calls = fake.stage_calls().len();
     assert!((4..=16).contains(&calls), "{calls} calls to two runners");
 }
 
@@ -107,7 +107,7 @@
     };
     let made = batcher.submit(&relay, large).await;
     assert!(made.expect("an outcome").is_ok());
-    let most = fake.carried().iter().map(|call| call.items.len()).max();
+    let most = fake.stage_calls().iter().map(|call| call.items.len()).max();
     assert!(
         most >= Some(3),
         "{most:?} of 4 pieces that there is room for"
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -54,8 +54,8 @@
     let relay = ready(Fake::default());
     let made = submit_and_leave(&relay).await.expect("made elsewhere");
     assert_eq!(made.len(), 4);
-    let carried = relay.downstream.carried();
-    let runners: Vec<&str> = carried.iter().map(|call| &*call.runner).collect();
+    let stage_calls = relay.downstream.stage_calls();
+    let runners: Vec<&str> = stage_calls.iter().map(|call| &*call.runner).collect();
     assert_eq!(runners, ["s-2"]);
 }
 
@@ -64,7 +64,7 @@
 async fn no_retry_charged() {
     let relay = ready(Fake::default());
     // Exhausts the budget, with no first attempts to add to it.
-    while relay.may_repeat(&"stage".into()) {}
+    while relay.try_retry(&"stage".into()) {}
     let made = submit_and_leave(&relay).await;
     assert_eq!(made.map(|made| made.len()), Ok(4));
 }
@@ -87,8 +87,8 @@
         relay.update(vec![leaving(&left, service), listed]);
         assert_eq!(waiting.await.expect("it ends"), 200, "{route}");
         let sent = relay.downstream.sent().into_iter().map(|call| call.runner);
-        let carried = relay.downstream.carried().into_iter();
-        let called: Vec<String> = sent.chain(carried.map(|call| call.runner)).collect();
+        let stage_calls = relay.downstream.stage_calls().into_iter();
+        let called: Vec<String> = sent.chain(stage_calls.map(|call| call.runner)).collect();
         assert!(
             !called.contains(&left) && called.contains(&other),
             "{called:?}"
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fake, body, ready, request, runner};
-use relay::limit::Notice;
+use relay::limit::LimitNotice;
 use relay::member::{Member, Members};
 use relay::runner::Change;
 use relay::{Relay, Runner, peer};
@@ -39,7 +39,7 @@
 /// A relay both of whose runners have just named a limit of one request a second.
 async fn limited() -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
-    relay.peers.members(Members::listed);
+    relay.peers.members(Members::mark_listed);
     limit(&relay, Some(Duration::from_secs(1)));
     load(&relay, Duration::from_secs(1)).await;
     relay
@@ -87,7 +87,7 @@
 #[tokio::test]
 async fn told_by_peers() {
     let relay = ready(Fake::default());
-    relay.peers.members(Members::listed);
+    relay.peers.members(Members::mark_listed);
     let (sender, mut receiver) = common::link::open(&relay).await;
     let mut status = Vec::new();
     let turns = [
@@ -98,7 +98,7 @@
     ];
     for (spacing, ago) in turns {
         for id in ["p-1", "p-2"] {
-            let notice = Notice {
+            let notice = LimitNotice {
                 runner: id.into(),
                 spacing,
                 ago,
@@ -142,14 +142,14 @@
             domain: "a".into(),
             since: None,
         };
-        let relay = common::blank_as(Fake::default(), member(own));
-        relay.adopt(common::plan(1));
+        let relay = common::unconfigured_member(Fake::default(), member(own));
+        relay.adopt(common::configuration(1));
         relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
         relay.peers.members(|members| {
             for number in 0..20 {
                 members.put(member(number), number as u64 + 1);
             }
-            members.listed();
+            members.mark_listed();
         });
         limit(&relay, Some(Duration::from_secs(1)));
         load(&relay, PAUSE).await;
@@ -163,7 +163,7 @@
 
 /// Runners of a stage name a limit as well. The process that forms their calls keeps to it.
 #[tokio::test(start_paused = true)]
-async fn stage_calls() {
+async fn stage_limit_kept() {
     let relay = ready(Fake::default());
     limit(&relay, Some(Duration::from_secs(1)));
     let serving = (0..40).map(|number| {
@@ -175,7 +175,7 @@
     });
     let serving: Vec<_> = serving.collect();
     sleep(Duration::from_secs(4)).await;
-    let calls = relay.downstream.carried().len();
+    let calls = relay.downstream.stage_calls().len();
     assert!((6..=2 * 5).contains(&calls), "{calls}");
     serving.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Act, End, Fake, body, choosing, inputs, ready, request, runner};
+use common::{Behavior, Fake, StreamEnd, body, inputs, ready, request, runner, with_policies};
 use relay::Relay;
 use relay::batch::{Order, ReleaseKind};
 use relay::downstream::{Failure, Handle, NotRun, PieceOutcome};
@@ -32,7 +32,11 @@
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 4]);
 }
 
@@ -46,12 +50,16 @@
         admission: Policy::Naive,
         ..Policies::default()
     };
-    let relay = choosing(fake.clone(), naive);
+    let relay = with_policies(fake.clone(), naive);
     let orders = ["a", "b", "c", "d"].map(|id| submit(&relay, order(id, 2)));
     for outcome in futures::future::join_all(orders).await {
         assert_eq!(outcome.map(|made| made.len()), Ok(2));
     }
-    let sizes: Vec<usize> = fake.carried().iter().map(|call| call.items.len()).collect();
+    let sizes: Vec<usize> = fake
+        .stage_calls()
+        .iter()
+        .map(|call| call.items.len())
+        .collect();
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
@@ -65,7 +73,7 @@
             admission,
             ..Policies::default()
         };
-        let relay = choosing(Fake::default(), policy);
+        let relay = with_policies(Fake::default(), policy);
         for number in 0..8 {
             let order = Order {
                 due: Instant::now() + Duration::from_secs(3),
@@ -94,9 +102,9 @@
 #[tokio::test(start_paused = true)]
 async fn results_passed_to_next_stage() {
     let events = vec!["id: 1\ndata: x\n\n"];
-    let fake = Fake::doing([Act::Stream {
+    let fake = Fake::with_behaviors([Behavior::Stream {
         parts: events,
-        end: End::Whole,
+        end: StreamEnd::Whole,
     }]);
     let relay = ready(fake.clone());
     let answer = relay.serve(request("a", "chained")).await;
@@ -105,7 +113,7 @@
         (200, "id: 1\ndata: x\n\n".to_owned(), true)
     );
     let items: Vec<_> = fake
-        .carried()
+        .stage_calls()
         .into_iter()
         .flat_map(|call| call.items)
         .collect();
@@ -123,11 +131,14 @@
     let lost = Failure::Lost {
         reason: "reset".to_owned(),
     };
-    fake.stage_acts.lock().expect("free").push_back(Err(lost));
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(Err(lost));
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_eq!(calls.len(), 2);
     assert_ne!(calls[0].runner, calls[1].runner);
 }
@@ -145,7 +156,7 @@
         assert!(outcome.await.is_ok());
     }
     sleep(Duration::from_secs(1)).await;
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert!(
         calls
             .iter()
@@ -167,7 +178,7 @@
     for outcome in busy {
         assert!(outcome.await.is_ok());
     }
-    assert_eq!(fake.carried().len(), 2);
+    assert_eq!(fake.stage_calls().len(), 2);
 }
 
 /// Another process takes over a cell. It is told to release results that it never requested; unless
@@ -177,7 +188,7 @@
 async fn results_of_another_owner() {
     let fake = Fake::default();
     let no_room = || Ok(vec![PieceOutcome::NoRoom]);
-    fake.stage_acts
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend([no_room(), no_room()]);
@@ -207,11 +218,14 @@
 async fn no_room_is_not_fast() {
     let fake = Fake::default();
     let no_room = Ok(vec![PieceOutcome::NoRoom, PieceOutcome::NoRoom]);
-    fake.stage_acts.lock().expect("free").push_back(no_room);
+    fake.stage_behaviors
+        .lock()
+        .expect("free")
+        .push_back(no_room);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(2));
-    let calls = fake.carried();
+    let calls = fake.stage_calls();
     assert_ne!(calls[0].runner, calls[1].runner);
 }
 
@@ -223,7 +237,7 @@
     let full = Err(Failure::NotRun {
         reason: NotRun::Full { spacing: None },
     });
-    fake.stage_acts.lock().expect("free").push_back(full);
+    fake.stage_behaviors.lock().expect("free").push_back(full);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 1)).await;
     assert_eq!(outcome.map(|made| made.len()), Ok(1));
@@ -281,7 +295,7 @@
 async fn input_gone_is_not_fast() {
     let fake = Fake::default();
     let gone = || Ok(vec![PieceOutcome::InputGone]);
-    fake.stage_acts
+    fake.stage_behaviors
         .lock()
         .expect("free")
         .extend((0..4).map(|_| gone()));
@@ -293,7 +307,7 @@
     for id in ["b", "c", "d", "e"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
-    let runners: Vec<String> = fake.carried()[4..]
+    let runners: Vec<String> = fake.stage_calls()[4..]
         .iter()
         .map(|call| call.runner.clone())
         .collect();
@@ -308,15 +322,15 @@
 /// first, leaving the client with half a response after all the work that went into the stream.
 #[tokio::test(start_paused = true)]
 async fn recomputed_midway() {
-    let part = |parts: &[&'static str], end| Act::Stream {
+    let part = |parts: &[&'static str], end| Behavior::Stream {
         parts: parts.to_vec(),
         end,
     };
     let reason = NotRun::InputGone;
-    let fake = Fake::doing([
-        part(&["id: 1\ndata: x\n\n"], End::Silent),
-        Act::Refuse(reason),
-        part(&["id: 2\ndata: y\n\n"], End::Whole),
+    let fake = Fake::with_behaviors([
+        part(&["id: 1\ndata: x\n\n"], StreamEnd::Silent),
+        Behavior::Refuse(reason),
+        part(&["id: 2\ndata: y\n\n"], StreamEnd::Whole),
     ]);
     let relay = ready(fake.clone());
     relay.update(vec![Change::Listed(runner("p-3", "plain"))]);
