--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -69,7 +69,7 @@
 
     /// Whether a retry may be sent. The retry is charged to the budget once for each call that is
     /// sent.
-    fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
+    fn try_retry<D: Downstream>(&mut self, job: &Job<D>) -> bool {
         self.retry_counted = self.retry_counted || job.relay.try_retry(&job.service);
         self.retry_counted
     }
@@ -112,11 +112,11 @@
     resume_after: Option<EventId>,
 ) -> Result<StartedCall<D>, ()> {
     loop {
-        let left = job.remaining();
-        if left < MIN_CALL_TIME || !may_send(job, progress) {
+        let remaining = job.remaining();
+        if remaining < MIN_CALL_TIME || !may_send(job, progress) {
             return Err(());
         }
-        let Some(mut runner) = pick_runner(job, &progress.tried, left) else {
+        let Some(mut runner) = pick_runner(job, &progress.tried, remaining) else {
             return Err(());
         };
         if let Err(refusal) = quarantine::admit_attempt(job).await {
@@ -130,25 +130,26 @@
             };
             runner = other;
         }
-        if !progress.tried.is_empty() && !progress.may_repeat(job) {
+        if !progress.tried.is_empty() && !progress.try_retry(job) {
             return Err(());
         }
         job.relay.note_sent(&runner);
         progress.tried.push(runner.id.clone());
-        let call = build_call(job, inputs, left, resume_after);
+        let call = build_call(job, inputs, remaining, resume_after);
         let mut flight = InFlightCall::new(job, runner);
         let is_open = || job.relay.is_open(&flight.runner);
-        let calling = job.relay.downstream.call(&flight.runner, call, is_open);
-        let calling = release_inputs_when_fetched(calling, inputs);
-        let calling = record_silence(&flight, calling);
-        let result = timeout_at(job.deadline, calling).await;
+        let response = job.relay.downstream.call(&flight.runner, call, is_open);
+        let response = release_inputs_when_fetched(response, inputs);
+        let response = record_silence(&flight, response);
+        let result = timeout_at(job.deadline, response).await;
         let result = result.unwrap_or_else(|_| {
             flight.record_overdue();
             let reason = "no answer before the deadline".to_owned();
             Err(Failure::Lost { reason })
         });
-        log_call(job, &flight, left, inputs, progress, &result);
-        job.relay.note_limit(&flight.runner, flight.sent, &result);
+        log_call(job, &flight, remaining, inputs, progress, &result);
+        job.relay
+            .note_limit(&flight.runner, flight.sent_at, &result);
         progress.retry_counted &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
@@ -185,29 +186,29 @@
 
 /// Waits for the response to start, and releases the inputs once the runner has fetched them.
 async fn release_inputs_when_fetched<D: Downstream, T>(
-    calling: impl Future<Output = T>,
+    response: impl Future<Output = T>,
     inputs: &mut Inputs<D>,
 ) -> T {
-    let mut calling = std::pin::pin!(calling);
+    let mut response = std::pin::pin!(response);
     tokio::select! {
-        result = &mut calling => return result,
+        result = &mut response => return result,
         () = sleep(INPUT_FETCH_TIME) => inputs.release(|_| true),
     }
-    calling.await
+    response.await
 }
 
 /// Waits for the response to start, and records the call as overdue if nothing arrives in the
 /// meantime: the runner may be unresponsive.
 async fn record_silence<D: Downstream, T>(
     flight: &InFlightCall<D>,
-    calling: impl Future<Output = T>,
+    response: impl Future<Output = T>,
 ) -> T {
-    let mut calling = std::pin::pin!(calling);
+    let mut response = std::pin::pin!(response);
     tokio::select! {
-        result = &mut calling => return result,
+        result = &mut response => return result,
         () = sleep(SILENCE_TIMEOUT) => flight.record_overdue(),
     }
-    calling.await
+    response.await
 }
 
 async fn handle_failure<D: Downstream>(
@@ -250,13 +251,13 @@
 fn pick_runner<D: Downstream>(
     job: &Job<D>,
     tried: &[RunnerId],
-    left: Duration,
+    remaining: Duration,
 ) -> Option<Arc<Runner>> {
     let relay = &job.relay;
     let throttled = relay.throttled(&job.service);
     let limited = relay.limited(&job.service);
     let absent = relay.absent(&job.service);
-    let without = [
+    let excluded = [
         tried,
         &throttled,
         &limited,
@@ -270,8 +271,8 @@
         now: relay.now(),
         domain: &relay.options.domain,
         prefix: &[],
-        tried: &without,
-        slack: left,
+        tried: &excluded,
+        slack: remaining,
     };
     let processes = relay.processes();
     let id = relay.pool(&job.service, |pool| {
@@ -284,8 +285,8 @@
 /// Failure domain of the runner that would be selected now. Inputs of the request are best computed
 /// there, since results that cross failure domains cost far more than those that do not.
 pub fn likely_runner_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
-    let left = job.remaining();
-    pick_runner(job, &[], left).map(|runner| runner.domain.clone())
+    let remaining = job.remaining();
+    pick_runner(job, &[], remaining).map(|runner| runner.domain.clone())
 }
 
 fn build_call<D: Downstream>(
@@ -316,26 +317,26 @@
 /// just sent on one has run. Thirty processes that each keep a few open would use up the limit.
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
     let service = job.configuration.services.get(&job.service);
-    let bearable = service.map_or(0, |service| service.connections as usize);
-    bearable / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
+    let max_connections = service.map_or(0, |service| service.connections as usize);
+    max_connections / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
 }
 
 fn log_call<D: Downstream, B>(
     job: &Job<D>,
     flight: &InFlightCall<D>,
-    left: Duration,
+    remaining: Duration,
     inputs: &Inputs<D>,
     progress: &Progress,
     result: &Result<Reply<B>, Failure>,
 ) {
     info!(job.relay.log, "call"; "request" => &*job.request.id,
         "runner" => &*flight.runner.id, "service" => &*job.service,
-        "attempt" => progress.tried.len(), "left_ms" => millis(left),
+        "attempt" => progress.tried.len(), "left_ms" => millis(remaining),
         "in_flight" => flight.load_before.own,
         "others_in_flight" => flight.load_before.others,
         "told_age_ms" => flight.load_before.report_age.map(millis),
         "runners_age_ms" => job.relay.runner_list_age().map(millis),
-        "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent.elapsed()),
+        "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent_at.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
 
@@ -356,7 +357,7 @@
     reply: Reply<D::Body>,
     progress: &mut Progress,
 ) -> Option<Answer> {
-    let elapsed = flight.sent.elapsed();
+    let elapsed = flight.sent_at.elapsed();
     let (status, headers) = (reply.status, reply.headers);
     let body = job.relay.answers.collect(reply.body);
     let body = timeout_at(job.deadline, body).await;
@@ -369,8 +370,8 @@
             format!("status {status}, though it ran")
         }
         Ok(Ok(body)) if reply.proven => {
-            let good = status < 500;
-            if good || !may_send(job, progress) {
+            let is_usable = status < 500;
+            if is_usable || !may_send(job, progress) {
                 flight.answered(elapsed);
                 return Some(Answer {
                     status,
@@ -382,7 +383,7 @@
             format!("status {status}")
         }
         Ok(Ok(_)) => "answer without proof".to_owned(),
-        Ok(Err(broken)) => broken.reason,
+        Ok(Err(error)) => error.reason,
         Err(_) => "not whole before the deadline".to_owned(),
     };
     info!(job.relay.log, "response rejected"; "request" => &*job.request.id,
@@ -414,7 +415,7 @@
 
 /// What the client is told when no more runners are tried.
 fn final_refusal<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
-    let left = job.remaining();
+    let remaining = job.remaining();
     if let (0, Some(quarantined)) = (progress.executions, &progress.quarantined) {
         return quarantined.clone();
     }
@@ -431,7 +432,7 @@
             reason: "no runner took it",
             retry_after: RETRY_AFTER_REFUSED,
         },
-        _ if left < MIN_CALL_TIME => Refusal::Late,
+        _ if remaining < MIN_CALL_TIME => Refusal::Late,
         Some(failure) => Refusal::Lost {
             reason: failure.to_string(),
         },
--- a/crates/relay/src/attempt/flight.rs
+++ b/crates/relay/src/attempt/flight.rs
@@ -43,7 +43,7 @@
     /// The runner.
     pub runner: Arc<Runner>,
     /// When the call was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     prefill_seconds: f64,
     content: ContentId,
     /// When data last arrived from the runner for this call, or when the call was sent.
@@ -73,7 +73,7 @@
             relay: job.relay.clone(),
             service: job.service.clone(),
             runner,
-            sent: now,
+            sent_at: now,
             last_activity: now,
             prefill_seconds,
             content: job.content,
@@ -128,7 +128,7 @@
     pub async fn lost(self) {
         let isolated = false;
         self.relay
-            .record_lost_answer(self.content, &self.runner, self.sent, isolated);
+            .record_lost_answer(self.content, &self.runner, self.sent_at, isolated);
         outage::probe_briefly(&self.relay, &self.runner).await;
         self.failed();
     }
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -255,8 +255,8 @@
     /// Updates the set of runners that accept work.
     pub fn refresh(&self, relay: &Relay<D>) {
         let cells = relay.cells(&self.cell.service);
-        let share = cells.get(self.cell.index);
-        let runners = share.map(|share| share.runners.clone());
+        let cell = cells.get(self.cell.index);
+        let runners = cell.map(|cell| cell.runners.clone());
         lock(&self.state).refresh(runners.unwrap_or_default());
     }
 
@@ -267,12 +267,12 @@
     pub fn release(self: &Arc<Self>, relay: &Arc<Relay<D>>, handles: &[Handle], kind: ReleaseKind) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
-        let until = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
+        let expires_at = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
         for handle in handles {
             if let Some(address) = relay.downstream.holder(handle) {
                 match kind {
                     ReleaseKind::Fetched => state.fetched(address, handle),
-                    ReleaseKind::Over => state.release(address, handle, until),
+                    ReleaseKind::Over => state.release(address, handle, expires_at),
                 }
             }
         }
@@ -298,10 +298,10 @@
     pub fn record_results(&self, relay: &Relay<D>, results: &[(Handle, u64)]) {
         let mut state = lock(&self.state);
         let keep = relay.batches(&self.cell.service);
-        let until = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
+        let expires_at = Instant::now() + keep.map_or(Duration::ZERO, |batches| batches.keep);
         for (handle, bytes) in results {
             if let Some(address) = relay.downstream.holder(handle) {
-                state.record_result(address, handle, *bytes, until);
+                state.record_result(address, handle, *bytes, expires_at);
             }
         }
     }
@@ -357,16 +357,16 @@
             "expected_ms" => millis(batch_call.expected), "took_ms" => millis(elapsed),
             "waited_ms" => millis(waited), "runners_age_ms" => age.map(millis),
             "one_in_ms" => spacing.map(millis),
-            "outcome" => result.as_ref().map_or_else(ToString::to_string, |made| describe_outcomes(made)));
+            "outcome" => result.as_ref().map_or_else(ToString::to_string, |outcomes| describe_outcomes(outcomes)));
         let has_response = result.is_ok();
-        let made = {
+        let completed = {
             let mut state = lock(&self.state);
-            let made = state.finish(&relay, &self.cell.service, &batch_call, result, elapsed);
+            let completed = state.finish(&relay, &self.cell.service, &batch_call, result, elapsed);
             state.apply_spacing(&runner.id, started_at, spacing);
-            made
+            completed
         };
         if has_response {
-            relay.record_batch_answer(&runner, made);
+            relay.record_batch_answer(&runner, completed);
         }
         self.dispatch(&relay);
     }
@@ -401,12 +401,12 @@
     /// Schedules the next dispatch: nothing else wakes up when a runner's pause is over, or when a
     /// group has waited long enough for a runner in its failure domain.
     fn schedule_dispatch(self: &Arc<Self>, relay: &Arc<Relay<D>>) {
-        let Some(until) = lock(&self.state).next_wake_time(relay.started()) else {
+        let Some(wake_at) = lock(&self.state).next_wake_time(relay.started()) else {
             return;
         };
         let (batcher, relay) = (self.clone(), relay.clone());
         tokio::spawn(async move {
-            tokio::time::sleep_until(until).await;
+            tokio::time::sleep_until(wake_at).await;
             batcher.dispatch(&relay);
         });
     }
@@ -439,16 +439,16 @@
     }
 }
 
-fn describe_outcomes(made: &[PieceOutcome]) -> String {
-    let done = made
+fn describe_outcomes(outcomes: &[PieceOutcome]) -> String {
+    let done = outcomes
         .iter()
-        .filter(|made| matches!(made, PieceOutcome::Done(_)))
+        .filter(|outcome| matches!(outcome, PieceOutcome::Done(_)))
         .count();
-    if done == made.len() {
+    if done == outcomes.len() {
         return "made".to_owned();
     }
-    let other = made
+    let other = outcomes
         .iter()
-        .find(|made| !matches!(made, PieceOutcome::Done(_)));
+        .find(|outcome| !matches!(outcome, PieceOutcome::Done(_)));
     format!("{done} made, then {other:?}")
 }
--- a/crates/relay/src/batch/pending.rs
+++ b/crates/relay/src/batch/pending.rs
@@ -10,8 +10,8 @@
 pub(super) struct PendingOrder {
     pub(super) order: Order,
     pub(super) unsent: Vec<u32>,
-    pub(super) made: Vec<Option<Handle>>,
-    pub(super) since: Instant,
+    pub(super) results: Vec<Option<Handle>>,
+    pub(super) arrived_at: Instant,
     /// Maximum number of suspect orders in a call that carries its pieces, if the order becomes
     /// suspect.
     pub(super) max_suspects: usize,
--- a/crates/relay/src/batch/runner_state.rs
+++ b/crates/relay/src/batch/runner_state.rs
@@ -104,8 +104,8 @@
     queue: Duration,
     now: Instant,
 ) -> Vec<usize> {
-    let awake = runner_states.iter().filter(|state| !state.is_paused(now));
-    let Some(fastest) = awake
+    let unpaused = runner_states.iter().filter(|state| !state.is_paused(now));
+    let Some(fastest) = unpaused
         .map(|state| state.slowness(now))
         .min_by(f64::total_cmp)
     else {
@@ -153,8 +153,8 @@
     /// estimate.
     pub(super) fn slowness(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.slowness_updated);
-        let faded = decide::smooth::decay(age, SLOWNESS_HALF_LIFE);
-        1.0 + (self.slowness - 1.0) * faded
+        let decayed = decide::smooth::decay(age, SLOWNESS_HALF_LIFE);
+        1.0 + (self.slowness - 1.0) * decayed
     }
 
     pub(super) fn has_slot(&self, batches: BatchSettings) -> bool {
@@ -165,10 +165,10 @@
     /// time that its call takes.
     pub(super) fn free_at(&self, batches: BatchSettings, now: Instant) -> Instant {
         let call = batches.shape.full();
-        let longer = call.mul_f64((self.slowness(now) - 1.0).max(0.0));
+        let extra_time = call.mul_f64((self.slowness(now) - 1.0).max(0.0));
         let paused = self.paused_until.map_or(now, |until| until.max(now));
         let slot = self.calls.iter().min().filter(|_| !self.has_slot(batches));
-        slot.map_or(paused, |until| paused.max(*until)) + longer
+        slot.map_or(paused, |until| paused.max(*until)) + extra_time
     }
 
     /// Applies the interval between calls that the runner asks for; the last call started at
@@ -219,13 +219,13 @@
     fn add_unknown_results(
         &mut self,
         call: &FinishedCall<'_>,
-        made: &[PieceOutcome],
+        outcomes: &[PieceOutcome],
         now: Instant,
     ) {
-        let fitted = made
+        let fitted = outcomes
             .iter()
-            .filter(|made| matches!(made, PieceOutcome::Done(_)));
-        let fitted = call.needed_bytes * fitted.count() as u64 / made.len().max(1) as u64;
+            .filter(|outcome| matches!(outcome, PieceOutcome::Done(_)));
+        let fitted = call.needed_bytes * fitted.count() as u64 / outcomes.len().max(1) as u64;
         let bytes = self.unknown_results(now) + call.room.saturating_sub(fitted);
         self.unknown_results = Some((bytes, now + call.keep / UNKNOWN_RESULTS_DIVISOR));
     }
@@ -273,7 +273,11 @@
 
     /// Results that the runner is told to drop now to make room for `needed_bytes` bytes: all
     /// released ones, and only as many of the fetched ones as necessary.
-    pub(super) fn give_back(&mut self, batches: BatchSettings, needed_bytes: u64) -> Vec<Handle> {
+    pub(super) fn drop_results(
+        &mut self,
+        batches: BatchSettings,
+        needed_bytes: u64,
+    ) -> Vec<Handle> {
         self.lacked_room = false;
         let mut dropped = self.take_released();
         let mut missing = (self.stored() + needed_bytes).saturating_sub(batches.room);
@@ -297,22 +301,22 @@
             self.calls.swap_remove(ended);
         }
         match call.result {
-            Ok(made)
-                if made
+            Ok(outcomes)
+                if outcomes
                     .iter()
-                    .all(|made| matches!(made, PieceOutcome::Done(_))) =>
+                    .all(|outcome| matches!(outcome, PieceOutcome::Done(_))) =>
             {
                 self.failures = 0;
                 self.update_slowness(call, now);
             }
             // Pieces without room or inputs are rejected immediately. That must not make a runner
             // look fast, or it would attract all calls and reject them.
-            Ok(made) => {
-                if made.contains(&PieceOutcome::NoRoom) {
+            Ok(outcomes) => {
+                if outcomes.contains(&PieceOutcome::NoRoom) {
                     self.paused_until = Some(now + PAUSE_AFTER_NO_ROOM);
                     self.lacked_room = true;
                     if call.release_first {
-                        self.add_unknown_results(call, made, now);
+                        self.add_unknown_results(call, outcomes, now);
                     }
                 }
             }
@@ -326,9 +330,9 @@
 
     fn update_slowness(&mut self, call: &FinishedCall<'_>, now: Instant) {
         let ratio = call.elapsed.as_secs_f64() / call.expected.as_secs_f64().max(0.001);
-        let faded = self.slowness(now);
+        let decayed = self.slowness(now);
         let sample = call.slowness * ratio;
-        self.slowness = faded + SLOWNESS_WEIGHT * (sample - faded);
+        self.slowness = decayed + SLOWNESS_WEIGHT * (sample - decayed);
         self.slowness_updated = now;
     }
 
--- a/crates/relay/src/batch/select.rs
+++ b/crates/relay/src/batch/select.rs
@@ -36,11 +36,11 @@
         let batch_queue = self.batch_queue.as_ref()?;
         let queue = self.piece_time(&batches) * batch_queue.waiting_pieces();
         let runner_states = available_runners(&self.runner_states, batches, queue, now);
-        let choice = match self.select_suspects(relay, service, batches, &runner_states) {
-            Some(choice) => choice,
+        let selection = match self.select_suspects(relay, service, batches, &runner_states) {
+            Some(selection) => selection,
             None => self.select_pieces(relay.started(), batches, &runner_states)?,
         };
-        Some(self.prepare(choice, batches, now))
+        Some(self.prepare(selection, batches, now))
     }
 
     /// Selects the pieces of the next call and its runner.
@@ -63,19 +63,19 @@
         };
         let free_times: Vec<RunnerFreeTime> = self.runner_states.iter().map(free).collect();
         let batch_queue = self.batch_queue.as_mut()?;
-        let tries = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
-        let mut tries =
-            tries.flat_map(|need| runner_states.iter().map(move |&index| (index, need)));
-        tries.find_map(|(index, need)| {
+        let candidates = [RequiredGroup::Near, RequiredGroup::Any].into_iter();
+        let mut candidates =
+            candidates.flat_map(|need| runner_states.iter().map(move |&index| (index, need)));
+        candidates.find_map(|(index, need)| {
             let state = &mut self.runner_states[index];
             let room = state.room(batches, now);
-            let offer = FreeRunner {
+            let free_runner = FreeRunner {
                 room: room.free,
                 domain: &state.runner.domain,
                 need,
                 free_times: &free_times,
             };
-            let portions = batch_queue.take(at, &offer);
+            let portions = batch_queue.take(at, &free_runner);
             (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
@@ -86,24 +86,24 @@
     }
 
     /// Assigns the selected pieces to their runner.
-    fn prepare(&mut self, choice: Selection, batches: BatchSettings, now: Instant) -> BatchCall {
+    fn prepare(&mut self, selection: Selection, batches: BatchSettings, now: Instant) -> BatchCall {
         let Selection {
             index,
             room,
             portions,
             isolated,
-        } = choice;
+        } = selection;
         let state = &mut self.runner_states[index];
-        let waiting = &self.waiting;
+        let pending = &self.pending;
         let bytes = |portion: &Portion| {
-            let result = waiting
+            let result = pending
                 .get(&portion.group_id)
-                .map_or(0, |waiting| waiting.order.result_bytes);
+                .map_or(0, |pending| pending.order.result_bytes);
             result * u64::from(portion.pieces)
         };
         let needed_bytes: u64 = portions.iter().map(bytes).sum();
         let release_first = needed_bytes > room.unreleased || state.lacked_room;
-        let released = state.give_back(batches, needed_bytes);
+        let released = state.drop_results(batches, needed_bytes);
         let runner = state.runner.clone();
         let slowness = state.slowness(now);
         let batch_call = BatchCall {
@@ -136,17 +136,17 @@
         now: Instant,
     ) -> BatchCall {
         for portion in portions {
-            let Some(waiting) = self.waiting.get_mut(&portion.group_id) else {
+            let Some(pending) = self.pending.get_mut(&portion.group_id) else {
                 continue;
             };
-            let at = waiting.unsent.len().saturating_sub(portion.pieces as usize);
-            let mut pieces = waiting.unsent.split_off(at);
+            let at = pending.unsent.len().saturating_sub(portion.pieces as usize);
+            let mut pieces = pending.unsent.split_off(at);
             pieces.reverse();
-            let items = pieces.iter().map(|&piece| waiting.item(piece, now));
+            let items = pieces.iter().map(|&piece| pending.item(piece, now));
             batch_call.items.extend(items);
             batch_call.portions.push((portion.group_id, pieces));
-            if !batch_call.contents.contains(&waiting.order.content) {
-                batch_call.contents.push(waiting.order.content);
+            if !batch_call.contents.contains(&pending.order.content) {
+                batch_call.contents.push(pending.order.content);
             }
         }
         let count = u32::try_from(batch_call.items.len()).unwrap_or(u32::MAX);
--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -29,9 +29,9 @@
     pub(super) batch_queue: Option<ConfiguredQueue>,
     /// Pieces during which runners have exited.
     pub(super) isolation: Isolation,
-    pub(super) waiting: Map<GroupId, PendingOrder>,
+    pub(super) pending: Map<GroupId, PendingOrder>,
     pub(super) runner_states: Vec<RunnerState>,
-    next: GroupId,
+    next_group_id: GroupId,
     /// When the next dispatch without another cause is scheduled.
     next_wake: Option<Instant>,
     /// Ratio of the assumed to the configured size of results.
@@ -95,10 +95,10 @@
 
     /// Inputs of a call's orders that have no pieces left that might fetch them.
     pub(super) fn inputs(&self, batch_call: &BatchCall) -> Vec<Results> {
-        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
-        let orders = batch_call.portions.iter().filter_map(waiting);
-        let sent = orders.filter(|waiting| waiting.unsent.is_empty());
-        sent.flat_map(|waiting| waiting.order.inputs.clone())
+        let pending = |(group_id, _): &(GroupId, Vec<u32>)| self.pending.get(group_id);
+        let orders = batch_call.portions.iter().filter_map(pending);
+        let sent = orders.filter(|pending| pending.unsent.is_empty());
+        sent.flat_map(|pending| pending.order.inputs.clone())
             .collect()
     }
 
@@ -111,8 +111,8 @@
         expires_at: Instant,
     ) {
         if let Some(state) = self.at(address) {
-            let held = StoredResult { bytes, expires_at };
-            state.results.entry(handle.clone()).or_insert(held);
+            let stored = StoredResult { bytes, expires_at };
+            state.results.entry(handle.clone()).or_insert(stored);
         }
     }
 
@@ -132,8 +132,8 @@
         started: Instant,
         batches: &BatchSettings,
     ) -> Option<WaitEstimates> {
-        let runner_states = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
-        if runner_states == 0 {
+        let runner_count = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
+        if runner_count == 0 {
             return None;
         }
         let shape = batches.shape;
@@ -143,7 +143,7 @@
             .all(|state| !state.calls.is_empty());
         let full = shape.full();
         let rest = if busy {
-            full / 2 / runner_states
+            full / 2 / runner_count
         } else {
             Duration::ZERO
         };
@@ -159,9 +159,9 @@
 
     /// Ids of the requests whose pieces a call carries.
     pub(super) fn requests(&self, batch_call: &BatchCall) -> String {
-        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
-        let ids = batch_call.portions.iter().filter_map(waiting);
-        ids.map(|waiting| &*waiting.order.id)
+        let pending = |(group_id, _): &(GroupId, Vec<u32>)| self.pending.get(group_id);
+        let ids = batch_call.portions.iter().filter_map(pending);
+        ids.map(|pending| &*pending.order.id)
             .collect::<Vec<_>>()
             .join(",")
     }
@@ -173,46 +173,46 @@
         order: Order,
         reply: oneshot::Sender<Outcome>,
     ) {
-        let group_id = self.next;
-        self.next += 1;
-        let waiting = PendingOrder {
+        let group_id = self.next_group_id;
+        self.next_group_id += 1;
+        let pending = PendingOrder {
             unsent: (0..order.pieces).rev().collect(),
-            made: vec![None; order.pieces as usize],
-            since: Instant::now(),
+            results: vec![None; order.pieces as usize],
+            arrived_at: Instant::now(),
             max_suspects: 1,
             order,
             reply,
         };
-        let group = self.group(&waiting, group_id, relay);
+        let group = self.group(&pending, group_id, relay);
         let policy = relay.options.policy;
         let batch_queue = || batch_queue(policy, batches.shape);
         let batch_queue = self.batch_queue.get_or_insert_with(batch_queue);
         batch_queue.reshape(batches.shape);
         batch_queue.push(group);
-        self.waiting.insert(group_id, waiting);
+        self.pending.insert(group_id, pending);
     }
 
     /// The waiting pieces of an order, as a group for the batch queue.
     pub(super) fn group<D: Downstream>(
         &self,
-        waiting: &PendingOrder,
+        pending: &PendingOrder,
         group_id: GroupId,
         relay: &Relay<D>,
     ) -> Group {
-        let order = &waiting.order;
+        let order = &pending.order;
         let domain = order.domain.clone().filter(|domain| {
-            let there = |state: &RunnerState| state.runner.domain == *domain;
-            self.runner_states.iter().any(there)
+            let in_domain = |state: &RunnerState| state.runner.domain == *domain;
+            self.runner_states.iter().any(in_domain)
         });
         Group {
             group_id,
-            pieces: u32::try_from(waiting.unsent.len()).unwrap_or(u32::MAX),
+            pieces: u32::try_from(pending.unsent.len()).unwrap_or(u32::MAX),
             result_bytes: self.inflation.apply(order.result_bytes),
             due: relay.at(order.due),
             expires_at: relay.at(order.expires_at),
             rank: order.rank,
             domain,
-            arrived_at: relay.at(waiting.since),
+            arrived_at: relay.at(pending.arrived_at),
             max_domain_wait: order.max_domain_wait,
         }
     }
@@ -237,15 +237,15 @@
             return;
         };
         let cancelled: Vec<GroupId> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| waiting.reply.is_closed())
+            .filter(|(_, pending)| pending.reply.is_closed())
             .map(|(group_id, _)| *group_id)
             .collect();
         for group_id in cancelled {
             batch_queue.withdraw(group_id);
             self.isolation.withdraw(group_id);
-            self.waiting.remove(&group_id);
+            self.pending.remove(&group_id);
         }
         let shortest = batch_queue.shortest();
         let expired = batch_queue.expire(at, piece).into_iter();
@@ -260,8 +260,8 @@
             batch_queue.withdraw(group_id);
         }
         self.isolation.withdraw(group_id);
-        if let Some(waiting) = self.waiting.remove(&group_id) {
-            let _ = waiting.reply.send(outcome);
+        if let Some(pending) = self.pending.remove(&group_id) {
+            let _ = pending.reply.send(outcome);
         }
     }
 
@@ -282,20 +282,20 @@
             .iter()
             .flat_map(|(group_id, pieces)| pieces.iter().map(move |&piece| (*group_id, piece)));
         // Nothing was sent, so the pieces wait for another runner and no retry is charged.
-        let unmade = match &result {
+        let default_outcome = match &result {
             Err(failure) if failure.is_withdrawn() => PieceOutcome::NoRoom,
             _ => PieceOutcome::Failed,
         };
-        let mut made = result
+        let mut outcomes = result
             .map_or_else(|_| Vec::new(), std::convert::identity)
             .into_iter();
         for (group_id, piece) in pieces {
-            let made = made.next().unwrap_or_else(|| unmade.clone());
+            let piece_outcome = outcomes.next().unwrap_or_else(|| default_outcome.clone());
             if let Some(outcome) =
-                self.settle_piece(relay, service, batch_call, (group_id, piece), made)
+                self.settle_piece(relay, service, batch_call, (group_id, piece), piece_outcome)
             {
-                let waiting = self.waiting.get(&group_id).filter(|_| outcome.is_ok());
-                complete.extend(waiting.map(|waiting| waiting.order.content));
+                let pending = self.pending.get(&group_id).filter(|_| outcome.is_ok());
+                complete.extend(pending.map(|pending| pending.order.content));
                 self.finish_order(group_id, outcome);
             }
         }
@@ -325,8 +325,8 @@
         result: &Result<Vec<PieceOutcome>, Failure>,
         elapsed: Duration,
     ) {
-        if let Ok(made) = result {
-            let had_room = !made.contains(&PieceOutcome::NoRoom);
+        if let Ok(outcomes) = result {
+            let had_room = !outcomes.contains(&PieceOutcome::NoRoom);
             // If all results that were no longer needed had been dropped, the runner stores results
             // unknown to this process, which tells nothing about the size of results.
             if had_room || !batch_call.release_first {
@@ -362,15 +362,15 @@
         service: &ServiceId,
         batch_call: &BatchCall,
         (group_id, piece): (GroupId, u32),
-        made: PieceOutcome,
+        piece_outcome: PieceOutcome,
     ) -> Option<Outcome> {
-        if let PieceOutcome::Done(handle) = &made {
+        if let PieceOutcome::Done(handle) = &piece_outcome {
             let bytes = self
-                .waiting
+                .pending
                 .get(&group_id)
-                .map_or(0, |waiting| waiting.order.result_bytes);
+                .map_or(0, |pending| pending.order.result_bytes);
             let bytes = self.inflation.apply(bytes);
-            let wanted = self.waiting.contains_key(&group_id);
+            let wanted = self.pending.contains_key(&group_id);
             self.store_result(
                 &batch_call.runner.id,
                 handle,
@@ -379,12 +379,12 @@
                 wanted,
             );
         }
-        let waiting = self.waiting.get_mut(&group_id)?;
-        match made {
+        let pending = self.pending.get_mut(&group_id)?;
+        match piece_outcome {
             PieceOutcome::Done(handle) => {
-                waiting.made[piece as usize] = Some(handle);
-                waiting
-                    .made
+                pending.results[piece as usize] = Some(handle);
+                pending
+                    .results
                     .iter()
                     .cloned()
                     .collect::<Option<Vec<_>>>()
@@ -395,9 +395,9 @@
             // A piece without room has not been processed.
             PieceOutcome::Failed if !relay.try_retry(service) => Some(Err(StageError::Failed)),
             PieceOutcome::NoRoom | PieceOutcome::Failed => {
-                waiting.unsent.push(piece);
-                let waiting = self.waiting.get(&group_id)?;
-                let group = self.group(waiting, group_id, relay);
+                pending.unsent.push(piece);
+                let pending = self.pending.get(&group_id)?;
+                let group = self.group(pending, group_id, relay);
                 self.isolation.withdraw(group_id);
                 let batch_queue = self.batch_queue.as_mut()?;
                 batch_queue.withdraw(group_id);
@@ -446,9 +446,9 @@
         }
         let expiries = self.runner_states.iter().flat_map(RunnerState::expiries);
         let orders = self
-            .waiting
+            .pending
             .values()
-            .map(|waiting| waiting.order.expires_at);
+            .map(|pending| pending.order.expires_at);
         expiries.chain(orders).filter(|until| *until > now).min()
     }
 
@@ -466,9 +466,9 @@
             return None;
         }
         let at = now.saturating_duration_since(started);
-        let moved = batch_queue.next_wakeup(at).map(|moment| started + moment);
-        let stuck = self.stalled_until(now);
-        let wakes = pause.into_iter().chain(moved).chain(stuck);
+        let queue_wake = batch_queue.next_wakeup(at).map(|moment| started + moment);
+        let stall_end = self.stalled_until(now);
+        let wakes = pause.into_iter().chain(queue_wake).chain(stall_end);
         let wake = wakes.chain(suspects).min()?;
         if self
             .next_wake
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -43,7 +43,7 @@
     if relay.options.policy.suspects == Policy::Naive {
         return;
     }
-    let is_unreached = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
+    let is_unreachable = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
     let is_silent = started_at.elapsed() >= batch_call.timeout();
     match failure {
         Failure::Lost { .. } => {
@@ -59,7 +59,7 @@
                 }
             }
         }
-        Failure::NotRun { reason } if is_unreached(reason) => {}
+        Failure::NotRun { reason } if is_unreachable(reason) => {}
         Failure::NotRun { .. } => return,
     }
     outage::probe_briefly(relay, &batch_call.runner).await;
@@ -83,22 +83,22 @@
 
     /// Status of the orders that have pieces waiting.
     fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, ContentStatus)> {
-        let waiting = self.waiting.iter();
-        let waiting = waiting.filter(|(_, waiting)| !waiting.unsent.is_empty());
+        let pending = self.pending.iter();
+        let pending = pending.filter(|(_, pending)| !pending.unsent.is_empty());
         let now = relay.now();
         relay.suspects(|known| {
             let status = |content: ContentId, trial: bool| {
                 let risk = known.risk(content, now);
-                let is_held = known.admission(content, 0, now) != Admission::Free;
+                let is_quarantined = known.admission(content, 0, now) != Admission::Free;
                 match risk {
-                    _ if is_held && !trial => ContentStatus::Quarantined,
+                    _ if is_quarantined && !trial => ContentStatus::Quarantined,
                     0 => ContentStatus::Clear,
                     risk => ContentStatus::Suspect(risk),
                 }
             };
-            waiting
-                .map(|(group_id, waiting)| {
-                    let order = &waiting.order;
+            pending
+                .map(|(group_id, pending)| {
+                    let order = &pending.order;
                     (*group_id, status(order.content, order.trial))
                 })
                 .collect()
@@ -109,10 +109,10 @@
         if self.isolation.withdraw(group_id).is_none() {
             return;
         }
-        let Some(waiting) = self.waiting.get(&group_id) else {
+        let Some(pending) = self.pending.get(&group_id) else {
             return;
         };
-        let group = self.group(waiting, group_id, relay);
+        let group = self.group(pending, group_id, relay);
         if let Some(batch_queue) = self.batch_queue.as_mut() {
             batch_queue.push(group);
         }
@@ -129,14 +129,14 @@
             self.isolation.set_crashes(group_id, crashes);
             return;
         }
-        let Some(waiting) = self.waiting.get(&group_id) else {
+        let Some(pending) = self.pending.get(&group_id) else {
             return;
         };
         let suspect = Suspect {
-            group: self.group(waiting, group_id, relay),
-            content: waiting.order.content,
+            group: self.group(pending, group_id, relay),
+            content: pending.order.content,
             crashes,
-            max_suspects: waiting.max_suspects,
+            max_suspects: pending.max_suspects,
             since: at,
         };
         if let Some(batch_queue) = self.batch_queue.as_mut() {
@@ -171,11 +171,11 @@
         let healthy: Vec<usize> = runner_states.iter().filter(healthy).copied().collect();
         healthy.into_iter().find_map(|index| {
             let room = self.runner_states[index].room(batches, now);
-            let space = CallCapacity {
+            let capacity = CallCapacity {
                 pieces: batches.shape.size,
                 room: room.free,
             };
-            let portions = self.isolation.take(runners, space, may_run);
+            let portions = self.isolation.take(runners, capacity, may_run);
             (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
@@ -191,10 +191,10 @@
         group_id: GroupId,
         standing: Availability,
     ) {
-        if let Some(waiting) = self.waiting.get(&group_id) {
-            slog::info!(relay.log, "suspect pieces rejected"; "request" => &*waiting.order.id,
-                "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
-                "content" => crate::serve::content_name(waiting.order.content));
+        if let Some(pending) = self.pending.get(&group_id) {
+            slog::info!(relay.log, "suspect pieces rejected"; "request" => &*pending.order.id,
+                "stage" => pending.order.stage, "up" => standing.up, "down" => standing.down,
+                "content" => crate::serve::content_name(pending.order.content));
         }
         self.finish_order(group_id, Err(StageError::Poison));
     }
@@ -214,9 +214,9 @@
         }
         let max_suspects = batch_call.contents.len().div_ceil(2);
         for (group_id, _) in &batch_call.portions {
-            if let Some(waiting) = self.waiting.get_mut(group_id) {
-                waiting.max_suspects = max_suspects;
-                waiting.order.trial = false;
+            if let Some(pending) = self.pending.get_mut(group_id) {
+                pending.max_suspects = max_suspects;
+                pending.order.trial = false;
             }
         }
     }
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -125,24 +125,24 @@
 ) -> Result<Inputs<D>, StageError> {
     let stages = &job.route.stages;
     let mut inputs = Inputs::new(job.relay.clone());
-    let mut made: Vec<Option<Vec<Handle>>> = (0..stages.len())
+    let mut results: Vec<Option<Vec<Handle>>> = (0..stages.len())
         .map(|stage| (job.pieces(stage) == 0).then(Vec::new))
         .collect();
-    let mut started: Vec<bool> = made.iter().map(Option::is_some).collect();
+    let mut started: Vec<bool> = results.iter().map(Option::is_some).collect();
     let mut running = FuturesUnordered::new();
     loop {
         for stage in 0..stages.len() {
-            let ready = |&before: &usize| made.get(before).is_none_or(Option::is_some);
+            let ready = |&before: &usize| results.get(before).is_none_or(Option::is_some);
             if !started[stage]
                 && stages[stage].after.iter().all(ready)
-                && !starts_too_early(job, stage, &made)
+                && !starts_too_early(job, stage, &results)
             {
                 started[stage] = true;
                 let exclusive = inputs.exclusive_to(&job.route, stage);
                 running.push(run_stage(
                     job,
                     stage,
-                    source(job, stage, &made),
+                    source(job, stage, &results),
                     exclusive,
                     stage_run,
                 ));
@@ -155,12 +155,15 @@
         job.relay
             .peers
             .record_results(&cell, &handles, stages[stage].result);
-        made[stage] = Some(handles.clone());
+        results[stage] = Some(handles.clone());
         inputs.stages.push((stage, Results { cell, handles }));
-        let is_done = |before: usize| is_consumed(&job.route, &made, before);
+        let is_done = |before: usize| is_consumed(&job.route, &results, before);
         inputs.release(is_done);
     }
-    let leaves = job.route.leaves().filter_map(|stage| made[stage].clone());
+    let leaves = job
+        .route
+        .leaves()
+        .filter_map(|stage| results[stage].clone());
     inputs.leaves = leaves.flatten().collect();
     Ok(inputs)
 }
@@ -170,10 +173,10 @@
 fn starts_too_early<D: Downstream>(
     job: &Job<D>,
     stage: usize,
-    made: &[Option<Vec<Handle>>],
+    results: &[Option<Vec<Handle>>],
 ) -> bool {
     let own = (job.call_time(stage) + job.min_time_after(stage)).mul_f64(EARLY_START_FACTOR);
-    let left = (0..made.len()).filter(|&other| other != stage && made[other].is_none());
+    let left = (0..results.len()).filter(|&other| other != stage && results[other].is_none());
     let longest = left
         .map(|other| job.call_time(other) + job.min_time_after(other))
         .max();
@@ -182,18 +185,20 @@
 
 /// Whether the results of a stage are no longer needed: other stages follow it, and all of those
 /// are done.
-fn is_consumed(route: &Route, made: &[Option<Vec<Handle>>], stage: usize) -> bool {
+fn is_consumed(route: &Route, results: &[Option<Vec<Handle>>], stage: usize) -> bool {
     let mut followers = route.followers(stage).peekable();
-    followers.peek().is_some() && followers.all(|next| made[next].is_some())
+    followers.peek().is_some() && followers.all(|next| results[next].is_some())
 }
 
 /// Input of the pieces of a stage.
-fn source<D: Downstream>(job: &Job<D>, stage: usize, made: &[Option<Vec<Handle>>]) -> Source {
+fn source<D: Downstream>(job: &Job<D>, stage: usize, results: &[Option<Vec<Handle>>]) -> Source {
     let after = &job.route.stages[stage].after;
     if after.is_empty() {
         return Source::Key(job.request.piece_key.as_str().into());
     }
-    let handles = after.iter().filter_map(|&before| made.get(before)?.clone());
+    let handles = after
+        .iter()
+        .filter_map(|&before| results.get(before)?.clone());
     Source::Inputs(handles.flatten().collect())
 }
 
@@ -220,7 +225,7 @@
     };
     let trial = match quarantine::begin_stage(job, stage) {
         Ok(trial) => trial,
-        Err(held) => return (stage, cell, Err(held)),
+        Err(error) => return (stage, cell, Err(error)),
     };
     if stage_run == StageRun::First {
         job.relay
@@ -287,19 +292,22 @@
 ) -> (Option<DomainId>, Duration) {
     let spec = &job.route.stages[stage];
     let bytes = |stage: usize| job.route.stages[stage].result * u64::from(job.pieces(stage));
-    let fetched: u64 = spec.after.iter().map(|&before| bytes(before)).sum();
-    let fetched = fetched * u64::from(job.pieces(stage));
-    let given = bytes(stage);
-    let (domain, crossing) = match source {
-        Source::Inputs(handles) if fetched > given => (majority_domain(job, handles), fetched),
-        _ => (attempt::likely_runner_domain(job), given),
+    let input_bytes: u64 = spec.after.iter().map(|&before| bytes(before)).sum();
+    let input_bytes = input_bytes * u64::from(job.pieces(stage));
+    let output_bytes = bytes(stage);
+    let (domain, crossing_bytes) = match source {
+        Source::Inputs(handles) if input_bytes > output_bytes => {
+            (majority_domain(job, handles), input_bytes)
+        }
+        _ => (attempt::likely_runner_domain(job), output_bytes),
     };
-    let worth = Duration::from_secs_f64(crossing as f64 / CROSS_DOMAIN_BYTES_PER_SECOND);
+    let worthwhile_wait =
+        Duration::from_secs_f64(crossing_bytes as f64 / CROSS_DOMAIN_BYTES_PER_SECOND);
     let left = job.due.saturating_duration_since(Instant::now());
     let max_domain_wait = match left.checked_sub(expected) {
-        Some(spare) => worth.min(spare),
+        Some(spare) => worthwhile_wait.min(spare),
         // The request is late already and has nothing to lose by waiting.
-        None => worth,
+        None => worthwhile_wait,
     };
     (domain, max_domain_wait)
 }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -81,11 +81,11 @@
             None => return Err(Refusal::NoKey),
             Some(key) => Some(configuration.workspace(key).ok_or(Refusal::NoKey)?.clone()),
         };
-        let draw = foldhash::fast::FixedState::default().hash_one(&*request.id);
-        let service = route.service(draw).ok_or(Refusal::NoRoute)?.clone();
-        let patience = request.timeout.unwrap_or(route.timeout);
-        let before = self.waited_before(&route.name, patience);
-        let patience = patience.min(route.timeout);
+        let hash = foldhash::fast::FixedState::default().hash_one(&*request.id);
+        let service = route.service(hash).ok_or(Refusal::NoRoute)?.clone();
+        let timeout = request.timeout.unwrap_or(route.timeout);
+        let waited = self.waited_before(&route.name, timeout);
+        let timeout = timeout.min(route.timeout);
         Ok(Job {
             relay: self.clone(),
             request: request.clone(),
@@ -94,11 +94,11 @@
             content: request.content(workspace.as_deref().map(|workspace| &*workspace.name)),
             rank: configuration.rank(workspace.as_deref(), route),
             workspace,
-            is_retry: before > Duration::ZERO,
+            is_retry: waited > Duration::ZERO,
             due: (request.arrived + route.target)
-                .checked_sub(before)
+                .checked_sub(waited)
                 .unwrap_or(request.arrived),
-            deadline: request.arrived + patience,
+            deadline: request.arrived + timeout,
             suspended: self.pause.suspended(),
             configuration,
         })
@@ -118,16 +118,16 @@
     }
 
     async fn run_stages(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
-        let making = timeout_at(job.deadline, graph::run(job, StageRun::First));
+        let running = timeout_at(job.deadline, graph::run(job, StageRun::First));
         let made = tokio::select! {
-            made = making => made,
+            made = running => made,
             // If the request were cut off with the process, the client would not know that it has
             // not run.
             () = self.ending.cancelled() => Ok(Err(StageError::Ending)),
         };
         match made {
             Ok(Ok(inputs)) => Ok(inputs),
-            Ok(Err(spoiled)) => Err(stage_refusal(job, &spoiled)),
+            Ok(Err(error)) => Err(stage_refusal(job, &error)),
             Err(_) => Err(stage_refusal(job, &StageError::Late)),
         }
     }
@@ -191,8 +191,8 @@
 }
 
 /// Refusal of a request whose stages failed, so that the request itself has not run.
-fn stage_refusal<D: Downstream>(job: &Job<D>, spoiled: &StageError) -> Refusal {
-    let (reason, retry_after) = match spoiled {
+fn stage_refusal<D: Downstream>(job: &Job<D>, error: &StageError) -> Refusal {
+    let (reason, retry_after) = match error {
         StageError::Late => ("the stages took too long", retry_after_overload(job)),
         StageError::InputGone => ("results of stages were lost", RETRY_AFTER_TRANSIENT),
         StageError::Failed => ("runners of a stage failed", RETRY_AFTER_TRANSIENT),
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -57,14 +57,14 @@
     /// Whether the runner's stream was left unread for so long that the runner may have closed it
     /// for that.
     was_unread: bool,
-    last: Option<EventId>,
+    last_event: Option<EventId>,
     events: u64,
 }
 
 impl<D: Downstream> StreamForwarder<D> {
     /// Creates a forwarder that has forwarded nothing yet.
     pub fn new(job: Job<D>, inputs: Inputs<D>, progress: Progress, parts: Parts) -> Self {
-        let last = job.request.resume_after;
+        let last_event = job.request.resume_after;
         Self {
             job,
             inputs,
@@ -72,7 +72,7 @@
             parts,
             memory: MemoryBudget::new(MAX_BUFFERED_BYTES),
             was_unread: false,
-            last,
+            last_event,
             events: 0,
         }
     }
@@ -83,7 +83,7 @@
         loop {
             let end = self.forward(&mut flight, body).await;
             self.log(&flight, &end);
-            let elapsed = flight.sent.elapsed();
+            let elapsed = flight.sent_at.elapsed();
             let reason = match end {
                 End::Complete => return flight.answered(elapsed),
                 End::ClientGone => return,
@@ -132,7 +132,7 @@
                         return end;
                     }
                 }
-                Some(Err(broken)) => return End::Broken(broken.reason),
+                Some(Err(error)) => return End::Broken(error.reason),
                 None if splitter.rest().is_empty() => return End::Complete,
                 None => return End::Broken("stream ended within an event".to_owned()),
             }
@@ -154,7 +154,7 @@
         // with room for twelve.
         self.inputs.release(|_| true);
         self.events += 1;
-        self.last = events.last.or(self.last);
+        self.last_event = events.last.or(self.last_event);
         let started_at = Instant::now();
         let sent = tokio::select! {
             biased;
@@ -181,7 +181,7 @@
     /// Whether the client has received this event. Ids increase. A runner that ignores the id after
     /// which to resume starts over, and the client would take repeated text for new text.
     fn was_sent(&self, id: EventId) -> bool {
-        self.last.is_some_and(|last| id <= last)
+        self.last_event.is_some_and(|last_event| id <= last_event)
     }
 
     /// How long silence is tolerated. Where no other runner may resume, this is the whole timeout
@@ -207,7 +207,7 @@
             &job,
             &mut self.inputs,
             &mut self.progress,
-            self.last,
+            self.last_event,
         )
         .await;
         let (flight, reply) = sent.ok()?;
@@ -237,7 +237,7 @@
     /// already have disconnected, which is harmless.
     async fn abort(self, reason: &str) {
         info!(self.job.relay.log, "stream aborted"; "request" => &*self.job.request.id,
-            "reason" => reason, "last_event" => self.last, "tried" => self.progress.tried.len(),
+            "reason" => reason, "last_event" => self.last_event, "tried" => self.progress.tried.len(),
             "resumable" => self.job.route.repeatable(),
             "after_ms" => millis(self.job.request.arrived.elapsed()));
         let reason = reason.to_owned();
@@ -252,7 +252,7 @@
             End::DeadlineExceeded => "deadline exceeded",
         };
         info!(self.job.relay.log, "stream"; "request" => &*self.job.request.id,
-            "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last,
+            "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last_event,
             "parts" => self.events, "after_ms" => millis(self.job.request.arrived.elapsed()));
     }
 }
