--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,8 +1,8 @@
 //! Attempts of a request: selects runners and sends the request until one responds.
 
-mod flight;
+mod in_flight;
 
-pub use flight::InFlightCall;
+pub use in_flight::InFlightCall;
 
 use crate::downstream::{Call, Downstream, Failure, NotRun, Reply};
 use crate::graph::{self, Inputs, StageRun};
@@ -88,13 +88,13 @@
         let sent =
             send_or_recompute_inputs(job, &mut inputs, &mut progress, job.request.resume_after)
                 .await;
-        let Ok((flight, reply)) = sent else {
+        let Ok((in_flight, reply)) = sent else {
             return Err(final_refusal(job, &progress));
         };
         if job.streams() && reply.proven && is_success(reply.status) {
-            return Ok(forward_stream(job, inputs, flight, reply, progress));
+            return Ok(forward_stream(job, inputs, in_flight, reply, progress));
         }
-        if let Some(answer) = collect_response(job, flight, reply, &mut progress).await {
+        if let Some(answer) = collect_response(job, in_flight, reply, &mut progress).await {
             return Ok(answer);
         }
     }
@@ -136,29 +136,29 @@
         job.relay.note_sent(&runner);
         progress.tried.push(runner.id.clone());
         let call = build_call(job, inputs, remaining, resume_after);
-        let mut flight = InFlightCall::new(job, runner);
-        let is_open = || job.relay.is_open(&flight.runner);
-        let response = job.relay.downstream.call(&flight.runner, call, is_open);
+        let mut in_flight = InFlightCall::new(job, runner);
+        let is_open = || job.relay.is_open(&in_flight.runner);
+        let response = job.relay.downstream.call(&in_flight.runner, call, is_open);
         let response = release_inputs_when_fetched(response, inputs);
-        let response = record_silence(&flight, response);
+        let response = record_silence(&in_flight, response);
         let result = timeout_at(job.deadline, response).await;
         let result = result.unwrap_or_else(|_| {
-            flight.record_overdue();
+            in_flight.record_overdue();
             let reason = "no answer before the deadline".to_owned();
             Err(Failure::Lost { reason })
         });
-        log_call(job, &flight, remaining, inputs, progress, &result);
+        log_call(job, &in_flight, remaining, inputs, progress, &result);
         job.relay
-            .note_limit(&flight.runner, flight.sent_at, &result);
+            .note_limit(&in_flight.runner, in_flight.sent_at, &result);
         progress.retry_counted &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
-                flight.record_activity();
-                flight.response_started();
+                in_flight.record_activity();
+                in_flight.response_started();
                 progress.executions += 1;
-                return Ok((flight, reply));
+                return Ok((in_flight, reply));
             }
-            Err(failure) => handle_failure(flight, failure, progress).await,
+            Err(failure) => handle_failure(in_flight, failure, progress).await,
         }
     }
 }
@@ -200,40 +200,40 @@
 /// Waits for the response to start, and records the call as overdue if nothing arrives in the
 /// meantime: the runner may be unresponsive.
 async fn record_silence<D: Downstream, T>(
-    flight: &InFlightCall<D>,
+    in_flight: &InFlightCall<D>,
     response: impl Future<Output = T>,
 ) -> T {
     let mut response = std::pin::pin!(response);
     tokio::select! {
         result = &mut response => return result,
-        () = sleep(SILENCE_TIMEOUT) => flight.record_overdue(),
+        () = sleep(SILENCE_TIMEOUT) => in_flight.record_overdue(),
     }
     response.await
 }
 
 async fn handle_failure<D: Downstream>(
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     failure: Failure,
     progress: &mut Progress,
 ) {
     match &failure {
         Failure::Lost { .. } => {
             progress.executions += 1;
-            flight.lost().await;
+            in_flight.lost().await;
         }
         Failure::NotRun { reason } => {
             // Nothing was sent, so this counts neither as an attempt nor as a refusal.
             if *reason == NotRun::Withdrawn {
                 progress.tried.pop();
-                flight.not_run();
+                in_flight.not_run();
                 return;
             }
             progress.refusals += 1;
             match reason {
-                NotRun::Unreachable { .. } => flight.unreachable().await,
-                NotRun::Replaced => flight.failed(),
+                NotRun::Unreachable { .. } => in_flight.unreachable().await,
+                NotRun::Replaced => in_flight.failed(),
                 // A runner at capacity is not faulty.
-                _ => flight.not_run(),
+                _ => in_flight.not_run(),
             }
         }
     }
@@ -323,20 +323,20 @@
 
 fn log_call<D: Downstream, B>(
     job: &Job<D>,
-    flight: &InFlightCall<D>,
+    in_flight: &InFlightCall<D>,
     remaining: Duration,
     inputs: &Inputs<D>,
     progress: &Progress,
     result: &Result<Reply<B>, Failure>,
 ) {
     info!(job.relay.log, "call"; "request" => &*job.request.id,
-        "runner" => &*flight.runner.id, "service" => &*job.service,
+        "runner" => &*in_flight.runner.id, "service" => &*job.service,
         "attempt" => progress.tried.len(), "left_ms" => millis(remaining),
-        "in_flight" => flight.load_before.own,
-        "others_in_flight" => flight.load_before.others,
-        "told_age_ms" => flight.load_before.report_age.map(millis),
+        "in_flight" => in_flight.load_before.own,
+        "others_in_flight" => in_flight.load_before.others,
+        "told_age_ms" => in_flight.load_before.report_age.map(millis),
         "runners_age_ms" => job.relay.runner_list_age().map(millis),
-        "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent_at.elapsed()),
+        "inputs" => inputs.leaves.len(), "took_ms" => millis(in_flight.sent_at.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
 
@@ -353,16 +353,16 @@
 /// be tried.
 async fn collect_response<D: Downstream>(
     job: &Job<D>,
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: &mut Progress,
 ) -> Option<Answer> {
-    let elapsed = flight.sent_at.elapsed();
+    let elapsed = in_flight.sent_at.elapsed();
     let (status, headers) = (reply.status, reply.headers);
     let body = job.relay.answers.collect(reply.body);
     let body = timeout_at(job.deadline, body).await;
     if body.is_err() {
-        flight.record_overdue();
+        in_flight.record_overdue();
     }
     let failure = match body {
         // The client would take the status as a guarantee that the request has not run.
@@ -372,7 +372,7 @@
         Ok(Ok(body)) if reply.proven => {
             let is_usable = status < 500;
             if is_usable || !may_send(job, progress) {
-                flight.answered(elapsed);
+                in_flight.answered(elapsed);
                 return Some(Answer {
                     status,
                     headers,
@@ -387,8 +387,8 @@
         Err(_) => "not whole before the deadline".to_owned(),
     };
     info!(job.relay.log, "response rejected"; "request" => &*job.request.id,
-        "runner" => &*flight.runner.id, "status" => status, "reason" => &failure);
-    flight.lost().await;
+        "runner" => &*in_flight.runner.id, "status" => status, "reason" => &failure);
+    in_flight.lost().await;
     progress.last_failure = Some(Failure::Lost { reason: failure });
     None
 }
@@ -397,7 +397,7 @@
 fn forward_stream<D: Downstream>(
     job: &Job<D>,
     inputs: Inputs<D>,
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: Progress,
 ) -> Answer {
@@ -409,7 +409,7 @@
         body: Body::Stream(body),
     };
     let forwarder = splice::StreamForwarder::new(job.clone(), inputs, progress, parts);
-    tokio::spawn(forwarder.run(flight, reply.body));
+    tokio::spawn(forwarder.run(in_flight, reply.body));
     answer
 }
 
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -341,7 +341,7 @@
         let (waited, age) = (started_at.elapsed(), relay.runner_list_age());
         let is_open = || relay.is_open(&runner);
         let timeout = batch_call.timeout();
-        let running = relay.downstream.make(&runner, items, timeout, is_open);
+        let running = relay.downstream.run_batch(&runner, items, timeout, is_open);
         let result = self
             .release_inputs_when_fetched(&relay, &batch_call, running)
             .await;
--- a/crates/relay/src/downstream.rs
+++ b/crates/relay/src/downstream.rs
@@ -188,11 +188,11 @@
     /// # Errors
     ///
     /// [`Failure::NotRun`] if no piece was processed.
-    fn make(
+    fn run_batch(
         &self,
         runner: &Runner,
         items: Vec<Item>,
-        patience: Duration,
+        timeout: Duration,
         is_open: impl Fn() -> bool + Send,
     ) -> impl Future<Output = Result<BatchReply, Failure>> + Send;
 
@@ -209,11 +209,11 @@
 
     /// Whether the runner has exited, which is when nothing listens at its address any more. An
     /// unreachable runner may have exited as well.
-    fn has_ended(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
+    fn has_exited(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
 
     /// Whether the runner answers a status query, which costs it no work. A runner that does not
     /// answer promptly may just be busy.
-    fn answers(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
+    fn responds(&self, runner: &Runner) -> impl Future<Output = bool> + Send;
 
     /// Address of the runner that stores a result.
     fn holder(&self, handle: &Handle) -> Option<std::net::SocketAddr>;
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -132,7 +132,7 @@
     if !lock(&relay.outages).probed.insert(probed.clone()) {
         return;
     }
-    if !relay.downstream.has_ended(runner).await {
+    if !relay.downstream.has_exited(runner).await {
         lock(&relay.outages).probed.remove(&probed);
         return;
     }
@@ -193,7 +193,7 @@
         if !relay.has_entry(runner) {
             return false;
         }
-        if !relay.downstream.has_ended(runner).await {
+        if !relay.downstream.has_exited(runner).await {
             info!(relay.log, "runner back"; "runner" => &*runner.id, "service" => &*runner.service);
             return true;
         }
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -35,7 +35,7 @@
             let relay = self.clone();
             tokio::spawn(async move {
                 let asked = Instant::now();
-                if relay.downstream.answers(&runner).await {
+                if relay.downstream.responds(&runner).await {
                     info!(relay.log, "runner not silent"; "runner" => &*runner.id,
                         "after_ms" => millis(asked.elapsed()));
                     relay.record_activity(&runner, Instant::now());
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -119,13 +119,13 @@
 
     async fn run_stages(&self, job: &Job<D>) -> Result<Inputs<D>, Refusal> {
         let running = timeout_at(job.deadline, graph::run(job, StageRun::First));
-        let made = tokio::select! {
-            made = running => made,
+        let outcome = tokio::select! {
+            outcome = running => outcome,
             // If the request were cut off with the process, the client would not know that it has
             // not run.
             () = self.ending.cancelled() => Ok(Err(StageError::Ending)),
         };
-        match made {
+        match outcome {
             Ok(Ok(inputs)) => Ok(inputs),
             Ok(Err(error)) => Err(stage_refusal(job, &error)),
             Err(_) => Err(stage_refusal(job, &StageError::Late)),
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -78,34 +78,34 @@
     }
 
     /// Forwards a runner's stream, and the streams of the runners that resume it.
-    pub async fn run(mut self, flight: InFlightCall<D>, body: D::Body) {
-        let (mut flight, mut body) = (flight, body);
+    pub async fn run(mut self, in_flight: InFlightCall<D>, body: D::Body) {
+        let (mut in_flight, mut body) = (in_flight, body);
         loop {
-            let end = self.forward(&mut flight, body).await;
-            self.log(&flight, &end);
-            let elapsed = flight.sent_at.elapsed();
+            let end = self.forward(&mut in_flight, body).await;
+            self.log(&in_flight, &end);
+            let elapsed = in_flight.sent_at.elapsed();
             let reason = match end {
-                End::Complete => return flight.answered(elapsed),
+                End::Complete => return in_flight.answered(elapsed),
                 End::ClientGone => return,
                 End::DeadlineExceeded => {
-                    drop(flight);
+                    drop(in_flight);
                     return self.abort("deadline exceeded").await;
                 }
                 End::Broken(reason) => reason,
             };
             if self.was_unread {
-                drop(flight);
+                drop(in_flight);
             } else {
-                flight.lost().await;
+                in_flight.lost().await;
             }
             let Some((next, reply)) = self.resume().await else {
                 return self.abort(&reason).await;
             };
-            (flight, body) = (next, reply.body);
+            (in_flight, body) = (next, reply.body);
         }
     }
 
-    async fn forward(&mut self, flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
+    async fn forward(&mut self, in_flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
         let mut splitter = Splitter::default();
         let mut silent_since = Instant::now();
         let mut is_overdue_recorded = false;
@@ -118,16 +118,16 @@
                 () = sleep_until(self.job.deadline) => return End::DeadlineExceeded,
                 () = sleep_until(silent_since + SILENCE_TIMEOUT), if !is_overdue_recorded => {
                     is_overdue_recorded = true;
-                    flight.record_overdue();
+                    in_flight.record_overdue();
                     continue;
                 }
                 () = sleep_until(silent_since + self.silence_limit()) => {
-                    return End::Broken(format!("no data from runner {} in time", flight.runner.id));
+                    return End::Broken(format!("no data from runner {} in time", in_flight.runner.id));
                 }
             };
             match part {
                 Some(Ok(bytes)) => {
-                    flight.record_activity();
+                    in_flight.record_activity();
                     if let Some(end) = self.forward_events(splitter.push(&bytes)).await {
                         return end;
                     }
@@ -210,11 +210,11 @@
             self.last_event,
         )
         .await;
-        let (flight, reply) = sent.ok()?;
+        let (in_flight, reply) = sent.ok()?;
         if reply.proven && (200..300).contains(&reply.status) {
-            return Some((flight, reply));
+            return Some((in_flight, reply));
         }
-        flight.failed();
+        in_flight.failed();
         None
     }
 
@@ -244,7 +244,7 @@
         let _ = self.parts.send(Err(IncompleteBody { reason })).await;
     }
 
-    fn log(&self, flight: &InFlightCall<D>, end: &End) {
+    fn log(&self, in_flight: &InFlightCall<D>, end: &End) {
         let outcome = match end {
             End::Complete => "complete",
             End::Broken(reason) => reason,
@@ -252,7 +252,7 @@
             End::DeadlineExceeded => "deadline exceeded",
         };
         info!(self.job.relay.log, "stream"; "request" => &*self.job.request.id,
-            "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last_event,
+            "runner" => &*in_flight.runner.id, "outcome" => outcome, "last_event" => self.last_event,
             "parts" => self.events, "after_ms" => millis(self.job.request.arrived.elapsed()));
     }
 }
--- a/crates/relay/tests/common/faults.rs
+++ b/crates/relay/tests/common/faults.rs
@@ -135,7 +135,7 @@
         });
     }
 
-    pub(crate) fn has_ended(&self, runner: &str) -> bool {
+    pub(crate) fn has_exited(&self, runner: &str) -> bool {
         self.health.borrow().ended.contains(runner)
     }
 
@@ -173,7 +173,7 @@
         let reason = "refused".to_owned();
         let reason = NotRun::Unreachable { reason };
         let refused = Failure::NotRun { reason };
-        (!self.has_ended(runner)).then_some(()).ok_or(refused)
+        (!self.has_exited(runner)).then_some(()).ok_or(refused)
     }
 
     /// Waits until a call is not worked on any more, which the harm of its own requests may do.
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -228,7 +228,7 @@
             reuse: call.reuse,
             workspace: call.workspace.as_deref().map(str::to_owned),
         });
-        if self.has_ended(runner).await {
+        if self.has_exited(runner).await {
             let reason = "refused".to_owned();
             let reason = NotRun::Unreachable { reason };
             return Err(Failure::NotRun { reason });
@@ -294,7 +294,7 @@
         }
     }
 
-    async fn make(
+    async fn run_batch(
         &self,
         runner: &Runner,
         items: Vec<Item>,
@@ -369,12 +369,12 @@
         Ok(())
     }
 
-    async fn has_ended(&self, runner: &Runner) -> bool {
+    async fn has_exited(&self, runner: &Runner) -> bool {
         let ended = self.ended.lock().expect("no holder panics");
-        ended.iter().any(|id| **id == *runner.id) || self.faults.has_ended(&runner.id)
+        ended.iter().any(|id| **id == *runner.id) || self.faults.has_exited(&runner.id)
     }
 
-    async fn answers(&self, runner: &Runner) -> bool {
+    async fn responds(&self, runner: &Runner) -> bool {
         let silent = self.silent.lock().expect("no holder panics");
         self.faults.is_well(&runner.id) && silent.iter().all(|id| **id != *runner.id)
     }
--- a/crates/relay/tests/event_streams.rs
+++ b/crates/relay/tests/event_streams.rs
@@ -48,8 +48,8 @@
 /// A stream that no other runner may resume breaks off. The client must see that it is incomplete.
 #[tokio::test(start_paused = true)]
 async fn not_resumable() {
-    let (fake, (_, text, whole)) = serve("once", vec![stream(&[ONE], StreamEnd::Broken)]).await;
-    assert_eq!((text.as_str(), whole), (ONE, false));
+    let (fake, (_, text, complete)) = serve("once", vec![stream(&[ONE], StreamEnd::Broken)]).await;
+    assert_eq!((text.as_str(), complete), (ONE, false));
     assert_eq!(fake.sent().len(), 1);
 }
 
@@ -64,8 +64,8 @@
             body: "",
         },
     ];
-    let (_, (_, text, whole)) = serve("stream", behaviors).await;
-    assert_eq!((text.as_str(), whole), (ONE, false));
+    let (_, (_, text, complete)) = serve("stream", behaviors).await;
+    assert_eq!((text.as_str(), complete), (ONE, false));
 }
 
 /// The runner that resumes ignores the event id and starts over. The client would read part of the
@@ -76,8 +76,8 @@
         stream(&[ONE], StreamEnd::Broken),
         stream(&[ONE, TWO], StreamEnd::Whole),
     ];
-    let (_, (_, text, whole)) = serve("stream", behaviors).await;
-    assert_eq!((text.as_str(), whole), (ONE, false));
+    let (_, (_, text, complete)) = serve("stream", behaviors).await;
+    assert_eq!((text.as_str(), complete), (ONE, false));
     let first = stream(&[ONE], StreamEnd::Broken);
     let both = stream(&["id: 2\ndata: b\n\nid: 3\ndata: c\n\n"], StreamEnd::Whole);
     let (_, answer) = serve("stream", vec![first, both]).await;
@@ -88,9 +88,9 @@
 /// incomplete.
 #[tokio::test(start_paused = true)]
 async fn ends_within_event() {
-    let (_, (_, text, whole)) =
+    let (_, (_, text, complete)) =
         serve("once", vec![stream(&[ONE, "id: 2\n"], StreamEnd::Whole)]).await;
-    assert_eq!((text.as_str(), whole), (ONE, false));
+    assert_eq!((text.as_str(), complete), (ONE, false));
 }
 
 /// A client disconnects during a pause of its stream. The call must be cancelled promptly rather
--- a/crates/relay/tests/slow_callers.rs
+++ b/crates/relay/tests/slow_callers.rs
@@ -46,8 +46,8 @@
         let relay = ready(fake.clone());
         let answer = relay.serve(request("a", route)).await;
         sleep(PAUSE).await;
-        let (_, text, whole) = body(answer).await;
-        assert_eq!((text, whole), (events(1).concat(), true), "{route}");
+        let (_, text, complete) = body(answer).await;
+        assert_eq!((text, complete), (events(1).concat(), true), "{route}");
         assert_eq!(fake.sent().len(), 1);
     }
 }
