--- a/crates/relay/tests/cold_runners.rs
+++ b/crates/relay/tests/cold_runners.rs
@@ -23,10 +23,10 @@
     (String::leak(id.to_owned()), Some(member))
 }
 
-/// Routes of [`plan`] to runners that can take two requests a second after their start.
+/// Routes of [`configuration`] to runners that can take two requests a second after their start.
 fn warming() -> Configuration {
-    let whole = configuration(2);
-    let route = whole.route("host", "/safe/x").expect("there").as_ref();
+    let base = configuration(2);
+    let route = base.route("host", "/safe/x").expect("there").as_ref();
     let service = Service {
         name: "plain".into(),
         connections: 64,
@@ -61,8 +61,8 @@
     let relay = ready(Fake::default());
     relay.adopt(warming());
     let rows = others.iter().map(|id| row(id)).collect();
-    let script = ScriptedFeed::new(vec![FeedReply::Rows(rows)]);
-    tokio::spawn(member::follow(relay.clone(), script));
+    let feed = ScriptedFeed::new(vec![FeedReply::Rows(rows)]);
+    tokio::spawn(member::follow(relay.clone(), feed));
     let now = relay.now();
     relay
         .peers
@@ -76,13 +76,13 @@
 
 /// Sends a burst of requests and returns how many succeeded.
 async fn send_burst(relay: &Arc<Relay<Fake>>) -> usize {
-    let mut answered = 0;
+    let mut succeeded = 0;
     for number in 0..BURST {
         let answer = relay.serve(request(&number.to_string(), "safe")).await;
-        answered += usize::from(answer.status == 200);
+        succeeded += usize::from(answer.status == 200);
         sleep(Duration::from_millis(15)).await;
     }
-    answered
+    succeeded
 }
 
 /// All runners of a service are back after a crash, and a burst arrives. Sent all of it, they would
@@ -91,8 +91,8 @@
 async fn burst_bounded() {
     let relay = with_members(&[]).await;
     relay.update(vec![cold("p-1"), cold("p-2")]);
-    let answered = send_burst(&relay).await;
-    assert!((2..=4).contains(&answered), "{answered}");
+    let succeeded = send_burst(&relay).await;
+    assert!((2..=4).contains(&succeeded), "{succeeded}");
     sleep(COLD).await;
     assert_eq!(send_burst(&relay).await, BURST, "they are warm");
 }
@@ -126,7 +126,7 @@
     }
     assert!(
         (1..=8).contains(&served),
-        "{served} of 40 have a place here"
+        "{served} of 40 runners were sent a request"
     );
 }
 
@@ -154,6 +154,6 @@
     };
     relay.drain(&drains(1, &["a"]), "test");
     relay.drain(&drains(2, &[]), "test");
-    let answered = send_burst(&relay).await;
-    assert!((2..=4).contains(&answered), "{answered}");
+    let succeeded = send_burst(&relay).await;
+    assert!((2..=4).contains(&succeeded), "{succeeded}");
 }
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -44,9 +44,9 @@
     let fake = Fake::default();
     reject_results(&fake, 4);
     let relay = ready(fake.clone());
-    let made = relay.batcher(&cell()).submit(&relay, patient("a"));
-    let made = timeout(Duration::from_millis(1_700), made).await;
-    assert!(made.expect("in time").expect("an outcome").is_ok());
+    let results = relay.batcher(&cell()).submit(&relay, patient("a"));
+    let results = timeout(Duration::from_millis(1_700), results).await;
+    assert!(results.expect("in time").expect("an outcome").is_ok());
 }
 
 /// A process is killed between two calls to a runner. Results that are no longer needed must have
@@ -57,13 +57,13 @@
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
-    let made = batcher.submit(&relay, order("a", 3)).await;
-    let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, ReleaseKind::Over);
+    let results = batcher.submit(&relay, order("a", 3)).await;
+    let results: Vec<Handle> = results.expect("an outcome").expect("made");
+    batcher.release(&relay, &results, ReleaseKind::Over);
     sleep(Duration::from_millis(100)).await;
     let mut released = fake.released.lock().expect("free").clone();
     released.sort();
-    assert_eq!(released, made);
+    assert_eq!(released, results);
 }
 
 /// Results that a call has fetched are kept until it ends, since they are needed again if it fails.
@@ -72,9 +72,9 @@
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
-    let made = batcher.submit(&relay, order("a", 3)).await;
-    let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, ReleaseKind::Fetched);
+    let results = batcher.submit(&relay, order("a", 3)).await;
+    let results: Vec<Handle> = results.expect("an outcome").expect("made");
+    batcher.release(&relay, &results, ReleaseKind::Fetched);
     sleep(Duration::from_millis(100)).await;
     assert!(fake.released.lock().expect("free").is_empty());
 }
@@ -88,7 +88,7 @@
     reject_results(&fake, 9);
     let relay = ready(fake.clone());
     let batcher = relay.batcher(&cell());
-    let made = batcher
+    let results = batcher
         .submit(
             &relay,
             Order {
@@ -97,16 +97,16 @@
             },
         )
         .await;
-    let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, ReleaseKind::Over);
+    let results: Vec<Handle> = results.expect("an outcome").expect("made");
+    batcher.release(&relay, &results, ReleaseKind::Over);
     sleep(Duration::from_secs(2)).await;
     let large = Order {
         pieces: 4,
         result_bytes: 300,
         ..patient("b")
     };
-    let made = batcher.submit(&relay, large).await;
-    assert!(made.expect("an outcome").is_ok());
+    let results = batcher.submit(&relay, large).await;
+    assert!(results.expect("an outcome").is_ok());
     let most = fake.stage_calls().iter().map(|call| call.items.len()).max();
     assert!(
         most >= Some(3),
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -30,11 +30,11 @@
 
 /// Fills the room of both runners, three calls each.
 async fn fill(relay: &Arc<Relay<Fake>>) -> Vec<Handle> {
-    let mut made = Vec::new();
+    let mut results = Vec::new();
     for number in 0..6 {
-        made.extend(make(relay, &format!("kept-{number}")).await);
+        results.extend(make(relay, &format!("kept-{number}")).await);
     }
-    made
+    results
 }
 
 /// With all room taken, the pieces of a request are processed as soon as some of the stored results
@@ -48,9 +48,9 @@
     relay
         .batcher(&cell())
         .release(&relay, &kept, ReleaseKind::Fetched);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     make(&relay, "next").await;
-    assert!(begun.elapsed() < Duration::from_secs(1));
+    assert!(started_at.elapsed() < Duration::from_secs(1));
     let released = fake.released.lock().expect("free").len();
     assert_eq!(released, 4, "no more than the call needs");
 }
@@ -61,26 +61,26 @@
 async fn kept_while_room() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
-    let made = make(&relay, "first").await;
+    let results = make(&relay, "first").await;
     relay
         .batcher(&cell())
-        .release(&relay, &made, ReleaseKind::Fetched);
+        .release(&relay, &results, ReleaseKind::Fetched);
     make(&relay, "second").await;
     make(&relay, "third").await;
     assert_eq!(fake.released.lock().expect("free").len(), 0);
     relay
         .batcher(&cell())
-        .release(&relay, &made, ReleaseKind::Over);
+        .release(&relay, &results, ReleaseKind::Over);
     make(&relay, "fourth").await;
     make(&relay, "fifth").await;
-    assert_eq!(fake.released.lock().expect("free").len(), made.len());
+    assert_eq!(fake.released.lock().expect("free").len(), results.len());
 }
 
 /// While the second stage of a request is processed, the results of its first stage make room for
 /// others shortly after that call has started, and not only when it ends.
 #[tokio::test(start_paused = true)]
 async fn released_by_next_stage() {
-    for (fetched, given_back) in [(Policy::Shipped, 3), (Policy::Naive, 0)] {
+    for (fetched, expected_drops) in [(Policy::Shipped, 3), (Policy::Naive, 0)] {
         let fake = Fake::default();
         let policy = Policies {
             fetched,
@@ -107,7 +107,7 @@
         let inputs = released
             .iter()
             .filter(|handle| handle.contains("chained-0-"));
-        assert_eq!(inputs.count(), given_back, "{fetched:?} {released:?}");
+        assert_eq!(inputs.count(), expected_drops, "{fetched:?} {released:?}");
         assert_eq!(serving.await.expect("served").status, 200);
         next.await.expect("made");
     }
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -52,8 +52,8 @@
 #[tokio::test(start_paused = true)]
 async fn left_while_releasing() {
     let relay = ready(Fake::default());
-    let made = submit_and_leave(&relay).await.expect("made elsewhere");
-    assert_eq!(made.len(), 4);
+    let results = submit_and_leave(&relay).await.expect("made elsewhere");
+    assert_eq!(results.len(), 4);
     let stage_calls = relay.downstream.stage_calls();
     let runners: Vec<&str> = stage_calls.iter().map(|call| &*call.runner).collect();
     assert_eq!(runners, ["s-2"]);
@@ -65,8 +65,8 @@
     let relay = ready(Fake::default());
     // Exhausts the budget, with no first attempts to add to it.
     while relay.try_retry(&"stage".into()) {}
-    let made = submit_and_leave(&relay).await;
-    assert_eq!(made.map(|made| made.len()), Ok(4));
+    let results = submit_and_leave(&relay).await;
+    assert_eq!(results.map(|results| results.len()), Ok(4));
 }
 
 /// Guards against sending a request or a piece to a runner that announced that it leaves while the
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -30,7 +30,7 @@
     let relay = ready(fake.clone());
     let orders = ["a", "b", "c", "d"].map(|id| submit(&relay, order(id, 2)));
     for outcome in futures::future::join_all(orders).await {
-        assert_eq!(outcome.map(|made| made.len()), Ok(2));
+        assert_eq!(outcome.map(|results| results.len()), Ok(2));
     }
     let sizes: Vec<usize> = fake
         .stage_calls()
@@ -53,7 +53,7 @@
     let relay = with_policies(fake.clone(), naive);
     let orders = ["a", "b", "c", "d"].map(|id| submit(&relay, order(id, 2)));
     for outcome in futures::future::join_all(orders).await {
-        assert_eq!(outcome.map(|made| made.len()), Ok(2));
+        assert_eq!(outcome.map(|results| results.len()), Ok(2));
     }
     let sizes: Vec<usize> = fake
         .stage_calls()
@@ -68,7 +68,7 @@
 /// waits.
 #[tokio::test(start_paused = true)]
 async fn naive_admission() {
-    for (admission, given_up) in [(Policy::Shipped, true), (Policy::Naive, false)] {
+    for (admission, refused_early) in [(Policy::Shipped, true), (Policy::Naive, false)] {
         let policy = Policies {
             admission,
             ..Policies::default()
@@ -89,10 +89,13 @@
             result_bytes: SMALL,
             ..order("late", 1)
         };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let outcome = submit(&relay, late).await;
-        assert_eq!(outcome.is_err(), given_up);
-        assert_eq!(begun.elapsed() < Duration::from_millis(500), given_up);
+        assert_eq!(outcome.is_err(), refused_early);
+        assert_eq!(
+            started_at.elapsed() < Duration::from_millis(500),
+            refused_early
+        );
     }
 }
 
@@ -137,7 +140,7 @@
         .push_back(Err(lost));
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
-    assert_eq!(outcome.map(|made| made.len()), Ok(2));
+    assert_eq!(outcome.map(|results| results.len()), Ok(2));
     let calls = fake.stage_calls();
     assert_eq!(calls.len(), 2);
     assert_ne!(calls[0].runner, calls[1].runner);
@@ -149,10 +152,10 @@
 async fn client_disconnected() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
-    let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
+    let busy_orders = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
     let left = relay.batcher(&cell()).submit(&relay, order("c", 4));
     drop(left);
-    for outcome in busy {
+    for outcome in busy_orders {
         assert!(outcome.await.is_ok());
     }
     sleep(Duration::from_secs(1)).await;
@@ -170,12 +173,12 @@
 async fn too_late() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
-    let busy = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
+    let busy_orders = ["a", "b"].map(|id| relay.batcher(&cell()).submit(&relay, order(id, 4)));
     let mut late = order("c", 1);
     late.expires_at = Instant::now() + Duration::from_millis(300);
     let outcome = submit(&relay, late).await;
     assert_eq!(outcome, Err(relay::batch::StageError::Late));
-    for outcome in busy {
+    for outcome in busy_orders {
         assert!(outcome.await.is_ok());
     }
     assert_eq!(fake.stage_calls().len(), 2);
@@ -204,7 +207,7 @@
         .batcher(&cell())
         .release(&relay, &old, ReleaseKind::Over);
     let outcome = submit(&relay, order("a", 1)).await;
-    assert_eq!(outcome.map(|made| made.len()), Ok(1));
+    assert_eq!(outcome.map(|results| results.len()), Ok(1));
     let released = fake.released.lock().expect("free").clone();
     assert!(
         old.iter().any(|handle| released.contains(handle)),
@@ -224,7 +227,7 @@
         .push_back(no_room);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 2)).await;
-    assert_eq!(outcome.map(|made| made.len()), Ok(2));
+    assert_eq!(outcome.map(|results| results.len()), Ok(2));
     let calls = fake.stage_calls();
     assert_ne!(calls[0].runner, calls[1].runner);
 }
@@ -240,7 +243,7 @@
     fake.stage_behaviors.lock().expect("free").push_back(full);
     let relay = ready(fake.clone());
     let outcome = submit(&relay, order("a", 1)).await;
-    assert_eq!(outcome.map(|made| made.len()), Ok(1));
+    assert_eq!(outcome.map(|results| results.len()), Ok(1));
 }
 
 /// The results of a request whose response has started are dropped before the next call that needs
@@ -249,13 +252,13 @@
 async fn released_results_dropped() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
-    let mut made = Vec::new();
+    let mut results = Vec::new();
     for id in ["a", "b", "c", "d"] {
-        made.extend(submit(&relay, order(id, 4)).await.expect("made"));
+        results.extend(submit(&relay, order(id, 4)).await.expect("made"));
     }
     relay
         .batcher(&cell())
-        .release(&relay, &made, ReleaseKind::Over);
+        .release(&relay, &results, ReleaseKind::Over);
     for id in ["e", "f", "g", "h"] {
         assert!(submit(&relay, order(id, 4)).await.is_ok());
     }
@@ -271,22 +274,22 @@
 async fn results_expire() {
     let relay = ready(Fake::default());
     for number in 0..6 {
-        let made = submit(&relay, order(&format!("kept-{number}"), 4)).await;
-        assert!(made.is_ok());
+        let results = submit(&relay, order(&format!("kept-{number}"), 4)).await;
+        assert!(results.is_ok());
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let impatient = Order {
-        expires_at: begun + Duration::from_secs(1),
+        expires_at: started_at + Duration::from_secs(1),
         ..order("hasty", 4)
     };
     let patient = Order {
-        expires_at: begun + Duration::from_secs(8),
+        expires_at: started_at + Duration::from_secs(8),
         ..order("patient", 4)
     };
     let (impatient, patient) = tokio::join!(submit(&relay, impatient), submit(&relay, patient));
     assert!(impatient.is_err());
     assert!(patient.is_ok());
-    assert!(begun.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
 }
 
 /// A runner responds at once that an input no longer exists. As with a runner without room, that
@@ -356,9 +359,9 @@
     let relay = ready(Fake::default());
     let gone = ["s-1", "s-2"].map(|id| relay::runner::Change::Gone(id.into()));
     relay.update(gone.into());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = relay.serve(request("a", "staged")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    assert_eq!(begun.elapsed(), Duration::ZERO);
+    assert_eq!(started_at.elapsed(), Duration::ZERO);
 }
--- a/crates/relay/tests/urgent_kind.rs
+++ b/crates/relay/tests/urgent_kind.rs
@@ -19,8 +19,8 @@
 const INTERVAL: Duration = Duration::from_millis(125);
 const TARGET: Duration = Duration::from_secs(1);
 
-/// A plan in which `/urgent/` has priority over `/other/`, for a workspace whose rank all others
-/// have.
+/// A configuration in which `/urgent/` has priority over `/other/`, for a workspace whose rank all
+/// others have.
 fn ranked() -> Configuration {
     let shape = configuration(1);
     let staged = shape.route("host", "/staged/x").expect("listed");
