--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,10 +1,10 @@
-//! Keeps plan and runners as the platform's table service has them.
+//! Follows the platform's table service to keep the configuration and the runners up to date.
 
 mod budget;
 mod follower;
 
 pub use budget::StalenessBudget;
-pub(crate) use follower::{Follower, Pace};
+pub(crate) use follower::{Follower, PollIntervals};
 
 use crate::core::Relay;
 use crate::downstream::Downstream;
@@ -22,36 +22,36 @@
 use store::{Changes, Feed};
 use tokio::time::Instant;
 
-/// How configuration and runners are followed.
+/// Intervals at which configuration and runners are polled.
 ///
-/// A question that a service took before it fell silent is given up after its wait and the client's
-/// margin, and a change in the meantime is heard of as late: within five seconds of the service's
-/// return. Where others read the table, what they tell is relied on for less than the time that a
-/// leaving runner goes on to serve.
-const PACE: Pace = Pace {
-    gather: Duration::from_millis(500),
-    alone: Duration::from_secs(4),
+/// A request that the service accepted before it stopped responding times out after its wait and the
+/// client's margin, and changes in the meantime are received that late: within five seconds of the
+/// service's return. Where others read the table, their updates are trusted for less than the time that
+/// a leaving runner goes on to serve.
+const POLL_INTERVALS: PollIntervals = PollIntervals {
+    debounce: Duration::from_millis(500),
+    standalone: Duration::from_secs(4),
     shared: Duration::from_secs(1),
-    most: budget::TRUST,
+    max_age: budget::MAX_PEER_AGE,
 };
 
-/// Time within which runners and operators have written again what a table service has lost that came
-/// back from an older copy, with the time after which the entry of a silent runner lapses.
-pub(crate) const REWRITE_TIME: Duration = Duration::from_secs(5);
+/// Time within which runners and operators rewrite what was lost when the table service was restored
+/// from an older backup; it includes the time after which the entry of an unresponsive runner expires.
+pub(crate) const REWRITE_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
-/// Longest wait of a start for the list of the processes.
-const LIST_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum time that a starting process waits for the list of processes.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A row that holds nothing usable.
+/// A row whose content is invalid.
 #[derive(Clone, Debug, PartialEq, Snafu)]
-#[snafu(display("unreadable: {reason}"))]
+#[snafu(display("invalid row: {reason}"))]
 pub struct InvalidRow {
-    /// What is wrong with it.
+    /// What is invalid.
     pub reason: String,
 }
 
 impl InvalidRow {
-    /// Unreadable because of an error.
+    /// Uses the text of an error as the reason.
     pub fn from_error(error: &impl StdError) -> Self {
         Self {
             reason: error.to_string(),
@@ -59,45 +59,46 @@
     }
 }
 
-/// Where configuration and runners are found.
+/// The platform's tables, which contain the configuration and the runners.
 pub trait TableSource: Feed {
-    /// Table that the operator writes: the configuration, and which failure domains are drained.
+    /// Table that the operator writes, with the configuration and the drained failure domains.
     const OPERATOR_TABLE: &'static str;
-    /// Table of the runners.
+    /// Table with an entry for each runner.
     const RUNNER_TABLE: &'static str;
 
-    /// The failure domain that is drained as long as the operator's table has a row of this key; `None`
-    /// if the row says something else.
+    /// The failure domain that is drained as long as the operator's table contains a row with this key;
+    /// `None` if the key stands for something else.
     fn drained_domain(key: &str) -> Option<DomainId>;
 
-    /// Reads a row of the operator's table as a configuration; `None` if the row is something else.
+    /// Parses a row of the operator's table as a configuration; `None` if the row is something else.
     ///
     /// # Errors
     ///
-    /// [`InvalidRow`].
+    /// [`InvalidRow`] if the configuration is invalid.
     fn parse_configuration(
         key: &str,
         value: &serde_json::Value,
     ) -> Result<Option<Plan>, InvalidRow>;
 
-    /// Reads a row of the table of the runners.
+    /// Parses a row of the runner table.
     ///
     /// # Errors
     ///
-    /// [`InvalidRow`].
+    /// [`InvalidRow`] if the entry is invalid.
     fn parse_runner(key: &str, value: &serde_json::Value) -> Result<Runner, InvalidRow>;
 }
 
-/// Follows the tables of the operator and of the runners until the task is dropped, once it is known
-/// which other processes there are to ask.
+/// Follows the operator's table and the runner table until the task is dropped. It starts once the other
+/// processes are listed, from which the tables can be requested.
 pub async fn tables<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
-    relay.peers.listed(LIST_WAIT).await;
+    relay.peers.wait_members_listed(LIST_TIMEOUT).await;
     check_budget(&relay);
     let operator_table = operator_table(relay.clone(), source.clone());
     tokio::join!(operator_table, runner_table(relay, source));
 }
 
-/// Tells the operator if the bound on work for leaving runners is shorter than the news may take.
+/// Logs a warning if a process may learn that a runner leaves only after the time limit for sending it
+/// work.
 fn check_budget<D: Downstream>(relay: &Relay<D>) {
     let (is_shared, levels) = relay
         .peers
@@ -106,34 +107,37 @@
         relay.options.drain,
         StalenessBudget::new(relay.options.drain),
     );
-    if is_shared && !budget.allows(PACE.shared, levels) {
-        warn!(relay.log, "bound on work for leaving runners may be missed"; "bound_ms" => millis(bound),
+    if is_shared && !budget.allows(POLL_INTERVALS.shared, levels) {
+        warn!(relay.log, "leaving runners may get work after the time limit"; "bound_ms" => millis(bound),
             "longest_ms" => millis(budget.max_delay(levels)), "levels" => levels);
     }
 }
 
-/// Follows what the operator writes until the task is dropped.
+/// Follows the operator's table until the task is dropped.
 pub async fn operator_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
-    // Configurations are fetched from peers, in parts.
-    let mut follower = Follower::new(&relay, source, S::OPERATOR_TABLE, PACE).withholding();
-    // As this table tells by itself: what peers have told may be newer, and changes to it older.
+    // Large rows are withheld from updates, since configurations are fetched from peers in parts.
+    let mut follower =
+        Follower::new(&relay, source, S::OPERATOR_TABLE, POLL_INTERVALS).withholding();
+    // This is the state of the table alone: what peers have announced may be newer, and must not be
+    // mixed with older changes from the table.
     let mut drains = Drains::default();
-    let mut kept = Kept::default();
+    let mut retained_drains = RetainedDrains::default();
     loop {
         let changes = tokio::select! {
             changes = follower.next(&relay) => changes,
-            () = until(kept.until) => Changes::default(),
+            () = sleep_until_some(retained_drains.until) => Changes::default(),
         };
-        if changes.revision > 0 && follower.whole {
+        if changes.revision > 0 && follower.is_whole {
             drains = Drains::default();
         }
-        if changes.revision > 0 && follower.restored {
-            kept = Kept::new(relay.drains());
+        if changes.revision > 0 && follower.is_restored {
+            retained_drains = RetainedDrains::new(relay.drains());
         }
-        drain::<S>(&mut drains, &changes);
-        kept.take::<S>(&changes, follower.restored);
-        // Before the configuration: whoever knows one must not send work to a drained failure domain.
-        relay.drain(&kept.with(&drains), follower.origin());
+        apply_drains::<S>(&mut drains, &changes);
+        retained_drains.apply::<S>(&changes, follower.is_restored);
+        // Drains are applied before the configuration, since a process with a configuration must not
+        // send work to a drained failure domain.
+        relay.drain(&retained_drains.merged_with(&drains), follower.origin());
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
             match S::parse_configuration(&change.key, value) {
@@ -143,7 +147,7 @@
                 }
                 Ok(None) => {}
                 Err(error) => {
-                    warn!(relay.log, "configuration unreadable, the one in force stays";
+                    warn!(relay.log, "invalid configuration, keeping the one in force";
                         "row" => &change.key, "error" => %error);
                 }
             }
@@ -151,34 +155,34 @@
     }
 }
 
-/// Failure domains that were drained when the table service came back from an older copy, which may not
-/// know of it yet. They stay drained until the operator has written it again or taken it back, or has
-/// had the time to.
+/// Failure domains that were drained when the table service was restored from an older backup, which may
+/// lack the drain. They stay drained until the operator has rewritten or ended the drain, or has had the
+/// time to do so.
 #[derive(Debug, Default)]
-struct Kept {
+struct RetainedDrains {
     domains: BTreeSet<DomainId>,
     until: Option<Instant>,
-    /// Times that they were over.
-    over: u64,
+    /// Number of times that the retention has expired.
+    times_expired: u64,
 }
 
-impl Kept {
+impl RetainedDrains {
     fn new(drains: Drains) -> Self {
         Self {
             domains: drains.domains,
-            until: Some(Instant::now() + REWRITE_TIME),
-            over: drains.settled,
+            until: Some(Instant::now() + REWRITE_GRACE_PERIOD),
+            times_expired: drains.settled,
         }
     }
 
-    /// Takes in what has been written since, unless it is the copy itself.
-    fn take<S: TableSource>(&mut self, changes: &Changes, copy: bool) {
+    /// Applies what has been written since the backup, which `changes` are unless `is_backup` is set.
+    fn apply<S: TableSource>(&mut self, changes: &Changes, is_backup: bool) {
         if self.until.is_some_and(|until| until <= Instant::now()) {
             self.domains.clear();
             self.until = None;
-            self.over += 1;
+            self.times_expired += 1;
         }
-        if !copy {
+        if !is_backup {
             for domain in changes
                 .rows
                 .iter()
@@ -189,16 +193,16 @@
         }
     }
 
-    /// What the table tells, with what is kept besides.
-    fn with(&self, drains: &Drains) -> Drains {
+    /// The drains of the table together with the retained ones.
+    fn merged_with(&self, drains: &Drains) -> Drains {
         let mut drains = drains.clone();
         drains.domains.extend(self.domains.iter().cloned());
-        drains.settled = self.over;
+        drains.settled = self.times_expired;
         drains
     }
 }
 
-fn drain<S: TableSource>(drains: &mut Drains, changes: &Changes) {
+fn apply_drains<S: TableSource>(drains: &mut Drains, changes: &Changes) {
     drains.revision = drains.revision.max(changes.revision);
     for change in &changes.rows {
         let Some(domain) = S::drained_domain(&change.key) else {
@@ -220,41 +224,41 @@
         "from" => origin);
 }
 
-/// Follows the list of runners until the task is dropped.
+/// Follows the runner table until the task is dropped.
 pub async fn runner_table<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
-    let mut follower = Follower::new(&relay, source, S::RUNNER_TABLE, PACE);
+    let mut follower = Follower::new(&relay, source, S::RUNNER_TABLE, POLL_INTERVALS);
     let mut deferred = Deferred::default();
     loop {
         let changes = tokio::select! {
             changes = follower.next(&relay) => changes,
-            () = until(deferred.due()) => Changes::default(),
+            () = sleep_until_some(deferred.due()) => Changes::default(),
         };
-        let mut news = read::<D, S>(&relay, &changes);
-        if changes.revision > 0 && follower.whole {
-            news.extend(missing(&relay, &news));
+        let mut updates = parse_runners::<D, S>(&relay, &changes);
+        if changes.revision > 0 && follower.is_whole {
+            updates.extend(unlisted(&relay, &updates));
         }
-        let mut news = deferred.defer(news, follower.lapse());
-        if follower.restored {
-            news = deferred.defer_unconfirmed(&relay, news);
+        let mut updates = deferred.defer(updates, follower.grace_until());
+        if follower.is_restored {
+            updates = deferred.defer_unconfirmed(&relay, updates);
         }
-        news.extend(deferred.over());
-        relay.update(news);
+        updates.extend(deferred.take_due());
+        relay.update(updates);
         relay.runners_known(relay.started() + follower.current());
     }
 }
 
-/// Changes that count only if nothing else is told until a moment: entries that are gone may only have
-/// lapsed, and those of an older copy may be out of date.
+/// Changes that take effect at a later moment unless the entry changes before: missing entries may only
+/// have expired during an outage, and those of an older backup may be outdated.
 #[derive(Debug, Default)]
 struct Deferred(Map<RunnerId, (Change, Instant)>);
 
 impl Deferred {
-    /// The changes that count now; with `until`, the removal of a runner waits until then. An entry
-    /// that comes back ends the wait, also where both are told at once.
+    /// Returns the changes that take effect now. If `until` is set, removals of runners are deferred
+    /// until then; an entry that returns cancels its removal, even if both come in the same changes.
     fn defer(&mut self, changes: Vec<Change>, until: Option<Instant>) -> Vec<Change> {
         let mut now = Vec::new();
         for change in changes {
-            self.0.remove(id(&change));
+            self.0.remove(runner_id(&change));
             match (&change, until) {
                 (Change::Gone(id), Some(until)) => {
                     self.0.insert(id.clone(), (change, until));
@@ -265,15 +269,16 @@
         now
     }
 
-    /// The entries of a service that has come back from an older copy that count now. One that gives a
-    /// runner work which has none waits until the runner has written it again, or it has stayed for so
-    /// long that the runner must be there: it may have said that it leaves, or have gone, since the copy.
+    /// Returns the entries of an older backup that take effect now. An entry that would give work to a
+    /// runner which gets none is deferred until the runner has rewritten it, or until it has existed for
+    /// so long that the runner must be running: since the backup, the runner may have announced to
+    /// leave, or have stopped.
     fn defer_unconfirmed<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         changes: Vec<Change>,
     ) -> Vec<Change> {
-        let until = Instant::now() + REWRITE_TIME;
+        let until = Instant::now() + REWRITE_GRACE_PERIOD;
         let mut now = Vec::new();
         for change in changes {
             match &change {
@@ -290,52 +295,55 @@
         self.0.values().map(|(_, until)| *until).min()
     }
 
-    /// Changes whose time has come.
-    fn over(&mut self) -> Vec<Change> {
+    /// Removes and returns the changes that are due.
+    fn take_due(&mut self) -> Vec<Change> {
         let now = Instant::now();
-        let over = |until: &Instant| *until <= now;
-        let due = self.0.values().filter(|(_, until)| over(until));
+        let is_due = |until: &Instant| *until <= now;
+        let due = self.0.values().filter(|(_, until)| is_due(until));
         let due: Vec<Change> = due.map(|(change, _)| change.clone()).collect();
-        self.0.retain(|_, (_, until)| !over(until));
+        self.0.retain(|_, (_, until)| !is_due(until));
         due
     }
 }
 
-fn id(change: &Change) -> &RunnerId {
+fn runner_id(change: &Change) -> &RunnerId {
     match change {
         Change::Listed(runner) => &runner.id,
         Change::Gone(id) => id,
     }
 }
 
-async fn until(moment: Option<Instant>) {
+async fn sleep_until_some(moment: Option<Instant>) {
     match moment {
         Some(moment) => tokio::time::sleep_until(moment).await,
         None => std::future::pending().await,
     }
 }
 
-fn read<D: Downstream, S: TableSource>(relay: &Relay<D>, changes: &Changes) -> Vec<Change> {
-    let read_one = |change: &store::Change| {
+fn parse_runners<D: Downstream, S: TableSource>(
+    relay: &Relay<D>,
+    changes: &Changes,
+) -> Vec<Change> {
+    let parse_row = |change: &store::Change| {
         let gone = || Change::Gone(change.key.as_str().into());
         let Some(value) = &change.value else {
             return gone();
         };
         S::parse_runner(&change.key, value).map_or_else(
             |error| {
-                warn!(relay.log, "entry of a runner unreadable, it gets no work";
+                warn!(relay.log, "invalid runner entry, the runner gets no work";
                     "runner" => &change.key, "error" => %error);
                 gone()
             },
             Change::Listed,
         )
     };
-    changes.rows.iter().map(read_one).collect()
+    changes.rows.iter().map(parse_row).collect()
 }
 
-/// Runners that are known but not in the whole list.
-fn missing<D: Downstream>(relay: &Relay<D>, listed: &[Change]) -> Vec<Change> {
-    let absent = |known: &&RunnerId| listed.iter().all(|change| id(change) != *known);
+/// Removals of the runners that are known but not in the whole list.
+fn unlisted<D: Downstream>(relay: &Relay<D>, listed: &[Change]) -> Vec<Change> {
+    let absent = |known: &&RunnerId| listed.iter().all(|change| runner_id(change) != *known);
     relay
         .fleet(|fleet| {
             fleet
--- a/crates/relay/src/follow/budget.rs
+++ b/crates/relay/src/follow/budget.rs
@@ -1,22 +1,22 @@
-//! What the time adds up to until a process knows what is new in a table.
+//! Upper bound of the time until a process learns of a change in a table.
 
 use std::time::Duration;
 
-/// Greatest age of knowledge that others have told, where the bound on that leaves as much.
-pub(super) const TRUST: Duration = Duration::from_millis(1_600);
-/// What is added to it for each step that the tables are away: whoever tells must notice first that it
-/// learns nothing.
-pub(super) const STEP: Duration = Duration::from_millis(200);
-/// Longest time that a table which is not away takes for an answer.
-const READ: Duration = Duration::from_millis(700);
-/// Longest time for which a process does not get on without taking that for a pause, after which it asks for
-/// what is new before it goes on.
-const DELAY: Duration = crate::pause::LATE;
-/// Time from the last look at what is known until the first byte reaches a runner: one way, behind parts of a
-/// configuration.
-const WRITE: Duration = Duration::from_millis(50);
+/// Maximum age of updates from peers, unless the time limit requires a shorter one.
+pub(super) const MAX_PEER_AGE: Duration = Duration::from_millis(1_600);
+/// Increase of the maximum age for each hop from the readers of the tables: the upstream process must
+/// first notice that it gets no updates itself.
+pub(super) const HOP_DELAY: Duration = Duration::from_millis(200);
+/// Maximum time in which an available table service responds.
+const READ_TIME: Duration = Duration::from_millis(700);
+/// Maximum time for which a process can be stopped without detecting a pause. After a detected pause, it
+/// requests updates before it continues.
+const UNDETECTED_PAUSE: Duration = crate::pause::LATE;
+/// Time from the last check of the runner's entry until the first byte reaches the runner: the one-way
+/// latency, behind parts of a configuration.
+const SEND_TIME: Duration = Duration::from_millis(50);
 
-/// How the time is spent within which each process must know that a runner leaves.
+/// Allocation of the time within which each process must know that a runner leaves.
 ///
 /// # Examples
 ///
@@ -34,30 +34,31 @@
 }
 
 impl StalenessBudget {
-    /// The budget for a bound.
+    /// Creates the budget for a time limit.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self { bound }
     }
 
-    /// Time by which others are relied on for less than usual, where the process that is farthest away is so
-    /// many steps from the tables.
+    /// Time by which the maximum age of updates from peers is reduced, if the farthest process is
+    /// `levels` hops from the readers of the tables.
     #[must_use]
     pub fn trust_reduction(self, levels: u32) -> Duration {
-        let sum = TRUST + STEP * levels + READ + DELAY + WRITE;
-        sum.saturating_sub(self.bound).min(TRUST)
+        let sum = MAX_PEER_AGE + HOP_DELAY * levels + READ_TIME + UNDETECTED_PAUSE + SEND_TIME;
+        sum.saturating_sub(self.bound).min(MAX_PEER_AGE)
     }
 
-    /// Longest time until a process that far away sends nothing more to a runner that leaves, if what tells it
-    /// so falls silent in that moment.
+    /// Maximum time until a process at that distance sends nothing more to a leaving runner, if its
+    /// upstream process stops responding just when the runner leaves.
     #[must_use]
     pub fn max_delay(self, levels: u32) -> Duration {
-        TRUST + STEP * levels + READ + DELAY + WRITE - self.trust_reduction(levels)
+        MAX_PEER_AGE + HOP_DELAY * levels + READ_TIME + UNDETECTED_PAUSE + SEND_TIME
+            - self.trust_reduction(levels)
     }
 
-    /// Whether knowledge that is told in time, each `period`, is young enough to be relied on.
+    /// Whether updates that arrive every `period` are recent enough to be trusted.
     #[must_use]
     pub fn allows(self, period: Duration, levels: u32) -> bool {
-        TRUST - self.trust_reduction(levels) > period
+        MAX_PEER_AGE - self.trust_reduction(levels) > period
     }
 }
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -1,12 +1,12 @@
-//! Asks for the changes of one table, over outages and gaps in its history.
+//! Follows the changes of one table, across outages and gaps in its history.
 
 use super::TableSource;
-use super::budget::{STEP, StalenessBudget};
+use super::budget::{HOP_DELAY, StalenessBudget};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::member::{self, Member, MemberId};
 use crate::peer::TableUpdate;
-use crate::peer::tables::{Read, Table};
+use crate::peer::tables::{Table, TableRead};
 use crate::telemetry::millis;
 use protocol::reader::{Reader, Take, Told};
 use rand::Rng;
@@ -17,79 +17,79 @@
 use store::{Changes, Miss, RowRevision};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Longest wait of a question while the service is away: the next one is to be asked as soon as it is
-/// back.
-const WAIT_LOST: Duration = Duration::from_millis(300);
-/// Pause after changes before the next question where others rely on this process: they must hear in
-/// time that nothing else has changed.
-const GATHER_SHARED: Duration = Duration::from_millis(200);
-/// First pause after a failed question; doubles up to [`PAUSE_MOST`].
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after a failed question: an outage ends unnoticed for so long at most.
-const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// Time after the table service's return in which entries that lapsed meanwhile come back, by the
-/// platform's promise. Runners whose entries lapsed while the service was away are fine.
-const LAPSE: Duration = Duration::from_millis(1_800);
-/// Longest wait of a start for a table that another process is asked for: where all start for the first
-/// time, and none serves yet, and where callers wait.
-const HELP_FIRST: Duration = Duration::from_millis(600);
-const HELP: Duration = Duration::from_millis(100);
-/// Time after the start in which others may turn out to be there that rely on this process.
-const START: Duration = Duration::from_secs(5);
-/// Time after which rows that were left out of what was told are read from the table, unless what they hold is
-/// arriving in another way.
-const WITHHELD_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait of a request while the service is unavailable: the next request should follow as soon as
+/// the service is available again.
+const OUTAGE_POLL_WAIT: Duration = Duration::from_millis(300);
+/// Delay after changes before the next request if others rely on this process: they must learn in time
+/// that nothing else has changed.
+const SHARED_DEBOUNCE: Duration = Duration::from_millis(200);
+/// Delay after the first failed request; it doubles up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay after a failed request, after which the end of an outage is noticed at the latest.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Time after an outage of the table service within which the platform guarantees that expired entries
+/// are written again. Runners whose entries expired during the outage are not at fault.
+const EXPIRY_GRACE: Duration = Duration::from_millis(1_800);
+/// Maximum time that a starting process waits for a table from another process: at a first start, when
+/// no process serves yet, and otherwise, when clients are waiting.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(600);
+const RESTART_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after the start within which other processes may appear that rely on this one.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
+/// Time after which rows that were withheld from updates are read from the table, unless a transfer of
+/// their content is in progress.
+const WITHHELD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time over which processes spread their first readings of a service that came back from a copy.
-const SPREAD: Duration = Duration::from_millis(300);
+/// Time over which processes spread their first reads of a service that was restored from a backup.
+const RESTORED_READ_SPREAD: Duration = Duration::from_millis(300);
 
-/// Where news came from that the table itself told.
-const TABLE: &str = "table";
+/// Origin of changes that were read from the table itself, for logs.
+const TABLE_ORIGIN: &str = "table";
 
-/// How often a table is asked for changes.
+/// Intervals at which a table is polled for changes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
-    /// Pause after changes before the next question where each process reads the table for itself.
-    /// Rows come and go in groups, and each question costs a call.
-    pub(crate) gather: Duration,
-    /// Longest wait of a question there.
-    pub(crate) alone: Duration,
-    /// Time within which a process that reads it for others hears whether something has changed.
+pub(crate) struct PollIntervals {
+    /// Delay after changes before the next request if each process reads the table for itself. Rows
+    /// change in groups, and each request costs a call.
+    pub(crate) debounce: Duration,
+    /// Maximum wait of a request if each process reads the table for itself.
+    pub(crate) standalone: Duration,
+    /// Time within which a process that reads the table for others learns whether something has changed.
     pub(crate) shared: Duration,
-    /// Greatest age of knowledge that others have told.
-    pub(crate) most: Duration,
+    /// Maximum age of updates from peers.
+    pub(crate) max_age: Duration,
 }
 
 /// One process's view of a table.
 pub(crate) struct Follower<S> {
     source: S,
     table: &'static str,
-    pace: Pace,
+    intervals: PollIntervals,
     reader: Reader,
-    known: Arc<Table>,
-    /// Whether nothing has been asked yet.
-    fresh: bool,
-    /// How much older the knowledge is than the start of the process, which its clock can't tell.
-    older: Duration,
-    /// Whether the next question is to be answered at once.
-    pub(crate) hurried: bool,
+    published: Arc<Table>,
+    /// Whether no request has been sent yet.
+    is_first_request: bool,
+    /// Age of the contents at the start of the process, before which its clock cannot represent times.
+    extra_age: Duration,
+    /// Whether the next request is answered without waiting for changes.
+    pub(crate) skip_wait: bool,
     /// Whether the last changes are the whole table.
-    pub(crate) whole: bool,
-    /// Whether they are the first of a table service that has come back from an older copy.
-    pub(crate) restored: bool,
+    pub(crate) is_whole: bool,
+    /// Whether the last changes are the first since the table service was restored from an older backup.
+    pub(crate) is_restored: bool,
     /// Era of the last changes that were read.
     era: Option<Era>,
-    /// Pauses of the process before the last question that was answered.
+    /// Number of pauses of the process before the last successful request.
     pauses: u64,
-    /// When changes were read last, until the next question.
-    told: Option<Instant>,
-    lost: Option<Instant>,
-    /// Until when entries that are gone may only have lapsed.
-    lapse: Option<Instant>,
-    pause: Duration,
-    /// The process that told the last changes; none if the table did.
-    teller: Option<MemberId>,
-    /// Newest row that was left out of what was told, and since when it is awaited.
+    /// When changes were last read; `None` after the next request.
+    last_changes: Option<Instant>,
+    outage_since: Option<Instant>,
+    /// End of the time in which entries that are missing may only have expired during an outage.
+    grace_until: Option<Instant>,
+    retry_delay: Duration,
+    /// The process that sent the last changes; `None` if they were read from the table.
+    upstream: Option<MemberId>,
+    /// Revision of the newest row that was withheld, and when it was withheld.
     withheld: Option<(RowRevision, Instant)>,
 }
 
@@ -98,228 +98,244 @@
         relay: &Relay<D>,
         source: S,
         table: &'static str,
-        pace: Pace,
+        intervals: PollIntervals,
     ) -> Self {
         relay.pause.enroll();
         Self {
             pauses: relay.pause.count(),
-            reader: Reader::new(pace.most),
-            known: relay.peers.tables.get(table),
-            fresh: true,
-            older: Duration::ZERO,
-            hurried: false,
+            reader: Reader::new(intervals.max_age),
+            published: relay.peers.tables.get(table),
+            is_first_request: true,
+            extra_age: Duration::ZERO,
+            skip_wait: false,
             source,
             table,
-            pace,
-            whole: false,
-            restored: false,
+            intervals,
+            is_whole: false,
+            is_restored: false,
             era: None,
-            told: None,
-            lost: None,
-            lapse: None,
-            pause: PAUSE,
-            teller: None,
+            last_changes: None,
+            outage_since: None,
+            grace_until: None,
+            retry_delay: INITIAL_RETRY_DELAY,
+            upstream: None,
             withheld: None,
         }
     }
 
-    /// Large rows of the table reach processes in another way, and are left out of what they tell.
+    /// Leaves large rows out of updates for other processes, which get their content by another
+    /// transfer.
     pub(crate) fn withholding(self) -> Self {
-        self.known.withhold_large_rows();
+        self.published.withhold_large_rows();
         self
     }
 
-    /// Who told the last changes.
+    /// The source of the last changes: the id of a process, or the table.
     pub(crate) fn origin(&self) -> &str {
-        self.teller.as_deref().unwrap_or(TABLE)
+        self.upstream.as_deref().unwrap_or(TABLE_ORIGIN)
     }
 
-    /// Latest moment at which nothing newer was in the table, from the start of the process.
+    /// Latest moment at which the table is known to have contained nothing newer, as time since the
+    /// start of the process.
     pub(crate) fn current(&self) -> Duration {
         self.reader.current()
     }
 
-    /// Until when entries that are gone may only have lapsed, if that is still to come.
-    pub(crate) fn lapse(&self) -> Option<Instant> {
-        self.lapse.filter(|until| Instant::now() < *until)
+    /// End of the time in which entries that are missing may only have expired during an outage, if it
+    /// is in the future.
+    pub(crate) fn grace_until(&self) -> Option<Instant> {
+        self.grace_until.filter(|until| Instant::now() < *until)
     }
 
-    /// The next changes, or the whole table at first and after a gap.
+    /// Waits for the next changes, or for the whole table at first and after a gap.
     pub(crate) async fn next<D: Downstream>(&mut self, relay: &Arc<Relay<D>>) -> Changes {
         loop {
             let pauses = relay.pause.count();
-            // A question from before a pause may have been lost with its connection, and waits for
-            // seconds if nothing has changed; the next one is answered at once.
+            // A request from before a pause may have been lost with its connection, or waits for seconds
+            // if nothing has changed. The next request is answered at once.
             let withheld = self.withheld;
             let answer = tokio::select! {
-                answer = self.ask(relay, pauses) => answer,
+                answer = self.request_changes(relay, pauses) => answer,
                 () = relay.pause.beyond(pauses) => continue,
-                () = overdue(relay, withheld) => {
+                () = wait_withheld_timeout(relay, withheld) => {
                     self.read_withheld(relay);
                     continue;
                 }
             };
             match answer {
                 Ok(changes) => {
-                    relay.telemetry.table_answer(self.teller.is_some());
+                    relay.telemetry.table_answer(self.upstream.is_some());
                     relay.pause.heard(self.pauses, pauses);
                     self.pauses = pauses;
-                    self.regain(relay);
+                    self.note_recovery(relay);
                     return changes;
                 }
                 Err(Miss::Gap) => {
-                    info!(relay.log, "history gone, reading the table as a whole";
+                    info!(relay.log, "change history truncated, reading the whole table";
                         "table" => self.table, "after" => self.reader.after());
                     self.reader.forget();
                 }
                 Err(Miss::Restored) => {
                     self.reader.forget();
-                    // All processes hear of it in the same moment, and each reads all tables.
-                    let spread = relay.random(|rng| rng.random_range(0.0..1.0));
-                    sleep(SPREAD.mul_f64(spread)).await;
+                    // All processes detect the restored service at the same time, and each reads all
+                    // tables.
+                    let fraction = relay.random(|rng| rng.random_range(0.0..1.0));
+                    sleep(RESTORED_READ_SPREAD.mul_f64(fraction)).await;
                 }
                 Err(Miss::Failed { error }) => {
-                    if self.lost.is_none() {
-                        warn!(relay.log, "table service lost"; "table" => self.table, "error" => %error);
-                        self.lost = Some(Instant::now());
+                    if self.outage_since.is_none() {
+                        warn!(relay.log, "table service unavailable"; "table" => self.table, "error" => %error);
+                        self.outage_since = Some(Instant::now());
                     }
                     self.reader.failed(relay.now());
-                    sleep(self.pause).await;
-                    self.pause = (self.pause * 2).min(PAUSE_MOST);
+                    sleep(self.retry_delay).await;
+                    self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
     }
 
-    async fn ask<D: Downstream>(
+    async fn request_changes<D: Downstream>(
         &mut self,
         relay: &Arc<Relay<D>>,
         pauses: u64,
     ) -> Result<Changes, Miss> {
-        let paused = pauses > self.pauses;
-        if !paused && let Some(changes) = self.ask_peer(relay).await {
+        let was_paused = pauses > self.pauses;
+        if !was_paused && let Some(changes) = self.request_from_peer(relay).await {
             return Ok(changes);
         }
-        self.read(relay, paused).await
+        self.read_table(relay, was_paused).await
     }
 
-    /// What another process tells, if there is one that can and it tells in time.
-    async fn ask_peer<D: Downstream>(&mut self, relay: &Arc<Relay<D>>) -> Option<Changes> {
+    /// Requests the changes from another process; returns `None` if there is none that sends an update
+    /// in time.
+    async fn request_from_peer<D: Downstream>(&mut self, relay: &Arc<Relay<D>>) -> Option<Changes> {
         let Some(after) = self.reader.after() else {
-            return self.ask_whole_table(relay).await;
+            return self.request_whole_table(relay).await;
         };
-        let (teller, depth, levels) = relay.peers.members(|members| {
-            let teller = members.upstream()?;
-            Some((teller, members.tree.depth(), members.tree.levels()))
+        let (upstream, depth, levels) = relay.peers.members(|members| {
+            let upstream = members.upstream()?;
+            Some((upstream, members.tree.depth(), members.tree.levels()))
         })?;
         let trust_reduction = StalenessBudget::new(relay.options.drain).trust_reduction(levels);
-        let until = self.reader.trusts_until()?.saturating_sub(trust_reduction) + STEP * depth;
-        let until = relay.started() + until.saturating_sub(self.older);
+        let until = self.reader.trusts_until()?.saturating_sub(trust_reduction) + HOP_DELAY * depth;
+        let until = relay.started() + until.saturating_sub(self.extra_age);
         let asked = Instant::now();
         if until <= asked {
             return None;
         }
         let current = self.current();
-        let news = relay.peers.news(relay, &teller, self.table, Some(after));
-        let news = timeout_at(until, news).await.ok().flatten();
-        let changes = news.and_then(|news| self.take(relay, news, after, relay.at(asked)));
-        // One that is behind says nothing of the table.
-        let is_behind = |changes: &Changes| changes.rows.is_empty() && self.current() <= current;
-        if changes.as_ref().is_none_or(is_behind) {
-            info!(relay.log, "no news from a peer"; "peer" => &*teller.id, "table" => self.table,
+        let update = relay
+            .peers
+            .request_update(relay, &upstream, self.table, Some(after));
+        let update = timeout_at(until, update).await.ok().flatten();
+        let changes =
+            update.and_then(|update| self.apply_update(relay, update, after, relay.at(asked)));
+        // An update that is not newer than what is known says nothing about the table.
+        let is_stale = |changes: &Changes| changes.rows.is_empty() && self.current() <= current;
+        if changes.as_ref().is_none_or(is_stale) {
+            info!(relay.log, "no update from peer"; "peer" => &*upstream.id, "table" => self.table,
                 "age_ms" => millis(relay.now().saturating_sub(self.current())));
             relay
                 .peers
-                .members(|members| members.tree.note_stale(&teller.id));
+                .members(|members| members.tree.mark_stale(&upstream.id));
         } else {
             relay
                 .peers
-                .members(|members| members.tree.note_answered(&teller.id));
+                .members(|members| members.tree.mark_updated(&upstream.id));
         }
         if changes.is_some() {
-            self.teller = Some(teller.id);
+            self.upstream = Some(upstream.id);
         }
         changes
     }
 
-    /// The whole table from another process, at the start. The list of the processes itself is read: who
-    /// else would tell whom to ask?
-    async fn ask_whole_table<D: Downstream>(&mut self, relay: &Arc<Relay<D>>) -> Option<Changes> {
-        if !std::mem::take(&mut self.fresh) || self.table == member::TABLE {
+    /// Requests the whole table from another process, at the start. The list of processes itself must be
+    /// read from the table: without it, no other process is known.
+    async fn request_whole_table<D: Downstream>(
+        &mut self,
+        relay: &Arc<Relay<D>>,
+    ) -> Option<Changes> {
+        if !std::mem::take(&mut self.is_first_request) || self.table == member::TABLE {
             return None;
         }
-        let draw = relay.random(|rng| rng.random::<u32>());
-        let teller = relay.peers.members(|members| members.upstream())?;
-        let changes = self.fetch_whole(relay, teller).await;
+        let random = relay.random(|rng| rng.random::<u32>());
+        let upstream = relay.peers.members(|members| members.upstream())?;
+        let changes = self.fetch_whole(relay, upstream).await;
         if changes.is_some() || !relay.options.first_start {
             return changes;
         }
-        let helper = relay.peers.members(|members| members.helper(draw))?;
-        self.fetch_whole(relay, helper).await
+        let peer = relay
+            .peers
+            .members(|members| members.bootstrap_peer(random))?;
+        self.fetch_whole(relay, peer).await
     }
 
     async fn fetch_whole<D: Downstream>(
         &mut self,
         relay: &Arc<Relay<D>>,
-        helper: Member,
+        peer: Member,
     ) -> Option<Changes> {
         let asked = Instant::now();
-        let news = relay.peers.news(relay, &helper, self.table, None);
-        let patience = if relay.options.first_start {
-            HELP_FIRST
+        let update = relay.peers.request_update(relay, &peer, self.table, None);
+        let max_wait = if relay.options.first_start {
+            FIRST_START_TIMEOUT
         } else {
-            HELP
+            RESTART_TIMEOUT
         };
-        let news = timeout(patience, news).await.ok().flatten();
-        // One that is cut off may know the table as it was long ago, and nothing here is newer.
-        let whole = news.filter(|news| news.is_whole() && news.age() < self.pace.most);
-        let Some(news) = whole else {
-            info!(relay.log, "no table from a peer"; "peer" => &*helper.id, "table" => self.table);
+        let update = timeout(max_wait, update).await.ok().flatten();
+        // A process that is cut off may send an old state of the table, and no newer one is known here.
+        let whole =
+            update.filter(|update| update.is_whole() && update.age() < self.intervals.max_age);
+        let Some(update) = whole else {
+            info!(relay.log, "cannot get table from peer"; "peer" => &*peer.id, "table" => self.table);
             return None;
         };
         relay
             .peers
-            .members(|members| members.tree.note_answered(&helper.id));
-        // Moments before the start are not told apart. At a first start nothing has changed before.
-        self.older = match relay.options.first_start {
+            .members(|members| members.tree.mark_updated(&peer.id));
+        // Moments before the start cannot be represented. At a first start, nothing has changed before
+        // it.
+        self.extra_age = match relay.options.first_start {
             true => Duration::ZERO,
-            false => news.age().saturating_sub(relay.at(asked)),
+            false => update.age().saturating_sub(relay.at(asked)),
         };
         self.reader
-            .read(news.revision, news.current(relay.at(asked)));
-        self.note_era(relay, news.revision);
-        self.note_withheld(news.withheld);
-        let lapse = news.lapse.map(|left| Instant::now() + left);
-        let changes = news.changes();
-        self.keep(relay, None, &changes, lapse);
-        self.teller = Some(helper.id);
+            .read(update.revision, update.current(relay.at(asked)));
+        self.note_era(relay, update.revision);
+        self.note_withheld(update.withheld);
+        let grace_until = update.lapse.map(|left| Instant::now() + left);
+        let changes = update.changes();
+        self.publish(relay, None, &changes, grace_until);
+        self.upstream = Some(peer.id);
         Some(changes)
     }
 
-    /// Takes in what another process told that was asked at a moment; none if changes are missing.
-    fn take<D: Downstream>(
+    /// Applies the update of another process to a request that was sent at `asked`; returns `None` if
+    /// changes are missing.
+    fn apply_update<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        news: TableUpdate,
+        update: TableUpdate,
         after: RowRevision,
         asked: Duration,
     ) -> Option<Changes> {
-        let lapse = news.lapse.map(|left| Instant::now() + left);
-        let (is_whole, withheld) = (news.is_whole(), news.withheld);
-        if era::of(news.revision) > era::of(after) {
-            // What a copy lacks is for the table itself to tell.
+        let grace_until = update.lapse.map(|left| Instant::now() + left);
+        let (is_whole, withheld) = (update.is_whole(), update.withheld);
+        if era::of(update.revision) > era::of(after) {
+            // Only the table itself can tell what a backup lacks.
             return None;
         }
-        let told = Told {
-            before: news.before.unwrap_or_default(),
-            revision: news.revision,
-            current: news.current(asked),
+        let peer_update = Told {
+            before: update.before.unwrap_or_default(),
+            revision: update.revision,
+            current: update.current(asked),
         };
-        let taken = self.reader.told(told);
+        let action = self.reader.told(peer_update);
         if self.current() > Duration::ZERO {
-            self.older = Duration::ZERO;
+            self.extra_age = Duration::ZERO;
         }
-        let changes = match taken {
+        let changes = match action {
             Take::Gap => return None,
             Take::Ignore => Changes {
                 revision: after,
@@ -327,11 +343,11 @@
             },
             Take::Apply => {
                 self.note_withheld(withheld);
-                news.changes()
+                update.changes()
             }
         };
-        let before = (!is_whole || taken == Take::Ignore).then_some(after);
-        self.keep(relay, before, &changes, self.lapse.max(lapse));
+        let before = (!is_whole || action == Take::Ignore).then_some(after);
+        self.publish(relay, before, &changes, self.grace_until.max(grace_until));
         Some(changes)
     }
 
@@ -341,7 +357,7 @@
         }
     }
 
-    /// The next question reads the whole table, unless the row that was left out has come.
+    /// Makes the next request read the whole table, unless the content of the withheld row has arrived.
     fn read_withheld<D: Downstream>(&mut self, relay: &Relay<D>) {
         let Some((revision, since)) = self.withheld.take() else {
             return;
@@ -349,40 +365,40 @@
         if relay.plan().is_some_and(|plan| plan.revision >= revision) {
             return;
         }
-        warn!(relay.log, "no configuration from a peer, reading the table as a whole";
+        warn!(relay.log, "no configuration from peer, reading the whole table";
             "table" => self.table, "waited_ms" => millis(since.elapsed()));
         self.reader.forget();
-        self.fresh = false;
+        self.is_first_request = false;
     }
 
-    /// Notes what has become known, for the process itself and for those that ask it.
-    fn keep<D: Downstream>(
+    /// Records the changes and publishes them to processes that request them.
+    fn publish<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         before: Option<RowRevision>,
         changes: &Changes,
-        lapse: Option<Instant>,
+        grace_until: Option<Instant>,
     ) {
-        (self.whole, self.restored) = (before.is_none(), false);
-        self.lapse = lapse;
-        self.known.publish(&Read {
+        (self.is_whole, self.is_restored) = (before.is_none(), false);
+        self.grace_until = grace_until;
+        self.published.publish(&TableRead {
             before,
             changes,
             current: relay.started() + self.current(),
-            lapse: self.lapse(),
+            grace_until: self.grace_until(),
         });
     }
 
-    /// What the table itself says; kept for processes that ask this one.
-    async fn read<D: Downstream>(
+    /// Reads the table itself, and publishes the result to processes that request it.
+    async fn read_table<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
-        paused: bool,
+        was_paused: bool,
     ) -> Result<Changes, Miss> {
         let before = self.reader.after();
-        self.whole = before.is_none();
+        self.is_whole = before.is_none();
         let (changes, current) = match before {
-            Some(after) => self.changes(relay, after, paused).await?,
+            Some(after) => self.read_changes(relay, after, was_paused).await?,
             None => {
                 let asked = Instant::now();
                 let listed = self.source.list(self.table).await;
@@ -390,18 +406,18 @@
             }
         };
         self.reader.read(changes.revision, relay.at(current));
-        self.older = Duration::ZERO;
+        self.extra_age = Duration::ZERO;
         self.note_era(relay, changes.revision);
-        self.told = (!changes.rows.is_empty()).then(Instant::now);
-        self.teller = None;
-        if self.lost.is_some() || self.restored {
-            self.lapse = Some(Instant::now() + LAPSE);
+        self.last_changes = (!changes.rows.is_empty()).then(Instant::now);
+        self.upstream = None;
+        if self.outage_since.is_some() || self.is_restored {
+            self.grace_until = Some(Instant::now() + EXPIRY_GRACE);
         }
-        self.known.publish(&Read {
+        self.published.publish(&TableRead {
             before,
             changes: &changes,
             current,
-            lapse: self.lapse(),
+            grace_until: self.grace_until(),
         });
         Ok(changes)
     }
@@ -409,79 +425,91 @@
     fn note_era<D: Downstream>(&mut self, relay: &Relay<D>, revision: RowRevision) {
         let era = era::of(revision);
         let before = self.era.replace(era);
-        self.restored = self.whole && before.is_some_and(|before| before < era);
-        if self.restored {
-            warn!(relay.log, "table service back from an older copy"; "table" => self.table,
+        self.is_restored = self.is_whole && before.is_some_and(|before| before < era);
+        if self.is_restored {
+            warn!(relay.log, "table service restored from an older backup"; "table" => self.table,
                 "era" => era, "before" => before);
             relay.telemetry.era(era);
         }
     }
 
-    /// Changes after a revision, with the latest moment at which nothing newer was there.
-    async fn changes<D: Downstream>(
+    /// Reads the changes after a revision; returns them with the latest moment at which the table is
+    /// known to have contained nothing newer.
+    async fn read_changes<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         after: RowRevision,
-        paused: bool,
+        was_paused: bool,
     ) -> Result<(Changes, Instant), Miss> {
-        let shared = shared(relay);
-        let gather = if shared {
-            GATHER_SHARED
+        let is_shared = is_shared(relay);
+        let debounce = if is_shared {
+            SHARED_DEBOUNCE
         } else {
-            self.pace.gather
+            self.intervals.debounce
         };
-        let hurried = std::mem::take(&mut self.hurried) || paused;
-        if let Some(told) = self.told.take().filter(|_| !hurried) {
-            sleep_until(told + gather).await;
+        let skip_wait = std::mem::take(&mut self.skip_wait) || was_paused;
+        if let Some(received) = self.last_changes.take().filter(|_| !skip_wait) {
+            sleep_until(received + debounce).await;
         }
-        let wait = self.wait(relay, shared, hurried);
+        let wait = self.poll_wait(relay, is_shared, skip_wait);
         let asked = Instant::now();
         let changes = self.source.changes(self.table, after, wait).await?;
-        // One that says nothing new has waited for it all the time.
-        let waited = changes.rows.is_empty() && asked.elapsed() >= wait;
-        Ok((changes, if waited { asked + wait } else { asked }))
+        // A response without changes after the full wait shows that there were none until the end of the
+        // wait.
+        let was_idle = changes.rows.is_empty() && asked.elapsed() >= wait;
+        Ok((changes, if was_idle { asked + wait } else { asked }))
     }
 
-    /// How long the next question waits for changes.
-    fn wait<D: Downstream>(&self, relay: &Relay<D>, shared: bool, hurried: bool) -> Duration {
-        if hurried {
+    /// How long the next request waits for changes.
+    fn poll_wait<D: Downstream>(
+        &self,
+        relay: &Relay<D>,
+        is_shared: bool,
+        skip_wait: bool,
+    ) -> Duration {
+        if skip_wait {
             return Duration::ZERO;
         }
-        if self.lost.is_some() {
-            return WAIT_LOST;
+        if self.outage_since.is_some() {
+            return OUTAGE_POLL_WAIT;
         }
-        if !shared {
-            let is_new = relay.now() < START;
+        if !is_shared {
+            let is_new = relay.now() < STARTUP_PERIOD;
             return if is_new {
-                self.pace.shared
+                self.intervals.shared
             } else {
-                self.pace.alone
+                self.intervals.standalone
             };
         }
         if relay.peers.members(|members| members.upstream()).is_some() {
-            // It could not tell; another one may.
+            // The upstream process had no update; another one may have one.
             return Duration::ZERO;
         }
-        (self.current() + self.pace.shared).saturating_sub(relay.now())
+        (self.current() + self.intervals.shared).saturating_sub(relay.now())
     }
 
-    fn regain<D: Downstream>(&mut self, relay: &Relay<D>) {
-        self.pause = PAUSE;
-        let Some(lost) = self.lost.take() else { return };
-        info!(relay.log, "table service regained"; "table" => self.table,
-            "away_ms" => millis(lost.elapsed()), "from" => self.origin());
+    fn note_recovery<D: Downstream>(&mut self, relay: &Relay<D>) {
+        self.retry_delay = INITIAL_RETRY_DELAY;
+        let Some(since) = self.outage_since.take() else {
+            return;
+        };
+        info!(relay.log, "table service available again"; "table" => self.table,
+            "away_ms" => millis(since.elapsed()), "from" => self.origin());
     }
 }
 
-/// Waits until rows that were left out should have come in another way.
-async fn overdue<D: Downstream>(relay: &Relay<D>, withheld: Option<(RowRevision, Instant)>) {
+/// Waits until the content of withheld rows should have arrived.
+async fn wait_withheld_timeout<D: Downstream>(
+    relay: &Relay<D>,
+    withheld: Option<(RowRevision, Instant)>,
+) {
     let Some((_, since)) = withheld else {
         return std::future::pending().await;
     };
     loop {
         let progress = relay.peers.transfer.progress();
         let progress = progress.map_or(since, |at| since.max(relay.started() + at));
-        let until = progress + WITHHELD_WAIT;
+        let until = progress + WITHHELD_TIMEOUT;
         if until <= Instant::now() {
             return;
         }
@@ -490,6 +518,6 @@
 }
 
 /// Whether a few processes read the tables for all.
-fn shared<D: Downstream>(relay: &Relay<D>) -> bool {
+fn is_shared<D: Downstream>(relay: &Relay<D>) -> bool {
     relay.peers.members(|members| members.shares_tables())
 }
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -1,13 +1,13 @@
-//! The processes of the system, as their rows in the table service tell.
+//! The relay processes, as registered by their rows in the table service.
 //!
-//! Each process writes one row at its start. No row says that a process is gone: that shows when it
-//! cannot be reached, and ends when it can be again or has started anew.
+//! Each process writes one row when it starts. No row says that a process is gone: it is suspected when
+//! it cannot be reached, until a short time has passed or it has restarted.
 
 pub mod tree;
 
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::follow::{Follower, Pace, TableSource};
+use crate::follow::{Follower, PollIntervals, TableSource};
 use crate::quarantine;
 use crate::runner::DomainId;
 use crate::telemetry::millis;
@@ -29,82 +29,83 @@
 /// Name of a process.
 pub type MemberId = Arc<str>;
 
-/// Table with a row for each process, and for each request that is held back.
+/// Table with a row for each process and for each quarantined request.
 pub(crate) const TABLE: &str = "relay";
-/// Time for which a process that could not be reached is left out.
-const SUSPECT: Duration = Duration::from_secs(2);
-/// How the others' rows are followed. A process that is new to the others is given no work until it
-/// is known, and one that is gone shows by its links.
-const PACE: Pace = Pace {
-    gather: Duration::from_secs(2),
-    alone: Duration::from_secs(15),
+/// Time for which a process that could not be reached is not used.
+const SUSPECT_TTL: Duration = Duration::from_secs(2);
+/// Intervals at which the rows of the processes are polled. They can be long: a new process gets no work
+/// until the others know it, and a process that is gone is detected by its links.
+const POLL_INTERVALS: PollIntervals = PollIntervals {
+    debounce: Duration::from_secs(2),
+    standalone: Duration::from_secs(15),
     shared: Duration::from_secs(5),
-    most: MAX_AGE,
+    max_age: MAX_AGE,
 };
-/// Greatest age of what others tell of the rows.
+/// Maximum age of rows that were received from peers.
 pub(crate) const MAX_AGE: Duration = Duration::from_secs(8);
-/// Greatest age of the list of processes that is acted on where only so many may act. A question
-/// that waits for changes is answered after [`Pace::alone`] at the latest.
-const ROSTER_AGE: Duration = Duration::from_secs(17);
-/// Time between the last request of one process and the first of the one that takes its place, at
-/// least: requests are counted over a second, and may take some tenths to be sent.
-const ROSTER_APART: Duration = Duration::from_millis(1_500);
-/// Processes from which on a few read the tables for all: fewer would ask the table service as often
-/// when each reads for itself.
-const SHARED_FROM: usize = 12;
-/// Longest wait of a start for the first list of the processes.
-const LIST_WAIT: Duration = Duration::from_secs(1);
-/// Mean time between two processes that write their rows again.
-const REWRITE_EVERY: Duration = Duration::from_millis(10);
-/// Longest pause between tries to write the own row.
-const PAUSE_MOST: Duration = Duration::from_millis(800);
-
-/// One process.
+/// Maximum age of the list of processes that permits an action which only a limited number of processes
+/// may take. A request that waits for changes gets its response after [`PollIntervals::standalone`] at
+/// the latest.
+const MAX_LIST_AGE: Duration = Duration::from_secs(17);
+/// Minimum time between the last request of one process and the first request of the process that takes
+/// its place: requests are counted over a second, and sending one may take some tenths of a second.
+const HANDOVER_DELAY: Duration = Duration::from_millis(1_500);
+/// Number of processes from which on a few read the tables for all. With fewer processes, the table
+/// service gets as many requests if each process reads for itself.
+const MIN_SHARING_PROCESSES: usize = 12;
+/// Maximum time that a starting process waits for the first list of processes.
+const LIST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Mean time between the writes of two processes that rewrite their rows.
+const REWRITE_SPACING: Duration = Duration::from_millis(10);
+/// Maximum delay between two attempts to write the row of this process.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+
+/// A relay process, as its row describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name: that of its VM.
+    /// Id of the process, which is the name of its VM.
     pub id: MemberId,
-    /// Drawn anew at each start.
+    /// Random number that is different for each start.
     pub incarnation: u64,
-    /// Where the others connect.
+    /// Address that the others connect to.
     pub address: SocketAddr,
     /// Failure domain that it runs in.
     #[serde(default = "no_domain")]
     pub domain: DomainId,
-    /// How much work it can do compared to the others.
+    /// Capacity relative to the others.
     pub weight: f64,
-    /// Reading of the table service's clock, in milliseconds, when a row of this name was first
-    /// written, whatever start of the process wrote it.
+    /// Time in milliseconds on the table service's clock when a row with this id was first written, by
+    /// any start of the process.
     #[serde(default)]
     pub since: Option<u64>,
 }
 
-/// That of a process whose row does not tell it.
+/// The domain of a process whose row does not contain one.
 fn no_domain() -> DomainId {
     "".into()
 }
 
-/// What is known of the processes.
+/// The relay processes, as this process knows them.
 #[derive(Debug)]
 pub struct Members {
     own: Member,
     others: Map<MemberId, Member>,
     suspects: Map<MemberId, (u64, Instant)>,
     left: Map<MemberId, u64>,
-    /// Row of an earlier start of this process.
-    former: Option<Member>,
-    /// Reading of the table service's clock when the processes were first listed.
-    clock: Option<Duration>,
-    /// Who tells whom what is new in the tables.
+    /// Row that an earlier start of this process has written.
+    previous_row: Option<Member>,
+    /// Time on the table service's clock when the processes were first listed.
+    listed_clock: Option<Duration>,
+    /// Tree over which changes of the tables are distributed.
     pub tree: Tree,
     listed: bool,
     leaving: bool,
-    /// Whether this process takes part in work that only so many may do at a time.
+    /// Whether this process may do work that only a limited number of processes may do at a time.
     pub(crate) roster: Roster,
 }
 
 impl Members {
-    /// Only the own process is known.
+    /// Creates the list with only this process in it.
     #[must_use]
     pub fn new(own: Member) -> Self {
         Self {
@@ -113,19 +114,19 @@
             others: Map::default(),
             suspects: Map::default(),
             left: Map::default(),
-            former: None,
-            clock: None,
+            previous_row: None,
+            listed_clock: None,
             listed: false,
             leaving: false,
-            roster: Roster::new(ROSTER_AGE, ROSTER_APART),
+            roster: Roster::new(MAX_LIST_AGE, HANDOVER_DELAY),
         }
     }
 
-    /// Takes in a row as of a revision; tells whether it is new.
+    /// Stores the row of a process as of a revision; returns whether it is new or has changed.
     pub fn put(&mut self, member: Member, revision: RowRevision) -> bool {
         if member.id == self.own.id {
-            let is_former = member.incarnation != self.own.incarnation;
-            self.former = is_former.then_some(member);
+            let is_earlier_start = member.incarnation != self.own.incarnation;
+            self.previous_row = is_earlier_start.then_some(member);
             return false;
         }
         if self.others.get(&member.id) == Some(&member) {
@@ -136,97 +137,106 @@
         true
     }
 
-    /// Forgets a process whose row is gone.
+    /// Removes a process whose row was deleted.
     pub fn remove(&mut self, id: &str) {
         self.tree.remove(id);
         self.others.remove(id);
     }
 
-    /// A process could not be reached.
+    /// Suspects a process that could not be reached, for a short time.
     pub fn suspect(&mut self, member: &Member) {
-        let until = Instant::now() + SUSPECT;
+        let until = Instant::now() + SUSPECT_TTL;
         self.suspects
             .insert(member.id.clone(), (member.incarnation, until));
     }
 
-    /// A process said that it stops; it does no more work for others until it starts anew.
+    /// Records that a process has announced to stop; it does no more work for others until it has
+    /// restarted.
     pub fn mark_left(&mut self, id: MemberId, incarnation: u64) {
         self.left.insert(id, incarnation);
     }
 
-    /// All rows that there were have been taken in.
+    /// Records that all rows of the table have been stored.
     pub fn mark_listed(&mut self) {
         self.listed = true;
     }
 
-    /// The own process stops and takes no more work from the others.
+    /// Records that this process stops and accepts no more work from the others.
     pub fn mark_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Processes that are there, the own one included; `None` before they are listed.
+    /// Number of processes, including this one; `None` before they are listed.
     #[must_use]
     pub fn count(&self) -> Option<usize> {
         self.listed.then(|| self.others.len() + 1)
     }
 
-    /// The own row is in the table as of now, and a revision.
+    /// Records that the row of this process was written at this time, with this revision.
     pub fn mark_registered(&mut self, now: Duration, revision: RowRevision) {
         self.tree.put(&self.own, revision);
         self.roster.enlisted(now);
     }
 
-    /// When a row of this name was first written, by the table service's clock, and whether that is so
-    /// long ago that all processes know of it.
-    fn since(&self) -> (Option<Duration>, bool) {
-        let former = self.former.as_ref().and_then(|former| former.since);
-        let since = former.map(Duration::from_millis);
-        let age = since.and_then(|since| self.clock?.checked_sub(since));
-        let is_settled = age.is_some_and(|age| age >= ROSTER_AGE + ROSTER_APART);
-        (since.or(self.clock), is_settled)
+    /// When a row with this process's id was first written, on the table service's clock, and whether
+    /// that is so long ago that all processes know of it.
+    fn registered_since(&self) -> (Option<Duration>, bool) {
+        let previous_row = self
+            .previous_row
+            .as_ref()
+            .and_then(|previous_row| previous_row.since);
+        let since = previous_row.map(Duration::from_millis);
+        let age = since.and_then(|since| self.listed_clock?.checked_sub(since));
+        let is_settled = age.is_some_and(|age| age >= MAX_LIST_AGE + HANDOVER_DELAY);
+        (since.or(self.listed_clock), is_settled)
     }
 
-    /// Whether this process is one of the few that may send to a runner that has just started. Those
-    /// that cannot be reached keep their places: two processes that disagree on that would both send.
+    /// Whether this process is one of the few that may send to a runner that has just started.
+    /// Unreachable processes keep their places, since two processes that disagree on reachability would
+    /// both send.
     #[must_use]
     pub fn has_place(&self, share: &Share, runner: &str) -> bool {
         let others = self.others.keys().map(|id| &**id);
         share.has_place(runner, &self.own.id, others)
     }
 
-    /// The other processes that can be reached, as far as is known.
+    /// The other processes, except the suspected ones.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         let others = self.others.values();
         others.filter(|member| !self.is_suspect(member))
     }
 
-    /// Whether there are so many processes that a few read the tables for all.
+    /// Whether there are enough processes that a few read the tables for all.
     #[must_use]
     pub fn shares_tables(&self) -> bool {
-        self.count().is_some_and(|count| count >= SHARED_FROM)
+        self.count()
+            .is_some_and(|count| count >= MIN_SHARING_PROCESSES)
     }
 
-    /// The process that tells this one what is new in the platform's tables; none if it reads them.
+    /// The process from which this one receives changes of the platform's tables; `None` if it reads
+    /// them itself.
     #[must_use]
     pub fn upstream(&mut self) -> Option<Member> {
         self.shares_tables().then_some(())?;
         let upstreams = self.tree.upstreams();
-        upstreams.iter().find_map(|id| self.can_ask(id))
+        upstreams.iter().find_map(|id| self.available_member(id))
     }
 
-    /// A process that has most likely been there for a while, to be asked for whole tables. `draw` picks
-    /// one of many, so that those which start together don't ask the same one.
+    /// A process that has most likely been running for a while, from which whole tables can be
+    /// requested.
+    /// `random` selects one of many, so that processes which start together do not choose the same one.
     #[must_use]
-    pub fn helper(&self, draw: u32) -> Option<Member> {
+    pub fn bootstrap_peer(&self, random: u32) -> Option<Member> {
         self.shares_tables().then_some(())?;
-        self.tree.helper(draw, |id| self.can_ask(id))
+        self.tree
+            .bootstrap_peer(random, |id| self.available_member(id))
     }
 
-    /// The process of that name, if it may be asked.
-    fn can_ask(&self, id: &str) -> Option<Member> {
+    /// The process with this id, if it is neither suspected nor stopping.
+    fn available_member(&self, id: &str) -> Option<Member> {
         let member = self.others.get(id)?;
-        let can_ask = !self.is_suspect(member) && !self.leaves(member);
-        can_ask.then(|| member.clone())
+        let is_available = !self.is_suspect(member) && !self.is_leaving(member);
+        is_available.then(|| member.clone())
     }
 
     fn is_suspect(&self, member: &Member) -> bool {
@@ -236,8 +246,8 @@
         })
     }
 
-    /// The place of this process in the order in which the processes that can be reached take over a
-    /// piece of work from one another.
+    /// The position of this process in the order in which the reachable processes take over a piece of
+    /// work from one another.
     #[must_use]
     pub fn takeover_rank(&self, work: &str) -> u32 {
         let own = rank(work, &self.own.id);
@@ -248,13 +258,17 @@
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
-    /// The few processes that this one keeps links to, spread over the failure domains. Each process
-    /// chooses for itself, and the links of all lead from any process to any other.
+    /// The few processes that this one maintains links to, spread over the failure domains. Each process
+    /// chooses for itself, and all links together connect every process with every other.
     #[must_use]
-    pub fn neighbours(&self, count: usize, is_gone: impl Fn(&MemberId) -> bool) -> Vec<Member> {
+    pub fn neighbours(
+        &self,
+        count: usize,
+        is_unreachable: impl Fn(&MemberId) -> bool,
+    ) -> Vec<Member> {
         let others: Map<&str, &Member> = self
             .reachable()
-            .filter(|member| !self.leaves(member) && !is_gone(&member.id))
+            .filter(|member| !self.is_leaving(member) && !is_unreachable(&member.id))
             .map(|member| (&*member.id, member))
             .collect();
         let candidates: Vec<subset::Candidate<'_>> = others
@@ -269,25 +283,25 @@
         found.map(|member| (*member).clone()).collect()
     }
 
-    fn leaves(&self, member: &Member) -> bool {
+    fn is_leaving(&self, member: &Member) -> bool {
         if member.id == self.own.id {
             return self.leaving;
         }
         self.left.get(&member.id) == Some(&member.incarnation)
     }
 
-    /// The process that does a piece of work.
+    /// The process that owns a piece of work.
     ///
-    /// One that stops does none as long as another can. Where all of them stop at once, they go on
-    /// to agree on one: each working for itself, they would get into one another's way just when
-    /// they have to be done.
+    /// A stopping process owns none as long as there is another. If all stop at once, they still agree
+    /// on one of them: if each worked for itself, they would compete for the runners just when their
+    /// work has to end.
     #[must_use]
     pub fn owner(&self, work: &str) -> Member {
         let all: Vec<&Member> = self.reachable().chain([&self.own]).collect();
         let staying: Vec<&Member> = all
             .iter()
             .copied()
-            .filter(|member| !self.leaves(member))
+            .filter(|member| !self.is_leaving(member))
             .collect();
         let members = if staying.is_empty() { all } else { staying };
         let candidate = |member: &&'_ Member| (member.id.clone(), member.weight);
@@ -305,42 +319,42 @@
     }
 }
 
-/// Writes the own row, however long the table service is away, and again whenever the service has come
-/// back from a copy that may not have it.
+/// Writes the row of this process, however long the table service is unavailable, and writes it again
+/// whenever the service was restored from a backup that may lack it.
 pub async fn register<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
-    let begun = Instant::now();
-    relay.peers.members_read(LIST_WAIT).await;
+    let started = Instant::now();
+    relay.peers.wait_members_read(LIST_TIMEOUT).await;
     let mut member = relay.options.member.clone();
-    let (since, is_settled) = relay.peers.members(|members| members.since());
+    let (since, is_settled) = relay.peers.members(|members| members.registered_since());
     member.since = since.map(millis);
-    let Some(revision) = write(&relay, &table, &member).await else {
+    let Some(revision) = write_row(&relay, &table, &member).await else {
         return;
     };
-    info!(relay.log, "enlisted"; "after_ms" => millis(begun.elapsed()), "settled" => is_settled);
+    info!(relay.log, "enlisted"; "after_ms" => millis(started.elapsed()), "settled" => is_settled);
     relay.peers.members(|members| {
         members.mark_registered(relay.now(), revision);
         if is_settled {
             members.roster.settle();
         }
     });
-    relay.peers.note_enlisted();
+    relay.peers.mark_registered();
     loop {
-        relay.peers.rewrite.notified().await;
-        // All processes write again, on top of what all runners write.
+        relay.peers.rewrite_own_row.notified().await;
+        // All processes rewrite their rows, in addition to what all runners write.
         let others = u32::try_from(relay.processes()).unwrap_or(u32::MAX);
         let spread = relay.random(|rng| rng.random_range(0.0..1.0));
-        sleep((REWRITE_EVERY * others).mul_f64(spread)).await;
-        if let Some(revision) = write(&relay, &table, &member).await {
+        sleep((REWRITE_SPACING * others).mul_f64(spread)).await;
+        if let Some(revision) = write_row(&relay, &table, &member).await {
             relay
                 .peers
                 .members(|members| members.mark_registered(relay.now(), revision));
-            info!(relay.log, "own row written again");
+            info!(relay.log, "own row rewritten");
         }
     }
 }
 
-/// Writes the own row; gives its revision if it could.
-async fn write<D: Downstream, T: Table>(
+/// Writes the row of this process; returns its revision if it succeeds.
+async fn write_row<D: Downstream, T: Table>(
     relay: &Relay<D>,
     table: &T,
     member: &Member,
@@ -348,7 +362,7 @@
     let value = match serde_json::to_value(member) {
         Ok(value) => value,
         Err(error) => {
-            warn!(relay.log, "own row cannot be written"; "error" => %error);
+            warn!(relay.log, "cannot encode own row"; "error" => %error);
             return None;
         }
     };
@@ -361,35 +375,40 @@
         checks: Vec::new(),
         puts: vec![put],
     };
-    let mut pause = Duration::from_millis(20);
+    let mut retry_delay = Duration::from_millis(20);
     loop {
         let error = match table.transact(&transaction).await {
             Ok(revision) => return Some(revision),
             Err(error @ Error::Conflict { .. }) => {
-                warn!(relay.log, "own row cannot be written"; "error" => %error);
+                warn!(relay.log, "cannot write own row"; "error" => %error);
                 return None;
             }
             Err(error) => error,
         };
-        info!(relay.log, "own row not written yet"; "error" => %error);
+        info!(relay.log, "cannot write own row yet, retrying"; "error" => %error);
         let jitter = relay.random(|rng| rng.random_range(0.5..1.0));
-        let told = match error {
+        let retry_after = match error {
             Error::Unavailable { retry_after, .. } => retry_after,
             _ => None,
         };
-        sleep(pause.max(told.unwrap_or_default()).mul_f64(jitter)).await;
-        pause = (pause * 2).min(PAUSE_MOST);
+        sleep(
+            retry_delay
+                .max(retry_after.unwrap_or_default())
+                .mul_f64(jitter),
+        )
+        .await;
+        retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
 /// Follows the rows of the other processes until the task is dropped.
 pub async fn follow<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
-    let mut follower = Follower::new(&relay, source, TABLE, PACE);
+    let mut follower = Follower::new(&relay, source, TABLE, POLL_INTERVALS);
     let mut is_first = true;
     loop {
         let mut changes = follower.next(&relay).await;
-        if follower.restored {
-            relay.peers.rewrite.notify_one();
+        if follower.is_restored {
+            relay.peers.rewrite_own_row.notify_one();
             quarantine::write_again(&relay);
         }
         changes
@@ -397,33 +416,34 @@
             .retain(|change| !quarantine::take(&relay, change));
         quarantine::forget_old(&relay);
         relay.peers.members(|members| {
-            if follower.restored {
-                // The copy may have an earlier start of a process; it writes its row again.
+            if follower.is_restored {
+                // The backup may contain the row of an earlier start of a process, which will rewrite
+                // its row.
                 changes
                     .rows
                     .retain(|change| !members.others.contains_key(change.key.as_str()));
             }
             for change in changes.rows {
-                take(&relay, members, &change);
+                apply_row(&relay, members, &change);
             }
-            members.clock = members.clock.or(changes.clock);
+            members.listed_clock = members.listed_clock.or(changes.clock);
             members.mark_listed();
             members.roster.read(follower.current());
         });
-        relay.peers.note_read();
+        relay.peers.mark_members_read();
         let is_alone = !relay.peers.members(|members| members.shares_tables());
         if std::mem::take(&mut is_first) && is_alone && relay.options.first_start {
-            // Many may be about to start together. Once the own row is there, so are those that were
-            // written before it.
-            relay.peers.enlisted(LIST_WAIT).await;
-            follower.hurried = true;
+            // Many processes may be starting together. Once the row of this process is in the table, all
+            // rows that were written before it are, too.
+            relay.peers.wait_registered(LIST_TIMEOUT).await;
+            follower.skip_wait = true;
             continue;
         }
-        relay.peers.note_listed();
+        relay.peers.mark_members_listed();
     }
 }
 
-fn take<D: Downstream>(relay: &Relay<D>, members: &mut Members, change: &store::Change) {
+fn apply_row<D: Downstream>(relay: &Relay<D>, members: &mut Members, change: &store::Change) {
     let Some(value) = &change.value else {
         members.remove(&change.key);
         return;
@@ -438,7 +458,7 @@
             }
         }
         Err(error) => {
-            warn!(relay.log, "row of a member unreadable"; "row" => &change.key, "error" => %error);
+            warn!(relay.log, "invalid member row"; "row" => &change.key, "error" => %error);
         }
     }
 }
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -1,5 +1,5 @@
-//! What the processes say to one another: pieces for the one that forms a cell's calls, and which
-//! configuration is in force.
+//! Communication between the relay processes: orders for the owner of a cell, and the state that all
+//! processes share, such as the configuration in force.
 
 mod call_loads;
 mod frame;
@@ -34,58 +34,59 @@
 use transfer::Transfer;
 use wire::{Key, Sender};
 
-/// Processes that are asked, one after the other, to make the pieces of an order.
-const OWNERS: usize = 3;
-/// Time for a link to come about: some round trips of a few milliseconds and the work of two
-/// handshakes on a slow VM.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Age up to which a peer's word on its load is believed.
-const LOAD_LIFE: Duration = Duration::from_secs(1);
+/// Owners that an order is offered to, one after the other, before it is executed locally.
+const MAX_OWNER_ATTEMPTS: usize = 3;
+/// Timeout for opening a link: some round trips of a few milliseconds and the work of two handshakes on
+/// a slow VM.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Age up to which a peer's wait estimates are used.
+const WAIT_ESTIMATE_TTL: Duration = Duration::from_secs(1);
 
-/// The other processes.
+/// The other relay processes, the links to them and the state that is exchanged over these.
 #[derive(Debug)]
 pub struct Peers {
     key: Key,
     members: Mutex<Members>,
-    slots: Mutex<Map<MemberId, Arc<Slot>>>,
+    links: Mutex<Map<MemberId, Arc<LinkSlot>>>,
     subscribers: Mutex<Vec<Sender<Frame>>>,
-    loads: Mutex<Map<Cell, (Waits, Instant)>>,
-    held: Mutex<Map<Cell, Held>>,
+    wait_estimates: Mutex<Map<Cell, (Waits, Instant)>>,
+    held_results: Mutex<Map<Cell, HeldResults>>,
     pub(crate) call_loads: CallLoadTable,
-    /// How far this process has got to know the others.
-    stage: watch::Sender<Stage>,
-    /// Wakes the task that writes the own row.
-    pub(crate) rewrite: Notify,
-    /// What was read of the platform's tables.
+    /// What this process has completed of its own registration and of reading the list of processes.
+    startup: watch::Sender<StartupState>,
+    /// Wakes the task that writes this process's row.
+    pub(crate) rewrite_own_row: Notify,
+    /// Contents of the platform's tables, for processes that request them.
     pub(crate) tables: Tables,
-    /// Configurations that go from one process to another.
+    /// Transfer of configurations between processes.
     pub(crate) transfer: Transfer,
-    /// Orders of other processes that are being carried out.
+    /// Orders of other processes that are being executed.
     pub(crate) orders: TaskTracker,
 }
 
-/// How far a process has got after its start to know the others.
+/// Steps that a process has completed since its start to register and to learn of the others.
 #[derive(Clone, Copy, Debug, Default)]
-struct Stage {
-    is_read: bool,
-    is_enlisted: bool,
-    is_listed: bool,
+struct StartupState {
+    members_read: bool,
+    registered: bool,
+    members_listed: bool,
 }
 
-/// Results that requests of this process hold in one cell.
+/// Stored results that requests of this process still need in one cell.
 #[derive(Debug, Default)]
-struct Held {
-    /// Who forms the cell's calls, as of the last order.
+struct HeldResults {
+    /// Id and incarnation of the cell's owner as of the last order.
     owner: Option<(MemberId, u64)>,
     results: Map<Handle, u64>,
 }
 
-impl Held {
-    /// The results, if the owner is another one than it was.
-    fn news_for(&mut self, owner: &Member) -> Option<Vec<(Handle, u64)>> {
-        let now = (owner.id.clone(), owner.incarnation);
-        let before = self.owner.replace(now.clone());
-        let changed = before.is_some_and(|before| before != now) && !self.results.is_empty();
+impl HeldResults {
+    /// The results, if the owner differs from that of the last order.
+    fn results_if_owner_changed(&mut self, owner: &Member) -> Option<Vec<(Handle, u64)>> {
+        let current = (owner.id.clone(), owner.incarnation);
+        let previous = self.owner.replace(current.clone());
+        let changed =
+            previous.is_some_and(|previous| previous != current) && !self.results.is_empty();
         changed.then(|| {
             let results = self.results.iter();
             results
@@ -95,10 +96,10 @@
     }
 }
 
-/// The link to one process; whoever finds none opens it while the others wait.
-type Slot = tokio::sync::Mutex<Option<Arc<PeerLink>>>;
+/// The link to one process. The first task that finds none opens it while the others wait.
+type LinkSlot = tokio::sync::Mutex<Option<Arc<PeerLink>>>;
 
-/// A link with the orders that wait for their outcome on it.
+/// A link with the orders and requests that await a response on it.
 #[derive(Debug)]
 pub(crate) struct PeerLink {
     incarnation: u64,
@@ -109,17 +110,17 @@
 #[derive(Debug)]
 pub(crate) struct Pending {
     next: u64,
-    received: Instant,
-    /// When a beat was sent that has not been answered.
-    beaten: Option<Instant>,
-    waiting: Map<u64, oneshot::Sender<Outcome>>,
-    /// Questions for news of a table.
-    news: Map<u64, oneshot::Sender<Option<TableUpdate>>>,
+    last_received: Instant,
+    /// When the oldest unanswered heartbeat was sent.
+    heartbeat_sent: Option<Instant>,
+    orders: Map<u64, oneshot::Sender<Outcome>>,
+    /// Requests for updates of a table.
+    updates: Map<u64, oneshot::Sender<Option<TableUpdate>>>,
 }
 
 impl Pending {
-    /// Names one more order or question on the link.
-    fn ticket(&mut self) -> u64 {
+    /// Allocates an id for one more order or request on the link.
+    fn next_ticket(&mut self) -> u64 {
         let ticket = self.next;
         self.next += 1;
         ticket
@@ -127,75 +128,81 @@
 }
 
 impl Peers {
-    /// None is known yet.
+    /// Creates the peers of `own`, with no other process known.
     #[must_use]
     pub fn new(own: Member, key: Key) -> Self {
         Self {
             key,
             members: Mutex::new(Members::new(own)),
-            slots: Mutex::default(),
+            links: Mutex::default(),
             subscribers: Mutex::default(),
-            loads: Mutex::default(),
-            held: Mutex::default(),
+            wait_estimates: Mutex::default(),
+            held_results: Mutex::default(),
             call_loads: CallLoadTable::default(),
-            stage: watch::Sender::default(),
-            rewrite: Notify::new(),
+            startup: watch::Sender::default(),
+            rewrite_own_row: Notify::new(),
             tables: Tables::default(),
             transfer: Transfer::default(),
             orders: TaskTracker::new(),
         }
     }
 
-    /// Works on what is known of the processes.
+    /// Runs `work` on the list of processes, under its lock.
     pub fn members<T>(&self, work: impl FnOnce(&mut Members) -> T) -> T {
         work(&mut lock(&self.members))
     }
 
-    /// The rows of the processes have been read.
-    pub(crate) fn note_read(&self) {
-        self.stage.send_modify(|stage| stage.is_read = true);
+    /// Records that the rows of the processes have been read.
+    pub(crate) fn mark_members_read(&self) {
+        self.startup
+            .send_modify(|startup| startup.members_read = true);
     }
 
-    /// The own row is written.
-    pub(crate) fn note_enlisted(&self) {
-        self.stage.send_modify(|stage| stage.is_enlisted = true);
+    /// Records that the row of this process has been written.
+    pub(crate) fn mark_registered(&self) {
+        self.startup
+            .send_modify(|startup| startup.registered = true);
     }
 
-    /// All processes are listed that are there, as far as can be known.
-    pub(crate) fn note_listed(&self) {
-        self.stage.send_modify(|stage| stage.is_listed = true);
+    /// Records that the list of processes is as complete as it can be.
+    pub(crate) fn mark_members_listed(&self) {
+        self.startup
+            .send_modify(|startup| startup.members_listed = true);
     }
 
-    /// Waits for a while until the rows of the processes have been read.
-    pub(crate) async fn members_read(&self, patience: Duration) {
-        self.wait_for(patience, |stage| stage.is_read).await;
+    /// Waits until the rows of the processes have been read, up to `max_wait`.
+    pub(crate) async fn wait_members_read(&self, max_wait: Duration) {
+        self.wait_startup(max_wait, |startup| startup.members_read)
+            .await;
     }
 
-    /// Waits for a while until the own row is written.
-    pub(crate) async fn enlisted(&self, patience: Duration) {
-        self.wait_for(patience, |stage| stage.is_enlisted).await;
+    /// Waits until the row of this process has been written, up to `max_wait`.
+    pub(crate) async fn wait_registered(&self, max_wait: Duration) {
+        self.wait_startup(max_wait, |startup| startup.registered)
+            .await;
     }
 
-    /// Waits for a while until the processes are listed.
-    pub(crate) async fn listed(&self, patience: Duration) {
-        self.wait_for(patience, |stage| stage.is_listed).await;
+    /// Waits until the list of processes is complete, up to `max_wait`.
+    pub(crate) async fn wait_members_listed(&self, max_wait: Duration) {
+        self.wait_startup(max_wait, |startup| startup.members_listed)
+            .await;
     }
 
-    async fn wait_for(&self, patience: Duration, reached: impl Fn(&Stage) -> bool) {
-        let mut stage = self.stage.subscribe();
-        // Whoever waits goes on without.
-        let _ = timeout(patience, stage.wait_for(|stage| reached(stage))).await;
+    async fn wait_startup(&self, max_wait: Duration, reached: impl Fn(&StartupState) -> bool) {
+        let mut startup = self.startup.subscribe();
+        // After a timeout the caller proceeds regardless.
+        let _ = timeout(max_wait, startup.wait_for(|startup| reached(startup))).await;
     }
 
-    /// Processes that are there, the own one included; `None` before they are listed.
+    /// Number of processes, including this one; `None` before they are listed.
     #[must_use]
     pub fn count(&self) -> Option<usize> {
         lock(&self.members).count()
     }
 
-    /// Tells all linked processes that this one stops, and that its work is for the next one.
+    /// Announces to all linked processes that this one stops and that others take over its work.
     ///
-    /// Others would go on to send it orders until it is gone, and lose them with it.
+    /// Without this, they would send it orders until it is gone, and lose these orders with it.
     pub fn announce_leaving(&self, own: &Member) {
         lock(&self.members).mark_leaving();
         let leaving = Frame::Leaving {
@@ -205,59 +212,60 @@
         self.broadcast(&leaving);
     }
 
-    /// Waits until the orders of other processes have been carried out.
+    /// Waits until the orders of other processes have been executed.
     pub async fn finish_orders(&self) {
         self.orders.close();
         self.orders.wait().await;
     }
 
-    /// Tells all linked processes which configuration is in force here.
+    /// Announces to all linked processes which configuration is in force here.
     pub fn announce(&self, version: Version) {
         self.broadcast(&Frame::Version(version));
     }
 
-    /// Tells all linked processes which failure domains are drained.
+    /// Announces to all linked processes which failure domains are drained.
     pub fn announce_drains(&self, drains: &Drains) {
         self.broadcast(&Frame::Drains(drains.clone()));
     }
 
-    /// Tells all linked processes of a request that ends runners.
+    /// Announces to all linked processes a request that is suspected of crashing runners.
     pub(crate) fn announce_suspicion(&self, suspicion: &Suspicion) {
         self.broadcast(&Frame::Suspicion(suspicion.clone()));
     }
 
-    /// Tells one process of such a request. Where no link comes about it is announced to all once more is
-    /// known of it.
+    /// Sends a suspected request to one process. If no link can be opened, the suspicion is announced to
+    /// all processes once more is known of it.
     pub(crate) async fn send_suspicion<D: Downstream>(
         &self,
         relay: &Arc<Relay<D>>,
         member: &Member,
         suspicion: Suspicion,
     ) {
-        if let Some(line) = self.line(relay, member).await {
-            let _ = line.sender.try_send(&Frame::Suspicion(suspicion));
+        if let Some(link) = self.link(relay, member).await {
+            let _ = link.sender.try_send(&Frame::Suspicion(suspicion));
         }
     }
 
-    /// Tells all linked processes of a runner's limit.
+    /// Announces a runner's limit to all linked processes.
     pub(crate) fn announce_limit(&self, notice: &Notice) {
         self.broadcast(&Frame::Limit(notice.clone()));
     }
 
-    /// A link whose queue is full misses the frame; what it missed shows in the next beat.
+    /// Sends a frame over all links. A link whose queue is full misses it; the next heartbeat then
+    /// reveals the difference.
     fn broadcast(&self, frame: &Frame) {
         lock(&self.subscribers)
             .retain(|subscriber| subscriber.try_send(frame).is_ok() || !subscriber.is_lost());
     }
 
-    /// From now on this process is told of what is announced.
+    /// Adds a link over which announcements are sent from now on.
     pub(crate) fn subscribe(&self, subscriber: Sender<Frame>) {
         let mut subscribers = lock(&self.subscribers);
         subscribers.retain(|subscriber| !subscriber.is_lost());
         subscribers.push(subscriber);
     }
 
-    /// Expected time until pieces of this rank that come now are made in a cell.
+    /// Expected time until pieces of this rank that arrive now at a cell are completed.
     pub fn expected_wait<D: Downstream>(
         &self,
         relay: &Relay<D>,
@@ -273,41 +281,44 @@
             let waits = relay.batcher(cell).expected(relay, &batches);
             return waits.map_or(Duration::ZERO, |waits| waits.of(rank));
         }
-        let loads = lock(&self.loads);
-        let fresh = loads
+        let wait_estimates = lock(&self.wait_estimates);
+        let fresh = wait_estimates
             .get(cell)
-            .filter(|(_, received)| received.elapsed() < LOAD_LIFE);
+            .filter(|(_, received)| received.elapsed() < WAIT_ESTIMATE_TTL);
         fresh.map_or(batches.shape.call, |(waits, _)| waits.of(rank))
     }
 
-    pub(crate) fn note_load(&self, cell: Cell, waits: Waits) {
-        lock(&self.loads).insert(cell, (waits, Instant::now()));
+    pub(crate) fn record_wait_estimates(&self, cell: Cell, waits: Waits) {
+        lock(&self.wait_estimates).insert(cell, (waits, Instant::now()));
     }
 
-    /// Notes results of a cell that a request holds now, each of this size.
+    /// Records results of a cell that a request needs from now on, each of this size.
     pub fn record_results(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
-        let mut held = lock(&self.held);
-        let results = &mut held.entry(cell.clone()).or_default().results;
+        let mut held_results = lock(&self.held_results);
+        let results = &mut held_results.entry(cell.clone()).or_default().results;
         results.extend(handles.iter().map(|handle| (handle.clone(), bytes)));
     }
 
-    /// Results that a new owner of a cell must be told of.
+    /// Results that must be reported to a new owner of a cell.
     ///
-    /// It would take the runners for empty, and have pieces made that find no room, until the
-    /// results lapse some seconds later.
-    fn news_for(&self, cell: &Cell, owner: &Member) -> Option<Vec<(Handle, u64)>> {
-        let mut held = lock(&self.held);
-        held.entry(cell.clone()).or_default().news_for(owner)
+    /// Without the report, it would assume that the runners are empty, and schedule pieces for which
+    /// there is no room, until the results expire some seconds later.
+    fn results_for_new_owner(&self, cell: &Cell, owner: &Member) -> Option<Vec<(Handle, u64)>> {
+        let mut held_results = lock(&self.held_results);
+        held_results
+            .entry(cell.clone())
+            .or_default()
+            .results_if_owner_changed(owner)
     }
 
-    /// Tells the owner of a cell that results are done with.
+    /// Notifies the owner of a cell that results were fetched or are not needed any more.
     pub fn release<D: Downstream>(&self, relay: &Arc<Relay<D>>, results: Results, spent: Spent) {
         let Results { cell, handles } = &results;
         if spent == Spent::Over
-            && let Some(held) = lock(&self.held).get_mut(cell)
+            && let Some(held_results) = lock(&self.held_results).get_mut(cell)
         {
             for handle in handles {
-                held.results.remove(handle);
+                held_results.results.remove(handle);
             }
         }
         let owner = lock(&self.members).owner(&cell.name());
@@ -315,45 +326,45 @@
             relay.batcher(cell).release(relay, handles, spent);
             return;
         }
-        let slot = lock(&self.slots).get(&owner.id).cloned();
-        // Without a link the results lapse by themselves.
-        if let Some(line) = slot.and_then(|slot| slot.try_lock().ok()?.clone()) {
-            let _ = line.sender.try_send(&Frame::Release { results, spent });
+        let slot = lock(&self.links).get(&owner.id).cloned();
+        // Without a link, the results expire by themselves.
+        if let Some(link) = slot.and_then(|slot| slot.try_lock().ok()?.clone()) {
+            let _ = link.sender.try_send(&Frame::Release { results, spent });
         }
     }
 
-    /// The link to a process, opened if there is none.
-    async fn line<D: Downstream>(
+    /// The link to a process, which is opened if there is none.
+    async fn link<D: Downstream>(
         &self,
         relay: &Arc<Relay<D>>,
         member: &Member,
     ) -> Option<Arc<PeerLink>> {
-        let slot = lock(&self.slots)
+        let slot = lock(&self.links)
             .entry(member.id.clone())
             .or_default()
             .clone();
-        let mut line = slot.lock().await;
-        if let Some(open) = line.as_ref()
+        let mut link = slot.lock().await;
+        if let Some(open) = link.as_ref()
             && !open.sender.is_lost()
             && open.incarnation == member.incarnation
         {
             return Some(open.clone());
         }
-        *line = None;
-        let linked = timeout(CONNECT, wire::connect(member.address, &self.key)).await;
-        match linked {
+        *link = None;
+        let connected = timeout(CONNECT_TIMEOUT, wire::connect(member.address, &self.key)).await;
+        match connected {
             Ok(Ok((sender, receiver))) => {
                 let open = Arc::new(PeerLink::new(member.incarnation, sender));
-                frame::start(relay.clone(), open.clone(), receiver);
-                *line = Some(open.clone());
+                frame::spawn_reader(relay.clone(), open.clone(), receiver);
+                *link = Some(open.clone());
                 Some(open)
             }
             Ok(Err(error)) => {
-                warn!(relay.log, "peer not reached"; "peer" => &*member.id, "error" => %error);
+                warn!(relay.log, "cannot connect to peer"; "peer" => &*member.id, "error" => %error);
                 None
             }
             Err(_) => {
-                warn!(relay.log, "peer not reached"; "peer" => &*member.id, "error" => "no link in time");
+                warn!(relay.log, "cannot connect to peer"; "peer" => &*member.id, "error" => "connection timed out");
                 None
             }
         }
@@ -364,10 +375,10 @@
     fn new(incarnation: u64, sender: Sender<Frame>) -> Self {
         let pending = Pending {
             next: 0,
-            received: Instant::now(),
-            beaten: None,
-            waiting: Map::default(),
-            news: Map::default(),
+            last_received: Instant::now(),
+            heartbeat_sent: None,
+            orders: Map::default(),
+            updates: Map::default(),
         };
         Self {
             incarnation,
@@ -376,43 +387,42 @@
         }
     }
 
-    fn enter(&self) -> (u64, oneshot::Receiver<Outcome>) {
+    fn add_order(&self) -> (u64, oneshot::Receiver<Outcome>) {
         let (reply, outcome) = oneshot::channel();
         let mut pending = lock(&self.pending);
-        if pending.waiting.is_empty() {
-            pending.received = Instant::now();
+        if pending.orders.is_empty() {
+            pending.last_received = Instant::now();
         }
-        let ticket = pending.ticket();
-        pending.waiting.insert(ticket, reply);
+        let ticket = pending.next_ticket();
+        pending.orders.insert(ticket, reply);
         (ticket, outcome)
     }
 }
 
-/// An order that waits on a link. One that is dropped is withdrawn, so that no runner works for a
-/// caller that has left.
-struct Waiting {
-    line: Arc<PeerLink>,
+/// An order that awaits its outcome on a link. Dropping it withdraws the order, so that no runner works
+/// for a client that has disconnected.
+struct PendingOrder {
+    link: Arc<PeerLink>,
     ticket: u64,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingOrder {
     fn drop(&mut self) {
-        if lock(&self.line.pending)
-            .waiting
+        if lock(&self.link.pending)
+            .orders
             .remove(&self.ticket)
             .is_some()
         {
             let withdraw = Frame::Withdraw {
                 ticket: self.ticket,
             };
-            // A link that is gone takes the order with it.
-            let _ = self.line.sender.try_send(&withdraw);
+            // If the link is lost, the other process withdraws the order by itself.
+            let _ = self.link.sender.try_send(&withdraw);
         }
     }
 }
 
-/// Has the pieces of an order made by the process that forms the cell's calls, or by the next one
-/// if that is gone.
+/// Executes an order at the cell's owner, or at the next owner if that one is gone.
 ///
 /// # Errors
 ///
@@ -422,27 +432,27 @@
     cell: &Cell,
     order: Order,
 ) -> Outcome {
-    for _ in 0..OWNERS {
+    for _ in 0..MAX_OWNER_ATTEMPTS {
         let owner = relay.peers.members(|members| members.owner(&cell.name()));
-        let news = relay.peers.news_for(cell, &owner);
+        let results = relay.peers.results_for_new_owner(cell, &owner);
         if owner.id == relay.options.member.id {
-            if let Some(results) = news {
+            if let Some(results) = results {
                 relay.batcher(cell).hold(relay, &results);
             }
-            return make_here(relay, cell, order).await;
+            return execute_locally(relay, cell, order).await;
         }
-        if let (Some(results), Some(line)) = (news, relay.peers.line(relay, &owner).await) {
+        if let (Some(results), Some(link)) = (results, relay.peers.link(relay, &owner).await) {
             let cell = cell.clone();
-            // A link that is lost shows when the order is sent.
-            let _ = line.sender.send(Frame::Held { cell, results }).await;
+            // A lost link is detected when the order is sent.
+            let _ = link.sender.send(Frame::Held { cell, results }).await;
         }
-        let asked = ask(relay, &owner, cell, &order).await;
-        match asked {
-            Asked::Ended(Err(Spoiled::NoRunner)) => break,
-            Asked::Ended(outcome) => return outcome,
-            Asked::Unreached => relay.peers.members(|members| members.suspect(&owner)),
-            Asked::Lost => {
-                info!(relay.log, "peer lost with an order"; "peer" => &*owner.id,
+        let forwarded = forward_order(relay, &owner, cell, &order).await;
+        match forwarded {
+            ForwardOutcome::Completed(Err(Spoiled::NoRunner)) => break,
+            ForwardOutcome::Completed(outcome) => return outcome,
+            ForwardOutcome::Unreachable => relay.peers.members(|members| members.suspect(&owner)),
+            ForwardOutcome::LinkLost => {
+                info!(relay.log, "link to peer lost while it executed an order"; "peer" => &*owner.id,
                     "request" => &*order.id, "stage" => order.stage);
                 relay.peers.members(|members| members.suspect(&owner));
                 if !relay.may_repeat(&cell.service) {
@@ -451,46 +461,50 @@
             }
         }
     }
-    make_here(relay, cell, order).await
+    execute_locally(relay, cell, order).await
 }
 
-async fn make_here<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
+async fn execute_locally<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    cell: &Cell,
+    order: Order,
+) -> Outcome {
     let outcome = relay.batcher(cell).submit(relay, order).await;
-    // The sending end is dropped without a word only when the order has been withdrawn.
+    // The sender is dropped without an outcome only when the order has been withdrawn.
     outcome.unwrap_or(Err(Spoiled::Failed))
 }
 
-/// What became of an order that another process was asked to carry out.
-enum Asked {
-    /// It told.
-    Ended(Outcome),
-    /// It was not reached.
-    Unreached,
-    /// The link was lost; the pieces may have been made.
-    Lost,
+/// Result of forwarding an order to another process.
+enum ForwardOutcome {
+    /// The process reported the order's outcome.
+    Completed(Outcome),
+    /// The process could not be reached.
+    Unreachable,
+    /// The link was lost; the pieces may have been executed.
+    LinkLost,
 }
 
-async fn ask<D: Downstream>(
+async fn forward_order<D: Downstream>(
     relay: &Arc<Relay<D>>,
     owner: &Member,
     cell: &Cell,
     order: &Order,
-) -> Asked {
-    let Some(line) = relay.peers.line(relay, owner).await else {
-        return Asked::Unreached;
+) -> ForwardOutcome {
+    let Some(link) = relay.peers.link(relay, owner).await else {
+        return ForwardOutcome::Unreachable;
     };
-    let (ticket, outcome) = line.enter();
-    let waiting = Waiting { line, ticket };
+    let (ticket, outcome) = link.add_order();
+    let pending = PendingOrder { link, ticket };
     let frame = Frame::Order {
         ticket,
         cell: cell.clone(),
         sheet: Box::new(WireOrder::new(order)),
     };
-    if waiting.line.sender.send(frame).await.is_err() {
-        return Asked::Unreached;
+    if pending.link.sender.send(frame).await.is_err() {
+        return ForwardOutcome::Unreachable;
     }
     match outcome.await {
-        Ok(outcome) => Asked::Ended(outcome),
-        Err(_) => Asked::Lost,
+        Ok(outcome) => ForwardOutcome::Completed(outcome),
+        Err(_) => ForwardOutcome::LinkLost,
     }
 }
--- a/crates/relay/src/peer/call_loads.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -1,8 +1,8 @@
-//! Which calls each process has at the runners that read prompts.
+//! Exchange of the load that each process's calls put on the runners that process prompts.
 //!
-//! One process of thirty sees a thirtieth of the calls. Taken for the whole, what it has sent itself
-//! says that a runner is free or hopelessly behind; what the others have sent makes the difference.
-//! One process for each service adds up what all tell it, and tells each what the others have.
+//! One process of thirty sees a thirtieth of the calls. From its own calls alone it cannot tell whether
+//! a runner is idle or overloaded: that depends on the calls of the others. One process for each service
+//! sums up the reports of all processes, and replies to each with the load of the others.
 
 use super::frame::Frame;
 use crate::core::{Relay, lock};
@@ -17,72 +17,76 @@
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// Time between two words on the own calls. A prompt is read in one or two tenths of a second; at
-/// thirty processes the one that adds up takes in 300 words a second.
-const EVERY: Duration = Duration::from_millis(100);
-/// Age up to which a word counts.
-const TTL: Duration = Duration::from_millis(500);
+/// Interval at which a process reports its calls. A prompt is read in one or two tenths of a second;
+/// with thirty processes, the one that sums up receives 300 reports a second.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Age up to which a report is used.
+const REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// Calls at each runner.
+/// Load that calls put on each runner.
 pub type CallLoads = Vec<(RunnerId, Burden)>;
 
-/// The last word of each process on its calls at each service.
+/// The latest report of each process on its calls at each service.
 #[derive(Debug, Default)]
-pub struct CallLoadTable(Mutex<Map<ServiceId, Map<MemberId, Word>>>);
+pub struct CallLoadTable(Mutex<Map<ServiceId, Map<MemberId, LoadReport>>>);
 
 #[derive(Debug)]
-struct Word {
+struct LoadReport {
     received: Instant,
     burdens: CallLoads,
 }
 
 impl CallLoadTable {
-    /// Takes in a process's word, and gives what the others have.
+    /// Stores the report of a process, and returns the summed load of the others.
     pub fn exchange(&self, service: &ServiceId, from: MemberId, burdens: CallLoads) -> CallLoads {
-        let mut board = lock(&self.0);
-        let words = board.entry(service.clone()).or_default();
-        words.retain(|_, word| word.received.elapsed() < TTL);
+        let mut table = lock(&self.0);
+        let reports = table.entry(service.clone()).or_default();
+        reports.retain(|_, report| report.received.elapsed() < REPORT_TTL);
         let mut sums: Map<RunnerId, Burden> = Map::default();
-        let others = words.iter().filter(|(member, _)| **member != from);
-        for (runner, burden) in others.flat_map(|(_, word)| &word.burdens) {
+        let others = reports.iter().filter(|(member, _)| **member != from);
+        for (runner, burden) in others.flat_map(|(_, report)| &report.burdens) {
             *sums.entry(runner.clone()).or_default() += *burden;
         }
-        let word = Word {
+        let report = LoadReport {
             received: Instant::now(),
             burdens,
         };
-        words.insert(from, word);
+        reports.insert(from, report);
         sums.into_iter().collect()
     }
 }
 
-/// Tells of the own calls until the task is dropped.
+/// Reports the calls of this process until the task is dropped.
 pub async fn exchange_call_loads<D: Downstream>(relay: Arc<Relay<D>>) {
     if relay.options.policy.board == Policy::Naive {
         return;
     }
-    let mut ticks = interval(EVERY);
+    let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         for (service, burdens) in relay.burdens() {
-            tell_one(&relay, service, burdens).await;
+            exchange_service(&relay, service, burdens).await;
         }
     }
 }
 
-async fn tell_one<D: Downstream>(relay: &Arc<Relay<D>>, service: ServiceId, burdens: CallLoads) {
+async fn exchange_service<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    service: ServiceId,
+    burdens: CallLoads,
+) {
     let own = relay.options.member.id.clone();
     let name = format!("board/{service}");
     let owner = relay.peers.members(|members| members.owner(&name));
     if owner.id == own {
         let others = relay.peers.call_loads.exchange(&service, own, burdens);
-        take(relay, &service, others);
+        apply(relay, &service, others);
         return;
     }
-    // Without a link, or with a full one, this word is left out: the next one tells as much.
-    if let Some(line) = relay.peers.line(relay, &owner).await {
-        let _ = line.sender.try_send(&Frame::Burdens {
+    // Without a link, or if its queue is full, this report is dropped: the next one replaces it anyway.
+    if let Some(link) = relay.peers.link(relay, &owner).await {
+        let _ = link.sender.try_send(&Frame::Burdens {
             service,
             from: own,
             burdens,
@@ -90,8 +94,8 @@
     }
 }
 
-/// Takes in what the other processes have at the runners.
-pub(super) fn take<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: CallLoads) {
+/// Applies the load that the other processes put on the runners.
+pub(super) fn apply<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: CallLoads) {
     let now = relay.now();
     relay.pool(service, |pool| pool.told(now, others));
 }
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! The frames, and what the asking end of a link does with them.
+//! The frames of links between processes, and how the end that opened a link handles them.
 
 use super::overlay::{self, StateDigest};
 use super::transfer::Part;
@@ -22,119 +22,119 @@
 use tokio::time::{Instant, sleep};
 use wire::{Receiver, Sender};
 
-/// Silence after which a link with orders on it is given up. The other end tells its load every
-/// [`super::serving::LOAD_EVERY`] as long as orders wait; waiting much longer for a process that is
-/// frozen would cost the requests their aim.
-const SILENCE: Duration = Duration::from_millis(900);
-/// Time between two looks at the silence of a link.
-const LOOK: Duration = Duration::from_millis(300);
-/// Time that the table service is given to tell a process that reads it of a configuration which a peer has
-/// already: asking the peer would cost the whole text once more.
-const OWN_WAY: Duration = Duration::from_millis(400);
+/// Time without a frame after which a link with pending orders is closed. The other end reports its load
+/// every [`super::serving::LOAD_REPORT_INTERVAL`] while orders are pending; waiting much longer for a
+/// frozen process would make the requests miss their latency target.
+const LINK_TIMEOUT: Duration = Duration::from_millis(900);
+/// Interval at which a link is checked for a timeout.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Time that a process which reads the tables itself waits for a configuration from the table service
+/// before it fetches it from a peer, which would transfer the whole text once more.
+const TABLE_READ_GRACE: Duration = Duration::from_millis(400);
 
-/// Who told what a peer told.
+/// Origin of what a peer sent, for logs.
 const PEER: &str = "peer";
 
-/// What processes say to one another.
+/// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Have these pieces made.
+    /// Requests the execution of pieces.
     Order {
-        /// Names the order on this link.
+        /// Id of the order on this link.
         ticket: u64,
-        /// Cell whose calls the other process forms.
+        /// Cell that the other process owns.
         cell: Cell,
         /// The pieces.
         sheet: Box<WireOrder>,
     },
-    /// The order's request is gone.
+    /// Cancels an order whose request is gone.
     Withdraw {
         /// The order.
         ticket: u64,
     },
-    /// What the order ended with.
+    /// Reports the outcome of an order.
     Outcome {
         /// The order.
         ticket: u64,
-        /// The results, or why there are none.
+        /// The results, or the reason why there are none.
         outcome: Outcome,
     },
-    /// Results are done with.
+    /// Reports that results were fetched or are not needed any more.
     Release {
         /// The results.
         results: Results,
-        /// How far.
+        /// Which of the two.
         spent: Spent,
     },
-    /// Results that the sender holds, for a process that has not formed the cell's calls before.
+    /// Reports the results that the sender needs to a process that was not the cell's owner before.
     Held {
-        /// Cell that made them.
+        /// Cell that produced them.
         cell: Cell,
         /// The results with their sizes in bytes.
         results: Vec<(Handle, u64)>,
     },
-    /// How long pieces that come now would take.
+    /// Reports how long pieces that arrive now would take.
     Load {
         /// The cell.
         cell: Cell,
-        /// Expected times until they are made.
+        /// Expected times until they are completed.
         waits: Waits,
     },
-    /// Calls that the sender has at a service's runners.
+    /// Reports the load of the sender's calls on a service's runners.
     Burdens {
         /// The service.
         service: ServiceId,
         /// The sender.
         from: MemberId,
-        /// The calls.
+        /// The load by runner.
         burdens: CallLoads,
     },
-    /// Calls that all other processes have there, in reply.
+    /// Replies with the load that the calls of all other processes put on these runners.
     Elsewhere {
         /// The service.
         service: ServiceId,
-        /// The calls.
+        /// The load by runner.
         burdens: CallLoads,
     },
-    /// What is new in a table of the platform?
+    /// Requests the changes of a platform table.
     AskNews {
-        /// Names the question on this link.
+        /// Id of the request on this link.
         ticket: u64,
         /// The table.
         table: String,
-        /// Revision up to which the sender knows it, if it does.
+        /// Revision up to which the sender has read the table, if it has.
         after: Option<RowRevision>,
     },
-    /// What is new there, if the sender knows the table.
+    /// Responds to a request for changes.
     News {
-        /// The question.
+        /// The request.
         ticket: u64,
-        /// What is new.
+        /// The changes, if the sender has read the table.
         news: Option<TableUpdate>,
     },
-    /// The configuration that is in force at the sender.
+    /// Version of the configuration in force at the sender.
     Version(Version),
-    /// The failure domains that are drained, as far as the sender knows.
+    /// The failure domains that are drained, as known to the sender.
     Drains(Drains),
-    /// What the sender knows of a request that has ended runners.
+    /// A request that is suspected of crashing runners, as known to the sender.
     Suspicion(Suspicion),
-    /// What the sender knows, in brief.
+    /// Heartbeat that compares the shared state of both ends.
     Beat {
-        /// Hashes of it.
+        /// Digest of the sender's state.
         beat: StateDigest,
-        /// Whether this answers the other end's.
+        /// Whether this responds to a heartbeat of the other end.
         answers: bool,
     },
-    /// What a runner asks for in its answers.
+    /// A limit that a runner sets in its responses.
     Limit(Notice),
-    /// The sender stops, and takes no more orders until it starts anew.
+    /// Announces that the sender stops and accepts no more orders until it has restarted.
     Leaving {
-        /// Its name.
+        /// Id of the sender.
         id: MemberId,
-        /// The start that is about to end.
+        /// Incarnation that stops.
         incarnation: u64,
     },
-    /// Asks for a part of a configuration.
+    /// Requests a part of a configuration.
     AskPart {
         /// The configuration.
         version: Version,
@@ -145,7 +145,8 @@
     Part(Part),
 }
 
-/// An order as another process gets it: clocks differ, so that times are told from now on.
+/// An order as it is sent to another process. Since the clocks of processes differ, its times are
+/// relative to the moment of sending.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireOrder {
     id: RequestId,
@@ -164,7 +165,7 @@
 }
 
 impl WireOrder {
-    /// The order as of now.
+    /// Converts an order, with times relative to now.
     #[must_use]
     pub fn new(order: &Order) -> Self {
         let now = Instant::now();
@@ -185,9 +186,9 @@
         }
     }
 
-    /// The order at the end that carries it out.
+    /// Converts it back at the receiver, with times from now on.
     #[must_use]
-    pub fn order(self) -> Order {
+    pub fn into_order(self) -> Order {
         let now = Instant::now();
         Order {
             id: self.id,
@@ -207,49 +208,50 @@
     }
 }
 
-/// Reads the link's frames until it is lost.
-pub(super) fn start<D: Downstream>(
+/// Registers a link that this process has opened, and reads its frames until it is lost.
+pub(super) fn spawn_reader<D: Downstream>(
     relay: Arc<Relay<D>>,
-    line: Arc<PeerLink>,
+    link: Arc<PeerLink>,
     receiver: Receiver<Frame>,
 ) {
-    relay.peers.subscribe(line.sender.clone());
-    greet(&relay, &line.sender);
-    tokio::spawn(read(relay, line, receiver));
+    relay.peers.subscribe(link.sender.clone());
+    send_state(&relay, &link.sender);
+    tokio::spawn(read_frames(relay, link, receiver));
 }
 
-/// Tells a new peer which configuration is in force here, and which failure domains are drained.
-pub(super) fn greet<D: Downstream>(relay: &Relay<D>, sender: &Sender<Frame>) {
+/// Sends a peer the state that all processes share: drained failure domains, runner limits, suspected
+/// requests and the version of the configuration in force.
+pub(super) fn send_state<D: Downstream>(relay: &Relay<D>, sender: &Sender<Frame>) {
     let drains = relay.drains();
     if drains.revision > 0 {
-        // First: a peer that takes the configuration from here must know them by then.
+        // The drains come first: a peer that fetches the configuration from here must know them by then.
         let _ = sender.try_send(&Frame::Drains(drains));
     }
     for notice in relay.limit_notices() {
-        // The runner says so again in its next answer.
+        // A lost notice is made up for by the runner's next response.
         let _ = sender.try_send(&Frame::Limit(notice));
     }
     for suspicion in relay.suspicions() {
-        // Those that do not fit into the queue are announced after the next beat.
+        // Those that do not fit into the queue are sent after the next heartbeat.
         let _ = sender.try_send(&Frame::Suspicion(suspicion));
     }
     if let Some(plan) = relay.plan() {
-        // A link that is gone already shows when it is read.
+        // A lost link is detected when it is read.
         let _ = sender.try_send(&Frame::Version(plan.version));
     }
 }
 
-async fn read<D: Downstream>(
+async fn read_frames<D: Downstream>(
     relay: Arc<Relay<D>>,
-    line: Arc<PeerLink>,
+    link: Arc<PeerLink>,
     mut receiver: Receiver<Frame>,
 ) {
     loop {
         let frame = tokio::select! {
             frame = receiver.recv() => frame,
-            () = sleep(LOOK) => {
-                if line.is_silent() {
-                    info!(relay.log, "peer silent, link given up");
+            () = sleep(LINK_CHECK_INTERVAL) => {
+                if link.is_timed_out() {
+                    info!(relay.log, "peer not responding, closing link");
                     break;
                 }
                 continue;
@@ -257,73 +259,80 @@
         };
         let Ok(Some(frame)) = frame else { break };
         {
-            let mut pending = lock(&line.pending);
-            pending.received = Instant::now();
-            pending.beaten = None;
+            let mut pending = lock(&link.pending);
+            pending.last_received = Instant::now();
+            pending.heartbeat_sent = None;
         }
         match frame {
-            Frame::Elsewhere { service, burdens } => call_loads::take(&relay, &service, burdens),
+            Frame::Elsewhere { service, burdens } => call_loads::apply(&relay, &service, burdens),
             Frame::Outcome { ticket, outcome } => {
-                let reply = lock(&line.pending).waiting.remove(&ticket);
-                // Whoever waited may have left meanwhile.
+                let reply = lock(&link.pending).orders.remove(&ticket);
+                // The waiting task may have been dropped meanwhile.
                 let _ = reply.map(|reply| reply.send(outcome));
             }
-            Frame::Load { cell, waits } => relay.peers.note_load(cell, waits),
+            Frame::Load { cell, waits } => relay.peers.record_wait_estimates(cell, waits),
             Frame::News { ticket, news } => {
-                let reply = lock(&line.pending).news.remove(&ticket);
-                // Whoever asked may have read the table meanwhile.
+                let reply = lock(&link.pending).updates.remove(&ticket);
+                // The requesting task may have read the table meanwhile.
                 let _ = reply.map(|reply| reply.send(news));
             }
-            other => common(&relay, &line.sender, other),
+            other => handle_frame(&relay, &link.sender, other),
         }
     }
-    line.sender.abandon();
-    transfer::lost(&relay, &line.sender);
-    // Dropping the senders tells all who wait that the link is gone.
-    let mut pending = lock(&line.pending);
-    pending.waiting.clear();
-    pending.news.clear();
+    link.sender.abandon();
+    transfer::link_lost(&relay, &link.sender);
+    // Dropping the senders notifies all waiting tasks that the link is gone.
+    let mut pending = lock(&link.pending);
+    pending.orders.clear();
+    pending.updates.clear();
 }
 
 impl PeerLink {
-    fn is_silent(&self) -> bool {
+    fn is_timed_out(&self) -> bool {
         let pending = lock(&self.pending);
-        let silent = pending.received.elapsed();
+        let silence = pending.last_received.elapsed();
         let unanswered = pending
-            .beaten
-            .is_some_and(|at| at.elapsed() > overlay::SILENCE);
-        !pending.waiting.is_empty() && silent > SILENCE || unanswered
+            .heartbeat_sent
+            .is_some_and(|at| at.elapsed() > overlay::HEARTBEAT_TIMEOUT);
+        !pending.orders.is_empty() && silence > LINK_TIMEOUT || unanswered
     }
 }
 
-/// Frames that both ends understand.
-pub(super) fn common<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, frame: Frame) {
+/// Handles frames that either end of a link may send.
+pub(super) fn handle_frame<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    sender: &Sender<Frame>,
+    frame: Frame,
+) {
     match frame {
-        Frame::Version(version) => compare_version(relay, sender, version),
+        Frame::Version(version) => check_version(relay, sender, version),
         Frame::Drains(drains) => relay.drain(&drains, PEER),
         Frame::Limit(notice) => relay.merge_notice(&notice, PEER),
         Frame::Suspicion(suspicion) => {
             relay.merge_suspicion(&suspicion, PEER);
             outage::probe_named(relay, &suspicion);
         }
-        Frame::Beat { beat, answers } => overlay::compare(relay, sender, beat, answers),
+        Frame::Beat { beat, answers } => overlay::compare_state(relay, sender, beat, answers),
         Frame::Leaving { id, incarnation } => {
-            info!(relay.log, "peer leaves"; "peer" => &*id, "incarnation" => incarnation);
+            info!(relay.log, "peer is stopping"; "peer" => &*id, "incarnation" => incarnation);
             relay
                 .peers
                 .members(|members| members.mark_left(id, incarnation));
         }
-        Frame::AskPart { version, offset } => transfer::answer(relay, sender, version, offset),
-        Frame::Part(part) => transfer::take(relay, sender, &part),
+        Frame::AskPart { version, offset } => transfer::send_part(relay, sender, version, offset),
+        Frame::Part(part) => transfer::receive_part(relay, sender, &part),
         _ => {}
     }
 }
 
-/// Processes that do not read the tables themselves learn of a new configuration, and of keys that were taken
-/// away, from their peers alone; so do those that the table service turns away.
-fn compare_version<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, version: Version) {
-    let behind = move |relay: &Relay<D>| relay.plan().is_none_or(|plan| plan.version < version);
-    if !behind(relay) {
+/// Fetches the configuration from a peer that has a newer version.
+///
+/// Processes that do not read the tables themselves, or whose requests the table service rejects, learn
+/// of a new configuration and of revoked keys from their peers alone.
+fn check_version<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, version: Version) {
+    let is_outdated =
+        move |relay: &Relay<D>| relay.plan().is_none_or(|plan| plan.version < version);
+    if !is_outdated(relay) {
         return;
     }
     if relay.peers.members(|members| members.upstream()).is_some() {
@@ -332,8 +341,8 @@
     }
     let (relay, sender) = (relay.clone(), sender.clone());
     tokio::spawn(async move {
-        sleep(OWN_WAY).await;
-        if behind(&relay) {
+        sleep(TABLE_READ_GRACE).await;
+        if is_outdated(&relay) {
             transfer::offer(&relay, &sender, version);
         }
     });
--- a/crates/relay/src/peer/overlay.rs
+++ b/crates/relay/src/peer/overlay.rs
@@ -1,9 +1,10 @@
-//! The links over which processes announce what all of them must know.
+//! The overlay network over which processes announce the state that all of them share.
 //!
-//! Each process keeps links to a few others. What is new to a process it passes on over all its links,
-//! so that it reaches every process in a few steps, while the links and the messages of one process do
-//! not grow with their number. Messages may be lost, and processes cut off or paused: the two ends of a
-//! link compare what they know every second, and tell each other all of it where that differs.
+//! Each process maintains links to a few others and forwards what is new to it over all its links. So an
+//! announcement reaches every process in a few steps, while the number of links and messages of one
+//! process does not grow with the number of processes. Messages may be lost, and processes may be
+//! partitioned or paused. Therefore the two ends of a link compare digests of their state every second,
+//! and send each other the whole state if the digests differ.
 
 use super::PeerLink;
 use super::frame::{self, Frame};
@@ -21,16 +22,16 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use wire::Sender;
 
-/// Links that a process opens; the others open as many to it.
-const LINKS: usize = 4;
-/// Time between two comparisons.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Time for which another process is chosen in place of one that was not reached.
-const UNREACHED: Duration = Duration::from_secs(2);
-/// Time after which a link on which a beat was not answered is given up.
-pub(super) const SILENCE: Duration = Duration::from_secs(3);
+/// Links that a process opens; on average the others open as many to it.
+const LINKS_OPENED: usize = 4;
+/// Interval at which the two ends of a link compare their state.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which an unreachable process is replaced by another one.
+const UNREACHABLE_TTL: Duration = Duration::from_secs(2);
+/// Time without a response to a heartbeat after which a link is closed.
+pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a process knows, in brief.
+/// Digest of the state that all processes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
     suspects: u64,
@@ -50,68 +51,77 @@
     }
 }
 
-/// Keeps links to a few other processes, and compares with them what is known, until the task is
+/// Maintains links to a few other processes, and compares the shared state with them, until the task is
 /// dropped.
 pub async fn maintain_links<D: Downstream>(relay: Arc<Relay<D>>) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // Kept apart from the suspects of those who send work: processes that disagree on who does it get
-    // into one another's way.
-    let mut unreached: Map<MemberId, Instant> = Map::default();
+    // These are separate from the suspects, which decide who owns a cell: processes that disagree on the
+    // owner compete for the same runners.
+    let mut unreachable: Map<MemberId, Instant> = Map::default();
     loop {
         ticks.tick().await;
-        unreached.retain(|_, until| *until > Instant::now());
-        let is_gone = |id: &MemberId| unreached.contains_key(id);
+        unreachable.retain(|_, until| *until > Instant::now());
+        let is_unreachable = |id: &MemberId| unreachable.contains_key(id);
         let neighbours = relay
             .peers
-            .members(|members| members.neighbours(LINKS, is_gone));
-        let beat = StateDigest::of(&relay);
-        let beats = neighbours.iter().map(|member| send(&relay, member, beat));
-        let failed = join_all(beats).await.into_iter().flatten();
-        unreached.extend(failed.map(|id| (id, Instant::now() + UNREACHED)));
+            .members(|members| members.neighbours(LINKS_OPENED, is_unreachable));
+        let digest = StateDigest::of(&relay);
+        let heartbeats = neighbours
+            .iter()
+            .map(|member| send_heartbeat(&relay, member, digest));
+        let failed = join_all(heartbeats).await.into_iter().flatten();
+        unreachable.extend(failed.map(|id| (id, Instant::now() + UNREACHABLE_TTL)));
     }
 }
 
-/// Gives the member if it was not reached.
-async fn send<D: Downstream>(
+/// Sends a heartbeat; returns the member's id if it could not be reached.
+async fn send_heartbeat<D: Downstream>(
     relay: &Arc<Relay<D>>,
     member: &Member,
-    beat: StateDigest,
+    digest: StateDigest,
 ) -> Option<MemberId> {
-    let Some(line) = relay.peers.line(relay, member).await else {
+    let Some(link) = relay.peers.link(relay, member).await else {
         return Some(member.id.clone());
     };
     let answers = false;
-    // One that is too full for it is compared a second later.
-    if line.sender.try_send(&Frame::Beat { beat, answers }).is_ok() {
-        line.beaten();
+    // If the link's queue is full, the comparison takes place a second later.
+    if link
+        .sender
+        .try_send(&Frame::Beat {
+            beat: digest,
+            answers,
+        })
+        .is_ok()
+    {
+        link.note_heartbeat_sent();
     }
     None
 }
 
 impl PeerLink {
-    fn beaten(&self) {
+    fn note_heartbeat_sent(&self) {
         let mut pending = lock(&self.pending);
-        pending.beaten = pending.beaten.or_else(|| Some(Instant::now()));
+        pending.heartbeat_sent = pending.heartbeat_sent.or_else(|| Some(Instant::now()));
     }
 }
 
-/// Compares what the other end of a link knows with what is known here.
-pub(super) fn compare<D: Downstream>(
+/// Compares the state of the other end of a link with the state of this process.
+pub(super) fn compare_state<D: Downstream>(
     relay: &Relay<D>,
     sender: &Sender<Frame>,
     other: StateDigest,
     answers: bool,
 ) {
-    let beat = StateDigest::of(relay);
+    let digest = StateDigest::of(relay);
     if !answers {
-        // One that is lost is asked for again.
+        // If the response is lost, the other end sends another heartbeat.
         let _ = sender.try_send(&Frame::Beat {
-            beat,
+            beat: digest,
             answers: true,
         });
     }
-    if beat != other {
-        frame::greet(relay, sender);
+    if digest != other {
+        frame::send_state(relay, sender);
     }
 }
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -1,4 +1,4 @@
-//! The end of a link that carries out the other process's orders.
+//! The accepting end of a link, which executes the orders of the other process.
 
 use super::frame::{self, Frame};
 use super::{tables, transfer};
@@ -13,47 +13,47 @@
 use tokio::time::{MissedTickBehavior, interval};
 use wire::{Listener, Receiver, Sender};
 
-/// Time between two words on the load of cells in which orders wait.
-pub(super) const LOAD_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the load of cells with pending orders is reported.
+pub(super) const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Orders of one link.
-struct Orders {
+/// Orders that are being executed for one link.
+struct LinkOrders {
     running: JoinSet<(u64, Outcome)>,
     handles: Map<u64, (Cell, AbortHandle)>,
 }
 
-/// Takes links from other processes until the task is dropped.
+/// Accepts links from other processes until the task is dropped.
 pub async fn serve<D: Downstream>(relay: Arc<Relay<D>>, listener: Listener<Frame>) {
     loop {
         match listener.accept().await {
             Ok((sender, receiver)) => {
-                tokio::spawn(carry(relay.clone(), sender, receiver));
+                tokio::spawn(serve_link(relay.clone(), sender, receiver));
             }
             Err(wire::Error::Closed) => return,
-            Err(error) => warn!(relay.log, "link not taken"; "error" => %error),
+            Err(error) => warn!(relay.log, "cannot accept link"; "error" => %error),
         }
     }
 }
 
-/// Carries out the orders of one link until it is lost, which withdraws those that are left.
-async fn carry<D: Downstream>(
+/// Executes the orders of one link until the link is lost, which withdraws those that are still running.
+async fn serve_link<D: Downstream>(
     relay: Arc<Relay<D>>,
     sender: Sender<Frame>,
     mut receiver: Receiver<Frame>,
 ) {
     relay.peers.subscribe(sender.clone());
-    frame::greet(&relay, &sender);
-    let mut orders = Orders {
+    frame::send_state(&relay, &sender);
+    let mut orders = LinkOrders {
         running: JoinSet::new(),
         handles: Map::default(),
     };
-    let mut news = interval(LOAD_EVERY);
-    news.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut load_reports = interval(LOAD_REPORT_INTERVAL);
+    load_reports.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let sent = tokio::select! {
             frame = receiver.recv() => match frame {
                 Ok(Some(frame)) => {
-                    orders.take(&relay, &sender, frame);
+                    orders.handle_frame(&relay, &sender, frame);
                     Ok(())
                 }
                 _ => break,
@@ -63,28 +63,33 @@
                     orders.handles.remove(&ticket);
                     sender.send(Frame::Outcome { ticket, outcome }).await
                 }
-                // It was withdrawn.
+                // The order was withdrawn.
                 Err(_) => Ok(()),
             },
-            _ = news.tick(), if !orders.handles.is_empty() => orders.tell_load(&relay, &sender).await,
+            _ = load_reports.tick(), if !orders.handles.is_empty() => orders.report_load(&relay, &sender).await,
         };
         if sent.is_err() {
             break;
         }
     }
     sender.abandon();
-    transfer::lost(&relay, &sender);
+    transfer::link_lost(&relay, &sender);
 }
 
-impl Orders {
-    fn take<D: Downstream>(&mut self, relay: &Arc<Relay<D>>, sender: &Sender<Frame>, frame: Frame) {
+impl LinkOrders {
+    fn handle_frame<D: Downstream>(
+        &mut self,
+        relay: &Arc<Relay<D>>,
+        sender: &Sender<Frame>,
+        frame: Frame,
+    ) {
         match frame {
             Frame::Order {
                 ticket,
                 cell,
                 sheet,
             } => {
-                let outcome = relay.batcher(&cell).submit(relay, sheet.order());
+                let outcome = relay.batcher(&cell).submit(relay, sheet.into_order());
                 let handle = self
                     .running
                     .spawn(async move { (ticket, outcome.await.unwrap_or(Err(Spoiled::Failed))) });
@@ -101,7 +106,8 @@
                 burdens,
             } => {
                 let burdens = relay.peers.call_loads.exchange(&service, from, burdens);
-                // A link that is gone or full needs no reply: the sender asks again.
+                // The reply is dropped if the link is lost or its queue is full: the sender reports
+                // again soon.
                 let _ = sender.try_send(&Frame::Elsewhere { service, burdens });
             }
             Frame::AskNews {
@@ -109,19 +115,20 @@
                 table,
                 after,
             } => {
-                let telling = tables::answer(relay.clone(), sender.clone(), ticket, table, after);
-                tokio::spawn(telling);
+                let reply =
+                    tables::send_update(relay.clone(), sender.clone(), ticket, table, after);
+                tokio::spawn(reply);
             }
             Frame::Held { cell, results } => relay.batcher(&cell).hold(relay, &results),
             Frame::Release { results, spent } => {
                 let batcher = relay.batcher(&results.cell);
                 batcher.release(relay, &results.handles, spent);
             }
-            other => frame::common(relay, sender, other),
+            other => frame::handle_frame(relay, sender, other),
         }
     }
 
-    async fn tell_load<D: Downstream>(
+    async fn report_load<D: Downstream>(
         &self,
         relay: &Relay<D>,
         sender: &Sender<Frame>,
--- a/crates/relay/src/peer/tables.rs
+++ b/crates/relay/src/peer/tables.rs
@@ -1,7 +1,8 @@
-//! What this process knows of the platform's tables, for other processes that ask it.
+//! Contents of the platform's tables, as this process knows them, for other processes that request them.
 //!
-//! Each question to the table service costs as much as a change does, and nearly all are answered with
-//! nothing new. In a large fleet a few processes read the tables, and each tells a few others.
+//! A request to the table service costs as much as a change does, and nearly all requests find nothing
+//! new. Therefore, in a large fleet, a few processes read the tables, and each passes the changes on to
+//! a few others.
 
 use super::frame::Frame;
 use super::{PeerLink, Peers};
@@ -19,20 +20,22 @@
 use tokio::time::{Instant, timeout};
 use wire::Sender;
 
-/// Longest time that a question of another process waits here; by then it has read the table itself.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Batches of changes that are kept for processes that are behind.
-const BATCHES: usize = 64;
-/// Bytes that are told at most; more is read from the table.
-const MAX_BYTES: usize = 1 << 20;
-/// Bytes of a large row.
-const LARGE_ROW: usize = 16 << 10;
+/// Longest time that a request of another process waits here; by then that process has read the table
+/// itself.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Batches of changes that are kept for processes that lag behind.
+const MAX_BATCHES: usize = 64;
+/// Size limit of an update; larger ones are left to be read from the table.
+const MAX_UPDATE_BYTES: usize = 1 << 20;
+/// Size from which a row counts as large.
+const LARGE_ROW_BYTES: usize = 16 << 10;
 
-/// A row as it is told: JSON text, since the codec of links has no free form.
+/// A row as it is sent. Its value is JSON text, since the codec of links cannot encode a value of any
+/// shape.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Row {
     key: String,
-    /// None if the row is gone.
+    /// `None` if the row was deleted.
     text: Option<String>,
     revision: RowRevision,
 }
@@ -51,11 +54,12 @@
     }
 
     fn is_large(&self) -> bool {
-        self.bytes() > LARGE_ROW
+        self.bytes() > LARGE_ROW_BYTES
     }
 
-    /// A row that cannot be read as JSON is one that cannot be read here either.
-    fn change(self) -> Change {
+    /// Converts the row into a change. Text that is not JSON becomes null, which is rejected as an
+    /// invalid row.
+    fn into_change(self) -> Change {
         let value = |text: String| serde_json::from_str(&text).unwrap_or_default();
         Change {
             key: self.key,
@@ -65,39 +69,39 @@
     }
 }
 
-/// What a process tells of a table.
+/// Changes of a table, as one process sends them to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableUpdate {
-    /// Revision behind which the changes begin; none if they are the whole table.
+    /// Revision after which the changes begin; `None` if they are the whole table.
     pub before: Option<RowRevision>,
     /// Revision up to which they are complete.
     pub revision: RowRevision,
     rows: Vec<Row>,
-    /// Milliseconds from the arrival of the question to the latest moment at which nothing newer was
-    /// in the table; negative if that was before.
+    /// Milliseconds from the arrival of the request to the latest moment at which the table is known to
+    /// have contained nothing newer; negative if that moment was before the request.
     current: i64,
-    /// For how long entries that are gone may only have lapsed.
+    /// Remaining time in which entries that are missing may only have expired during an outage.
     pub lapse: Option<Duration>,
-    /// Newest revision of the large rows that are left out, which processes get from one another in another
-    /// way.
+    /// Newest revision of the large rows that are left out; processes transfer their content separately.
     pub withheld: Option<RowRevision>,
 }
 
 impl TableUpdate {
-    /// Whether they are the whole table.
+    /// Whether the update contains the whole table.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.before.is_none()
     }
 
-    /// Age of what is told when the question came.
+    /// Age of the update when the request arrived.
     #[must_use]
     pub fn age(&self) -> Duration {
         let before = self.current.min(0).unsigned_abs();
         Duration::from_millis(before)
     }
 
-    /// Latest moment at which nothing newer was in the table, for one who asked at `asked`.
+    /// Latest moment at which the table is known to have contained nothing newer, for a request that was
+    /// sent at `asked`.
     #[must_use]
     pub fn current(&self, asked: Duration) -> Duration {
         let offset = Duration::from_millis(self.current.unsigned_abs());
@@ -107,55 +111,56 @@
         asked + offset
     }
 
-    /// The changes.
+    /// Converts the update into changes of a table.
     #[must_use]
     pub fn changes(self) -> Changes {
         Changes {
-            rows: self.rows.into_iter().map(Row::change).collect(),
+            rows: self.rows.into_iter().map(Row::into_change).collect(),
             revision: self.revision,
             clock: None,
         }
     }
 }
 
-/// Changes that became known in one go.
+/// Changes that were received together.
 #[derive(Clone, Debug)]
 struct Batch {
     revision: RowRevision,
     rows: Vec<Row>,
 }
 
-/// What is known of one table.
+/// Known contents of one table.
 #[derive(Debug, Default)]
-struct Known {
-    /// Revision behind which all changes are kept.
+struct TableState {
+    /// Revision after which all changes are kept.
     since: RowRevision,
     revision: RowRevision,
-    /// Latest moment at which nothing newer was there; none before the first reading.
+    /// Latest moment at which the table is known to have contained nothing newer; `None` before the
+    /// first read.
     current: Option<Instant>,
     batches: VecDeque<Batch>,
     /// All rows.
     rows: BTreeMap<String, Row>,
-    lapse: Option<Instant>,
-    /// Whether large rows are left out of what is told.
+    grace_until: Option<Instant>,
+    /// Whether large rows are left out of updates.
     withholds: bool,
 }
 
-/// What this process has learnt of a table in one go.
+/// Result of one read of a table.
 #[derive(Debug)]
-pub(crate) struct Read<'a> {
-    /// Revision that was known before; none if this is the whole table.
+pub(crate) struct TableRead<'a> {
+    /// Revision that was known before; `None` if this is the whole table.
     pub(crate) before: Option<RowRevision>,
-    /// The answer.
+    /// The changes.
     pub(crate) changes: &'a Changes,
-    /// Latest moment at which nothing newer was there.
+    /// Latest moment at which the table is known to have contained nothing newer.
     pub(crate) current: Instant,
-    /// Until when entries that are gone may only have lapsed.
-    pub(crate) lapse: Option<Instant>,
+    /// End of the time in which entries that are missing may only have expired during an outage.
+    pub(crate) grace_until: Option<Instant>,
 }
 
-impl Known {
-    fn take(&mut self, read: &Read<'_>) {
+impl TableState {
+    fn apply(&mut self, read: &TableRead<'_>) {
         let revision = read.changes.revision;
         let rows: Vec<Row> = read.changes.rows.iter().map(Row::new).collect();
         if read.before.is_none() {
@@ -175,18 +180,19 @@
         if read.before.is_some() && !rows.is_empty() {
             self.batches.push_back(Batch { revision, rows });
         }
-        if self.batches.len() > BATCHES {
+        if self.batches.len() > MAX_BATCHES {
             let oldest = self.batches.pop_front();
             self.since = oldest.map_or(self.since, |batch| batch.revision);
         }
         self.revision = revision;
         self.current = Some(read.current);
-        self.lapse = read.lapse;
+        self.grace_until = read.grace_until;
     }
 
-    /// What a process that knows the table up to `after`, if at all, and asked at `asked` is told: the
-    /// changes since then, or the whole table if not all of them are kept.
-    fn news(&self, after: Option<RowRevision>, asked: Instant) -> Option<TableUpdate> {
+    /// The update for a process that has read the table up to `after`, if at all, and sent its request
+    /// at
+    /// `asked`: the changes since then, or the whole table if not all of them are kept.
+    fn update(&self, after: Option<RowRevision>, asked: Instant) -> Option<TableUpdate> {
         let current = self.current?;
         let kept = after.filter(|after| *after >= self.since);
         let rows: Vec<&Row> = match kept {
@@ -199,9 +205,9 @@
         let is_withheld = |row: &&Row| self.withholds && row.is_large();
         let left_out = rows.iter().filter(|row| is_withheld(row));
         let withheld = left_out.map(|row| row.revision).max();
-        let told = rows.into_iter().filter(|row| !is_withheld(row));
-        let rows: Vec<Row> = told.cloned().collect();
-        let fits = rows.iter().map(Row::bytes).sum::<usize>() <= MAX_BYTES;
+        let sent = rows.into_iter().filter(|row| !is_withheld(row));
+        let rows: Vec<Row> = sent.cloned().collect();
+        let fits = rows.iter().map(Row::bytes).sum::<usize>() <= MAX_UPDATE_BYTES;
         let before = if fits { kept } else { Some(self.revision) };
         let later = millis(current.saturating_duration_since(asked));
         let sooner = millis(asked.saturating_duration_since(current));
@@ -212,64 +218,65 @@
             rows: if fits { rows } else { Vec::new() },
             current: signed(later) - signed(sooner),
             lapse: self
-                .lapse
+                .grace_until
                 .map(|until| until.saturating_duration_since(Instant::now())),
             withheld,
         })
     }
 }
 
-/// One table.
+/// One table, whose changes are published to waiting requests.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
-    known: watch::Sender<Known>,
+    state: watch::Sender<TableState>,
 }
 
 impl Table {
-    /// Leaves large rows out of what others are told from now on.
+    /// Leaves large rows out of updates from now on.
     pub(crate) fn withhold_large_rows(&self) {
-        self.known.send_modify(|known| known.withholds = true);
+        self.state.send_modify(|state| state.withholds = true);
     }
 
-    /// Takes in what this process has read or was told.
-    pub(crate) fn publish(&self, read: &Read<'_>) {
-        self.known.send_modify(|known| known.take(read));
+    /// Publishes what this process has read or received.
+    pub(crate) fn publish(&self, read: &TableRead<'_>) {
+        self.state.send_modify(|state| state.apply(read));
     }
 
-    /// What a process is told that knows the table up to `after`, if at all: as soon as there is
-    /// something newer, or once nothing newer was there after its question.
-    async fn news(&self, after: Option<RowRevision>) -> Option<TableUpdate> {
+    /// The update for a process that has read the table up to `after`, if at all. It is available as
+    /// soon as there is something newer, or once the table is known to have contained nothing newer
+    /// after the request.
+    async fn update(&self, after: Option<RowRevision>) -> Option<TableUpdate> {
         let asked = Instant::now();
-        let mut known = self.known.subscribe();
-        let says_something = |known: &Known| {
-            let current = known.current;
-            current.is_some_and(|current| current >= asked || Some(known.revision) > after)
+        let mut state = self.state.subscribe();
+        let has_update = |state: &TableState| {
+            let current = state.current;
+            current.is_some_and(|current| current >= asked || Some(state.revision) > after)
         };
-        // One that waits in vain is told what there is, and judges by itself how old that is.
-        let _ = timeout(ANSWER_TIMEOUT, known.wait_for(says_something)).await;
-        known.borrow().news(after, asked)
+        // After a timeout, the requesting process judges the age of the update by itself.
+        let _ = timeout(UPDATE_TIMEOUT, state.wait_for(has_update)).await;
+        state.borrow().update(after, asked)
     }
 }
 
-/// All tables that are followed here.
+/// All tables that this process follows.
 #[derive(Debug, Default)]
 pub(crate) struct Tables(Mutex<Map<String, Arc<Table>>>);
 
 impl Tables {
-    /// What is known of a table.
+    /// The table of this name, which is empty at first.
     pub(crate) fn get(&self, table: &str) -> Arc<Table> {
         let mut tables = lock(&self.0);
         if let Some(known) = tables.get(table) {
             return known.clone();
         }
-        let known = Arc::<Table>::default();
-        tables.insert(table.to_owned(), known.clone());
-        known
+        let new = Arc::<Table>::default();
+        tables.insert(table.to_owned(), new.clone());
+        new
     }
 }
 
-/// Answers another process's question, once there is something to say.
-pub(super) async fn answer<D: Downstream>(
+/// Responds to another process's request, once there is an update.
+pub(super) async fn send_update<D: Downstream>(
     relay: Arc<Relay<D>>,
     sender: Sender<Frame>,
     ticket: u64,
@@ -277,55 +284,55 @@
     after: Option<RowRevision>,
 ) {
     let table = relay.peers.tables.get(&table);
-    let news = table.news(after).await;
-    // Lost with the link, if at all; the other process reads the table itself then.
+    let news = table.update(after).await;
+    // If the link is lost, the other process reads the table itself.
     let _ = sender.send(Frame::News { ticket, news }).await;
 }
 
-/// A question that waits on a link.
-struct Question {
-    line: Arc<PeerLink>,
+/// A request that awaits its response on a link.
+struct PendingRequest {
+    link: Arc<PeerLink>,
     ticket: u64,
 }
 
-impl Drop for Question {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        lock(&self.line.pending).news.remove(&self.ticket);
+        lock(&self.link.pending).updates.remove(&self.ticket);
     }
 }
 
 impl Peers {
-    /// Asks a process what is new in a table, and waits for its word; none if it is not reached or
-    /// knows nothing.
-    pub(crate) async fn news<D: Downstream>(
+    /// Requests the changes of a table from a process, and waits for the response; returns `None` if the
+    /// process cannot be reached or has not read the table.
+    pub(crate) async fn request_update<D: Downstream>(
         &self,
         relay: &Arc<Relay<D>>,
-        teller: &Member,
+        upstream: &Member,
         table: &str,
         after: Option<RowRevision>,
     ) -> Option<TableUpdate> {
-        let Some(line) = self.line(relay, teller).await else {
-            self.members(|members| members.suspect(teller));
+        let Some(link) = self.link(relay, upstream).await else {
+            self.members(|members| members.suspect(upstream));
             return None;
         };
-        let (reply, news) = oneshot::channel();
-        let ticket = line.enter_question(reply);
-        let question = Question { line, ticket };
+        let (reply, update) = oneshot::channel();
+        let ticket = link.add_request(reply);
+        let request = PendingRequest { link, ticket };
         let frame = Frame::AskNews {
             ticket,
             table: table.to_owned(),
             after,
         };
-        question.line.sender.send(frame).await.ok()?;
-        news.await.ok()?
+        request.link.sender.send(frame).await.ok()?;
+        update.await.ok()?
     }
 }
 
 impl PeerLink {
-    fn enter_question(&self, reply: oneshot::Sender<Option<TableUpdate>>) -> u64 {
+    fn add_request(&self, reply: oneshot::Sender<Option<TableUpdate>>) -> u64 {
         let mut pending = lock(&self.pending);
-        let ticket = pending.ticket();
-        pending.news.insert(ticket, reply);
+        let ticket = pending.next_ticket();
+        pending.updates.insert(ticket, reply);
         ticket
     }
 }
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -1,4 +1,4 @@
-//! Configurations that processes fetch from one another, in parts.
+//! Transfer of configurations between processes, in parts.
 
 use super::frame::Frame;
 use crate::core::{Relay, lock};
@@ -23,14 +23,14 @@
 use tokio::time::sleep;
 use wire::Sender;
 
-/// Bytes of a part. What is sent behind one waits for 7 ms on a link of 10 Mbit/s.
-const PART: usize = 8 << 10;
-/// Time that a source has for a part before another one is asked.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Images that are kept for those that have begun to fetch one while newer versions come.
-const IMAGES: usize = 3;
-/// Bytes of a configuration at most, as it is encoded.
-const MAX_BYTES: u64 = wire::link::MAX_FRAME as u64;
+/// Size of a part. On a link of 10 Mbit/s, a part delays what is sent after it by 7 ms.
+const PART_BYTES: usize = 8 << 10;
+/// Time within which a source must deliver a part before another source is tried.
+const PART_TIMEOUT: Duration = Duration::from_millis(500);
+/// Images that are kept for processes that are still fetching one when newer versions arrive.
+const MAX_IMAGES: usize = 3;
+/// Size limit of an encoded configuration.
+const MAX_CONFIGURATION_BYTES: u64 = wire::link::MAX_FRAME as u64;
 
 /// A part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,13 +40,13 @@
     digest: u64,
     /// Position of the first byte.
     offset: u64,
-    /// Bytes of the whole image.
+    /// Size of the whole image.
     total: u64,
     bytes: Bytes,
 }
 
 impl Part {
-    fn outline(&self) -> fetch::Part {
+    fn header(&self) -> fetch::Part {
         fetch::Part {
             version: self.version,
             digest: self.digest,
@@ -57,9 +57,9 @@
     }
 }
 
-/// Why an image cannot be read.
+/// An image could not be encoded or decoded.
 #[derive(Debug, Snafu)]
-enum Unreadable {
+enum CodecError {
     #[snafu(display("compressed: {source}"))]
     Compressed { source: std::io::Error },
     #[snafu(display("encoded: {source}"))]
@@ -83,7 +83,7 @@
         }
     }
 
-    fn encode(plan: &Plan) -> Result<Self, Unreadable> {
+    fn encode(plan: &Plan) -> Result<Self, CodecError> {
         let encoded = postcard::to_stdvec(plan).context(EncodedSnafu)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&encoded).context(CompressedSnafu)?;
@@ -91,19 +91,19 @@
         Ok(Self::new(plan.version, bytes.into()))
     }
 
-    fn decode(&self) -> Result<Plan, Unreadable> {
+    fn decode(&self) -> Result<Plan, CodecError> {
         let mut encoded = Vec::new();
         let decoder = DeflateDecoder::new(&self.bytes[..]);
-        let mut bounded = decoder.take(MAX_BYTES);
+        let mut bounded = decoder.take(MAX_CONFIGURATION_BYTES);
         bounded.read_to_end(&mut encoded).context(CompressedSnafu)?;
         postcard::from_bytes(&encoded).context(EncodedSnafu)
     }
 
     fn part(&self, offset: u64) -> Part {
         let begin = usize::try_from(offset).unwrap_or(usize::MAX);
-        // One who has more than there is begins anew.
+        // A process whose offset lies beyond the end starts over.
         let begin = if begin < self.bytes.len() { begin } else { 0 };
-        let end = self.bytes.len().min(begin + PART);
+        let end = self.bytes.len().min(begin + PART_BYTES);
         Part {
             version: self.version,
             digest: self.digest,
@@ -114,7 +114,7 @@
     }
 }
 
-/// What is fetched and what is kept for others.
+/// The fetch in progress, and the images that are kept for other processes.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     state: Mutex<State>,
@@ -125,18 +125,18 @@
 struct State {
     fetch: Fetch<Sender<Frame>>,
     received: BytesMut,
-    /// When the first question was asked.
-    begun: Duration,
-    /// Whether a task looks after silent sources.
+    /// When the first part was requested.
+    started: Duration,
+    /// Whether a task watches for sources that do not respond.
     is_watched: bool,
 }
 
 impl Default for Transfer {
     fn default() -> Self {
         let state = State {
-            fetch: Fetch::new(PATIENCE),
+            fetch: Fetch::new(PART_TIMEOUT),
             received: BytesMut::new(),
-            begun: Duration::ZERO,
+            started: Duration::ZERO,
             is_watched: false,
         };
         Self {
@@ -147,7 +147,8 @@
 }
 
 impl Transfer {
-    /// When the fetch in progress last got on, from the start of the process, if there is one.
+    /// When the fetch in progress last advanced, as time since the start of the process; `None` if there
+    /// is no fetch.
     pub(crate) fn progress(&self) -> Option<Duration> {
         lock(&self.state).fetch.progress()
     }
@@ -155,13 +156,13 @@
     fn keep(&self, image: Image) {
         let mut images = lock(&self.images);
         images.push_back(image);
-        if images.len() > IMAGES {
+        if images.len() > MAX_IMAGES {
             images.pop_front();
         }
     }
 
-    /// The image of a version, or of the one in force where that is not kept.
-    fn image(&self, version: Version, plan: &Plan) -> Result<Image, Unreadable> {
+    /// The image of a version, or of the version in force if that image is not kept.
+    fn image(&self, version: Version, plan: &Plan) -> Result<Image, CodecError> {
         let kept = |version: Version| {
             let images = lock(&self.images);
             let image = images.iter().find(|image| image.version == version);
@@ -176,30 +177,30 @@
     }
 }
 
-/// A peer has a newer configuration.
+/// Starts to fetch a newer configuration that a peer has.
 pub(super) fn offer<D: Downstream>(
     relay: &Arc<Relay<D>>,
     sender: &Sender<Frame>,
     version: Version,
 ) {
     let now = relay.now();
-    let question = {
+    let request = {
         let mut state = lock(&relay.peers.transfer.state);
-        let question = state.fetch.offer(sender.clone(), version, now);
-        state.note_asked(question, now)
+        let request = state.fetch.offer(sender.clone(), version, now);
+        state.reset_if_restarted(request, now)
     };
-    ask(relay, question);
-    watch(relay);
+    request_part(relay, request);
+    spawn_watcher(relay);
 }
 
-/// A link is gone.
-pub(super) fn lost<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>) {
-    let question = next_source(relay, sender);
-    ask(relay, question);
+/// Continues the fetch with another source after a link was lost.
+pub(super) fn link_lost<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>) {
+    let request = next_source(relay, sender);
+    request_part(relay, request);
 }
 
-/// Sends a peer the part that it asks for.
-pub(super) fn answer<D: Downstream>(
+/// Sends a peer the part that it requests.
+pub(super) fn send_part<D: Downstream>(
     relay: &Relay<D>,
     sender: &Sender<Frame>,
     version: Version,
@@ -208,42 +209,46 @@
     let Some(plan) = relay.plan() else { return };
     match relay.peers.transfer.image(version, &plan) {
         Ok(image) => {
-            // One whose queue is full asks another process.
+            // If the queue is full, the peer requests the part from another process.
             let _ = sender.try_send(&Frame::Part(image.part(offset)));
         }
         Err(error) => {
-            warn!(relay.log, "configuration not encoded for a peer"; "version" => plan.version,
+            warn!(relay.log, "cannot encode configuration for peer"; "version" => plan.version,
             "error" => %error);
         }
     }
 }
 
-/// Takes in a part; the last one completes the configuration.
-pub(super) fn take<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, part: &Part) {
+/// Stores a received part; the last one completes the configuration.
+pub(super) fn receive_part<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    sender: &Sender<Frame>,
+    part: &Part,
+) {
     let now = relay.now();
     let mut state = lock(&relay.peers.transfer.state);
-    let taken = state.fetch.part(sender, part.outline(), now);
-    let question = match taken {
+    let action = state.fetch.part(sender, part.header(), now);
+    let request = match action {
         Take::Ignore => return,
-        Take::Reset(question) => Some(question),
-        Take::Restart(question) => {
+        Take::Reset(request) => Some(request),
+        Take::Restart(request) => {
             state.received.clear();
             state.received.extend_from_slice(&part.bytes);
-            question
+            request
         }
-        Take::Append(question) => {
+        Take::Append(request) => {
             state.received.extend_from_slice(&part.bytes);
-            question
+            request
         }
     };
-    if question.is_some() {
-        let question = state.note_asked(question, now);
+    if request.is_some() {
+        let request = state.reset_if_restarted(request, now);
         drop(state);
-        ask(relay, question);
+        request_part(relay, request);
         return;
     }
     let image = Image::new(part.version, state.received.split().freeze());
-    let took = now.saturating_sub(state.begun);
+    let took = now.saturating_sub(state.started);
     drop(state);
     complete(relay, sender, image, took);
 }
@@ -258,9 +263,9 @@
     let plan = match image.decode() {
         Ok(plan) => plan,
         Err(error) => {
-            warn!(relay.log, "configuration from a peer unreadable"; "version" => version,
+            warn!(relay.log, "cannot decode configuration from peer"; "version" => version,
                 "error" => %error);
-            lost(relay, sender);
+            link_lost(relay, sender);
             return;
         }
     };
@@ -268,42 +273,43 @@
     let before = relay.plan().map(|plan| plan.version);
     let adopted = relay.adopt(plan);
     relay.telemetry.configuration_copy(adopted);
-    info!(relay.log, "configuration from a peer"; "version" => version, "before" => before,
+    info!(relay.log, "received configuration from peer"; "version" => version, "before" => before,
         "adopted" => adopted, "bytes" => bytes, "took_ms" => millis(took));
-    watch(relay);
+    spawn_watcher(relay);
 }
 
-/// Asks a source, or the next one where its link is gone or full.
-fn ask<D: Downstream>(relay: &Relay<D>, mut question: Option<Question<Sender<Frame>>>) {
-    while let Some(asked) = question {
-        let (version, offset) = (asked.version, asked.offset);
+/// Sends the request for a part to its source, or to the next source if the link is lost or its queue is
+/// full.
+fn request_part<D: Downstream>(relay: &Relay<D>, mut next: Option<Question<Sender<Frame>>>) {
+    while let Some(request) = next {
+        let (version, offset) = (request.version, request.offset);
         if offset == 0 {
-            info!(relay.log, "configuration asked of a peer"; "version" => version);
+            info!(relay.log, "requesting configuration from peer"; "version" => version);
         }
-        if asked
+        if request
             .source
             .try_send(&Frame::AskPart { version, offset })
             .is_ok()
         {
             return;
         }
-        question = next_source(relay, &asked.source);
+        next = next_source(relay, &request.source);
     }
 }
 
-/// Goes on without a source.
+/// Removes a source from the fetch; returns the request to the next one.
 fn next_source<D: Downstream>(
     relay: &Relay<D>,
     source: &Sender<Frame>,
 ) -> Option<Question<Sender<Frame>>> {
     let now = relay.now();
     let mut state = lock(&relay.peers.transfer.state);
-    let question = state.fetch.lost(source, now);
-    state.note_asked(question, now)
+    let request = state.fetch.lost(source, now);
+    state.reset_if_restarted(request, now)
 }
 
-/// Goes on with other sources where one falls silent, as long as something is fetched.
-fn watch<D: Downstream>(relay: &Arc<Relay<D>>) {
+/// Starts a task that switches to another source when one does not respond, until the fetch has ended.
+fn spawn_watcher<D: Downstream>(relay: &Arc<Relay<D>>) {
     {
         let mut state = lock(&relay.peers.transfer.state);
         if state.is_watched || state.fetch.progress().is_none() {
@@ -314,49 +320,46 @@
     let relay = relay.clone();
     tokio::spawn(async move {
         loop {
-            sleep(PATIENCE).await;
+            sleep(PART_TIMEOUT).await;
             let now = relay.now();
-            let question = {
+            let request = {
                 let mut state = lock(&relay.peers.transfer.state);
                 if state.fetch.progress().is_none() {
                     state.is_watched = false;
                     return;
                 }
-                let question = state.fetch.tick(now);
-                state.note_asked(question, now)
+                let request = state.fetch.tick(now);
+                state.reset_if_restarted(request, now)
             };
-            ask(&relay, question);
+            request_part(&relay, request);
         }
     });
 }
 
 impl State {
-    /// Drops what has come before where a question begins a fetch anew.
-    fn note_asked(
+    /// Discards the received parts if the request starts the fetch over.
+    fn reset_if_restarted(
         &mut self,
-        question: Option<Question<Sender<Frame>>>,
+        request: Option<Question<Sender<Frame>>>,
         now: Duration,
     ) -> Option<Question<Sender<Frame>>> {
-        if question
-            .as_ref()
-            .is_some_and(|question| question.offset == 0)
-        {
-            self.begun = now;
+        if request.as_ref().is_some_and(|request| request.offset == 0) {
+            self.started = now;
             self.received.clear();
         }
-        question
+        request
     }
 }
 
 impl<D: Downstream> Relay<D> {
-    /// A configuration is in force, so that no older one is fetched any more.
+    /// Records that a configuration is in force, so that no older one is fetched any more.
     pub(crate) fn note_adopted(&self, version: Version) {
         let now = self.now();
-        let question = {
+        let request = {
             let mut state = lock(&self.peers.transfer.state);
-            let question = state.fetch.note_known(version, now);
-            state.note_asked(question, now)
+            let request = state.fetch.note_known(version, now);
+            state.reset_if_restarted(request, now)
         };
-        ask(self, question);
+        request_part(self, request);
     }
 }
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -285,7 +285,7 @@
 async fn stale_upstream() {
     let mut known = members(39, 40);
     let teller = known.upstream().expect("one of forty");
-    known.tree.note_stale(&teller.id);
+    known.tree.mark_stale(&teller.id);
     let next = known.upstream().expect("another one");
     assert_ne!(next.id, teller.id);
     sleep(Duration::from_secs(4)).await;
