--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -26,7 +26,7 @@
 use tokio::time::{Instant, sleep};
 pub use tree::Tree;
 
-/// Name of a process.
+/// Id of a process.
 pub type MemberId = Arc<str>;
 
 /// Table with a row for each process and for each quarantined request.
@@ -69,7 +69,7 @@
     pub incarnation: u64,
     /// Address that the others connect to.
     pub address: SocketAddr,
-    /// Failure domain that it runs in.
+    /// Failure domain that the process runs in.
     #[serde(default = "no_domain")]
     pub domain: DomainId,
     /// Capacity relative to the others.
@@ -223,8 +223,7 @@
     }
 
     /// A process that has most likely been running for a while, from which whole tables can be
-    /// requested.
-    /// `random` selects one of many, so that processes which start together do not choose the same one.
+    /// requested. To spread processes which start together, `random` selects one of many.
     #[must_use]
     pub fn bootstrap_peer(&self, random: u32) -> Option<Member> {
         self.shares_tables().then_some(())?;
--- a/crates/relay/tests/call_loads.rs
+++ b/crates/relay/tests/call_loads.rs
@@ -1,4 +1,4 @@
-//! What the processes tell one another of their calls at model runners.
+//! Exchange of the load that the processes' calls put on model runners.
 
 use decide::route::Burden;
 use relay::peer::CallLoadTable;
@@ -12,29 +12,29 @@
     }
 }
 
-/// Each process is told what all others have. Counted twice, its own calls would drive it away from
-/// the runner that holds its callers' prompts.
+/// Guards against a process that counts its own calls twice, and so avoids the runner that has its
+/// clients' prompts in the cache. Each process must receive the load of the others only.
 #[tokio::test(start_paused = true)]
-async fn others_only() {
-    let board = CallLoadTable::default();
+async fn excludes_own_calls() {
+    let table = CallLoadTable::default();
     let service = "models".into();
-    board.exchange(&service, "a".into(), vec![("one".into(), burden(2))]);
+    table.exchange(&service, "a".into(), vec![("one".into(), burden(2))]);
     let both = vec![("one".into(), burden(1)), ("two".into(), burden(4))];
-    let to_b = board.exchange(&service, "b".into(), both);
+    let to_b = table.exchange(&service, "b".into(), both);
     assert_eq!(to_b, [("one".into(), burden(2))]);
-    let to_a = board.exchange(&service, "a".into(), Vec::new());
+    let to_a = table.exchange(&service, "a".into(), Vec::new());
     assert_eq!(to_a.len(), 2);
-    let to_c = board.exchange(&service, "c".into(), Vec::new());
-    assert_eq!(to_c.len(), 2, "a has nothing there any more");
+    let to_c = table.exchange(&service, "c".into(), Vec::new());
+    assert_eq!(to_c.len(), 2, "a has no calls any more");
 }
 
-/// A process is killed with calls in progress and says no more. What it said last must not count for
-/// longer than its calls could, or the runners would stand idle.
+/// Guards against idle runners after a process was killed with calls in progress: its last report must
+/// not count for longer than its calls could last.
 #[tokio::test(start_paused = true)]
-async fn old_word_lapses() {
-    let board = CallLoadTable::default();
+async fn old_report_expires() {
+    let table = CallLoadTable::default();
     let service = "models".into();
-    board.exchange(&service, "a".into(), vec![("one".into(), burden(9))]);
+    table.exchange(&service, "a".into(), vec![("one".into(), burden(9))]);
     sleep(Duration::from_millis(600)).await;
-    assert!(board.exchange(&service, "b".into(), Vec::new()).is_empty());
+    assert!(table.exchange(&service, "b".into(), Vec::new()).is_empty());
 }
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -1,4 +1,4 @@
-//! A feed that tells what a test gave it.
+//! A feed that sends scripted replies.
 
 use super::{plan, plan_with, runner};
 use relay::follow::{InvalidRow, TableSource};
@@ -11,35 +11,35 @@
 use store::{Change, Changes, Error, Feed, Miss, RowRevision};
 use tokio::time::sleep;
 
-/// What a fake feed does on one question.
+/// Reply of a scripted feed to one request.
 #[derive(Clone, Debug)]
 pub(crate) enum FeedReply {
-    /// Tells these rows; no value means that the row is gone.
+    /// Sends these rows; a row without a value is deleted.
     Rows(Vec<(&'static str, Option<Value>)>),
-    /// Tells these rows as of this revision.
+    /// Sends these rows with this revision.
     At(RowRevision, Vec<(&'static str, Option<Value>)>),
     /// Fails after this time.
     Unavailable(Duration),
-    /// Has nothing to tell for as long as the question waits.
+    /// Sends no changes after the full wait of the request.
     NoChanges,
-    /// The history is gone.
+    /// Reports that the history is truncated.
     Gap,
-    /// The service has come back from an older copy.
+    /// Reports that the service was restored from an older backup.
     Restored,
 }
 
-/// A feed that tells what it was given, question by question, and then nothing more.
+/// A feed that sends its replies one by one, and then no more changes.
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedFeed(Arc<Mutex<VecDeque<FeedReply>>>);
 
 impl ScriptedFeed {
-    pub(crate) fn new(told: impl IntoIterator<Item = FeedReply>) -> Self {
-        Self(Arc::new(Mutex::new(told.into_iter().collect())))
+    pub(crate) fn new(replies: impl IntoIterator<Item = FeedReply>) -> Self {
+        Self(Arc::new(Mutex::new(replies.into_iter().collect())))
     }
 
     async fn next(&self, wait: Duration) -> Result<Changes, Miss> {
-        let told = self.0.lock().expect("no holder panics").pop_front();
-        match told {
+        let reply = self.0.lock().expect("no holder panics").pop_front();
+        match reply {
             None | Some(FeedReply::NoChanges) => {
                 sleep(wait).await;
                 Ok(Changes {
@@ -105,7 +105,7 @@
         key.strip_prefix("drained-").map(DomainId::from)
     }
 
-    /// A version, or one with the names of more routes.
+    /// The value is a version, or a version with the names of further routes.
     fn parse_configuration(_key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
--- a/crates/relay/tests/common/link.rs
+++ b/crates/relay/tests/common/link.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A link to a relay, as another process has one.
+/// Opens a link to a relay, as another process does.
 pub(crate) async fn open(relay: &Arc<Relay<Fake>>) -> (wire::Sender<Frame>, wire::Receiver<Frame>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let key = wire::Key::new("key");
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 pub(crate) mod feed;
 pub(crate) mod link;
-pub(crate) mod narrow;
 pub(crate) mod pair;
 mod parts;
 mod plans;
 pub(crate) mod poison;
 pub(crate) mod service;
+pub(crate) mod slow_link;
 pub(crate) mod stage;
 pub(crate) mod ward;
 
--- a/crates/relay/tests/common/pair.rs
+++ b/crates/relay/tests/common/pair.rs
@@ -1,4 +1,4 @@
-//! Two relays that are linked, in virtual time.
+//! Two linked relays in virtual time.
 
 use super::poison::{add_runners, fake};
 use super::{Fake, blank_as, informed, member_at};
@@ -10,21 +10,21 @@
 use tokio::time::sleep;
 use wire::{Key, Listener};
 
-/// Virtual time that passes at most between two looks at the links.
+/// Maximum virtual time that passes before the links can transfer data.
 const STEP: Duration = Duration::from_millis(1);
-/// Time in which the links come about.
-const LINKED: Duration = Duration::from_secs(2);
+/// Time within which the links are opened.
+const LINK_TIME: Duration = Duration::from_secs(2);
 
-/// A relay that takes links.
+/// A relay that accepts links.
 pub(crate) struct Node {
     pub(crate) relay: Arc<Relay<Fake>>,
     pub(crate) member: Member,
 }
 
-/// Two relays with the same runners, as many of each service as said. The second one forms the calls of
-/// the stage.
+/// Creates two relays with the same runners, `stage` and `plain` of them for each service. The second
+/// relay owns the cell of the stage.
 pub(crate) async fn pair(stage: usize, plain: usize) -> (Node, Node) {
-    tokio::spawn(pass_time());
+    tokio::spawn(advance_time());
     let fake = fake();
     let mut nodes = Vec::new();
     for id in ["relay-1", "relay-2"] {
@@ -39,7 +39,7 @@
         });
         tokio::spawn(peer::maintain_links(node.relay.clone()));
     }
-    sleep(LINKED).await;
+    sleep(LINK_TIME).await;
     let last = nodes.pop().expect("two");
     let first = nodes.pop().expect("two");
     let owner = first
@@ -63,9 +63,9 @@
     Node { relay, member }
 }
 
-/// Lets time pass in small steps, each of which leaves the links time to carry what was sent: the clock
-/// would jump to the next timeout otherwise. It stands while a blocking task runs.
-async fn pass_time() {
+/// Advances time in small steps, each of which lets the links transfer what was sent. Otherwise the
+/// paused clock would jump to the next timeout. It stands still while a blocking task runs.
+async fn advance_time() {
     loop {
         sleep(STEP).await;
         let _ = spawn_blocking(|| ()).await;
--- a/crates/relay/tests/common/narrow.rs
+++ b/crates/relay/tests/common/slow_link.rs
@@ -1,4 +1,4 @@
-//! A narrow link between a process and all others.
+//! A slow link between one process and all others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,35 +10,36 @@
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
-/// Bytes of one connection that are carried before it is another one's turn.
-const PACKET: usize = 4 << 10;
-/// Time that they take: some 10 Mbit/s.
+/// Bytes of one connection that are forwarded before the next connection's turn.
+const PACKET_BYTES: usize = 4 << 10;
+/// Time that a packet takes, which results in about 10 Mbit/s.
 const PACKET_TIME: Duration = Duration::from_millis(3);
 
-/// The link; clones share it. Its connections take turns.
+/// A link whose connections take turns. Clones share the link.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Narrow {
+pub(crate) struct SlowLink {
     turn: Arc<Mutex<()>>,
     carried: Arc<AtomicU64>,
 }
 
-/// Which way of a connection goes over the link.
+/// Direction of a connection that goes over the link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Direction {
-    /// What the one who connects sends.
+    /// From the client to the server.
     Out,
-    /// What it is answered.
+    /// From the server to the client.
     Back,
 }
 
-impl Narrow {
-    /// Bytes carried so far.
+impl SlowLink {
+    /// Bytes that were forwarded so far.
     pub(crate) fn carried(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
-    /// An address that leads to another one, over the link one way.
-    pub(crate) async fn lead_to(&self, target: SocketAddr, direction: Direction) -> SocketAddr {
+    /// Starts a proxy for `target` whose connections go over the link in one direction; returns its
+    /// address.
+    pub(crate) async fn proxy_to(&self, target: SocketAddr, direction: Direction) -> SocketAddr {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = TcpListener::bind(any).await.expect("bound");
         let address = listener.local_addr().expect("bound");
@@ -52,17 +53,17 @@
                 continue;
             };
             let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-            let (over, beside) = match direction {
+            let (limited, unlimited) = match direction {
                 Direction::Out => ((near_in, far_out), (far_in, near_out)),
                 Direction::Back => ((far_in, near_out), (near_in, far_out)),
             };
-            tokio::spawn(self.clone().carry(over.0, over.1));
-            tokio::spawn(copy(beside.0, beside.1));
+            tokio::spawn(self.clone().forward(limited.0, limited.1));
+            tokio::spawn(forward_unlimited(unlimited.0, unlimited.1));
         }
     }
 
-    async fn carry(self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
-        let mut packet = vec![0; PACKET];
+    async fn forward(self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
+        let mut packet = vec![0; PACKET_BYTES];
         while let Ok(length @ 1..) = from.read(&mut packet).await {
             let turn = self.turn.lock().await;
             sleep(PACKET_TIME).await;
@@ -75,7 +76,7 @@
     }
 }
 
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
-    // Both ends see how it ended.
+async fn forward_unlimited(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
+    // Both ends of the connection detect an error by themselves.
     let _ = tokio::io::copy(&mut from, &mut to).await;
 }
--- a/crates/relay/tests/fleet_start.rs
+++ b/crates/relay/tests/fleet_start.rs
@@ -1,5 +1,5 @@
-//! Calls to the table service by a fleet whose processes all start together, as all of them do when the
-//! system starts for the first time and after a loss of power.
+//! Calls to the table service by a fleet whose processes all start together, as they do at the first
+//! start of the system and after a power failure.
 
 mod common;
 
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, timeout};
 use wire::{Key, Listener};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
-const RUNNERS: usize = 30;
+/// Timeout of each step, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
+const RUNNER_COUNT: usize = 30;
 
 struct Fleet {
     service: Service,
@@ -29,7 +29,7 @@
     fn new() -> Self {
         let service = Service::new();
         service.put("plans", "config", Some(json!(1)));
-        for number in 0..RUNNERS {
+        for number in 0..RUNNER_COUNT {
             service.put("runners", &format!("r-{number}"), entry("plain"));
         }
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Starts a process of that name.
+    /// Starts the process with this number.
     async fn start(&mut self, number: usize) {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
@@ -63,8 +63,8 @@
     }
 
     /// Waits until all processes know the configuration and this many runners.
-    async fn informed(&self, runners: usize) {
-        self.until(|relay| {
+    async fn wait_ready(&self, runners: usize) {
+        self.wait_until(|relay| {
             let known = relay.fleet(|fleet| fleet.of("plain").len());
             relay.informed() && known == Some(runners)
         })
@@ -72,59 +72,62 @@
     }
 
     /// Waits until something holds for all processes.
-    async fn until(&self, holds: impl Fn(&Relay<Fake>) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&Relay<Fake>) -> bool) {
         let all = async {
             while !self.relays.iter().all(|relay| holds(relay)) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(LONG, all).await.expect("all get there");
+        timeout(TIMEOUT, all)
+            .await
+            .expect("reached by all processes");
     }
 
-    fn count(&self, name: &str) -> usize {
+    fn call_count(&self, name: &str) -> usize {
         self.service.calls().get(name).copied().unwrap_or(0)
     }
 }
 
-/// Guards against a start that costs the table service more calls a process the more processes there
-/// are: each lists the processes and writes its row, and the first few read the other tables for all.
+/// Guards against a number of calls per process that grows with the number of processes. Each process
+/// must list the processes and write its row, and only the first few must read the other tables, for
+/// all.
 #[tokio::test]
-async fn all_at_once() {
+async fn simultaneous_start() {
     for count in [40, 80] {
         let mut fleet = Fleet::new();
         for number in 0..count {
             fleet.start(number).await;
         }
-        fleet.informed(RUNNERS).await;
+        fleet.wait_ready(RUNNER_COUNT).await;
         let calls = fleet.service.calls();
-        assert_eq!(fleet.count("list relay"), count, "{calls:?}");
-        assert_eq!(fleet.count("write relay"), count, "{calls:?}");
+        assert_eq!(fleet.call_count("list relay"), count, "{calls:?}");
+        assert_eq!(fleet.call_count("write relay"), count, "{calls:?}");
         for table in ["list plans", "list runners"] {
-            assert!(fleet.count(table) <= 12, "{count}: {calls:?}");
+            assert!(fleet.call_count(table) <= 12, "{count}: {calls:?}");
         }
     }
 }
 
-/// Guards against a call of each process for each change: runners register one after the other, and a
-/// configuration follows.
+/// Guards against a call by each process for each change, when runners register one after the other and
+/// then the configuration changes.
 #[tokio::test]
-async fn changes_passed_on() {
+async fn changes_distributed() {
     let mut fleet = Fleet::new();
     for number in 0..40 {
         fleet.start(number).await;
     }
-    fleet.informed(RUNNERS).await;
+    fleet.wait_ready(RUNNER_COUNT).await;
     let before = fleet.service.calls();
-    for number in RUNNERS..2 * RUNNERS {
+    for number in RUNNER_COUNT..2 * RUNNER_COUNT {
         fleet
             .service
             .put("runners", &format!("r-{number}"), entry("plain"));
         sleep(Duration::from_millis(10)).await;
     }
     fleet.service.put("plans", "config", Some(json!(2)));
-    fleet.informed(2 * RUNNERS).await;
+    fleet.wait_ready(2 * RUNNER_COUNT).await;
     let is_new = |relay: &Relay<Fake>| relay.plan().is_some_and(|plan| plan.version == 2);
-    fleet.until(is_new).await;
+    fleet.wait_until(is_new).await;
     let lists = |calls: &std::collections::BTreeMap<String, usize>| {
         let lists = calls.iter().filter(|(name, _)| name.starts_with("list"));
         lists.map(|(_, count)| count).sum::<usize>()
@@ -132,17 +135,18 @@
     assert_eq!(lists(&fleet.service.calls()), lists(&before));
 }
 
-/// Guards against a newcomer that reads all tables for itself, beside many that know them.
+/// Guards against a newly started process that reads all tables itself although many others have read
+/// them.
 #[tokio::test]
-async fn one_more() {
+async fn late_start() {
     let mut fleet = Fleet::new();
     for number in 0..30 {
         fleet.start(number).await;
     }
-    fleet.informed(RUNNERS).await;
+    fleet.wait_ready(RUNNER_COUNT).await;
     let before = fleet.service.calls();
     fleet.start(30).await;
-    fleet.informed(RUNNERS).await;
+    fleet.wait_ready(RUNNER_COUNT).await;
     for table in ["list plans", "list runners"] {
         let known = before.get(table).copied();
         assert_eq!(fleet.service.calls().get(table).copied(), known, "{table}");
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -1,10 +1,10 @@
-//! What a process behind a narrow link is sent, and what waits behind it.
+//! Traffic to a process behind a slow link, and what it delays.
 
 mod common;
 
 use common::feed::{FeedReply, ScriptedFeed};
-use common::narrow::{Direction, Narrow};
 use common::service::Service;
+use common::slow_link::{Direction, SlowLink};
 use common::{Fake, blank_as, entry};
 use relay::member::Member;
 use relay::{Relay, follow, peer};
@@ -15,14 +15,14 @@
 use tokio::time::{sleep, timeout};
 use wire::{Key, Listener};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
-/// Processes; the last one is behind the narrow link.
+/// Timeout of each step, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of processes; the last one is behind the slow link.
 const PROCESSES: usize = 14;
-/// Routes of the large configuration.
+/// Number of routes in the large configuration.
 const ROUTES: u64 = 6_000;
 /// Bytes that a link of 10 Mbit/s carries in a tenth of a second.
-const TENTH: u64 = 125_000;
+const TENTH_SECOND_BYTES: u64 = 125_000;
 
 /// A configuration of some 400 kB.
 fn large(version: u64) -> Value {
@@ -38,7 +38,7 @@
 
 struct Fleet {
     service: Service,
-    narrow: Narrow,
+    slow_link: SlowLink,
     relays: Vec<Arc<Relay<Fake>>>,
 }
 
@@ -47,7 +47,7 @@
         let service = Service::new();
         service.put("plans", "config", Some(json!(1)));
         service.put("runners", "r-1", entry("plain"));
-        let narrow = Narrow::default();
+        let slow_link = SlowLink::default();
         let mut listeners = Vec::new();
         for _ in 0..PROCESSES {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -71,16 +71,17 @@
         }
         let fleet = Self {
             service,
-            narrow,
+            slow_link,
             relays,
         };
-        fleet.introduce(&members).await;
+        fleet.connect_members(&members).await;
         fleet.start();
         fleet
     }
 
-    /// Lets all processes know of each other; the last one is reached, and reaches others, over the link.
-    async fn introduce(&self, members: &[Member]) {
+    /// Adds all processes to each other's lists, so that traffic from and to the last one goes over the
+    /// slow link.
+    async fn connect_members(&self, members: &[Member]) {
         let last = PROCESSES - 1;
         for (own, relay) in self.relays.iter().enumerate() {
             for (number, member) in members.iter().enumerate() {
@@ -91,7 +92,7 @@
                 };
                 let mut member = member.clone();
                 if let Some(direction) = direction {
-                    member.address = self.narrow.lead_to(member.address, direction).await;
+                    member.address = self.slow_link.proxy_to(member.address, direction).await;
                 }
                 relay.peers.members(|members| {
                     members.put(member, number as u64 + 1);
@@ -104,89 +105,90 @@
         }
     }
 
-    /// All follow the tables; the last one is turned away by the service and hears from its peers alone.
+    /// Makes all processes follow the tables. The service rejects the last one, which depends on its
+    /// peers.
     fn start(&self) {
         for relay in &self.relays[..PROCESSES - 1] {
             tokio::spawn(follow::operator_table(relay.clone(), self.service.clone()));
             tokio::spawn(follow::runner_table(relay.clone(), self.service.clone()));
             tokio::spawn(peer::maintain_links(relay.clone()));
         }
-        let relay = self.last();
-        let away = || {
+        let relay = self.slow_relay();
+        let unavailable = || {
             ScriptedFeed::new(vec![
                 FeedReply::Unavailable(Duration::from_millis(20));
                 10_000
             ])
         };
-        tokio::spawn(follow::operator_table(relay.clone(), away()));
-        tokio::spawn(follow::runner_table(relay.clone(), away()));
+        tokio::spawn(follow::operator_table(relay.clone(), unavailable()));
+        tokio::spawn(follow::runner_table(relay.clone(), unavailable()));
         tokio::spawn(peer::maintain_links(relay.clone()));
     }
 
-    fn last(&self) -> &Arc<Relay<Fake>> {
+    fn slow_relay(&self) -> &Arc<Relay<Fake>> {
         &self.relays[PROCESSES - 1]
     }
 
-    async fn until(&self, holds: impl Fn(&Self) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&Self) -> bool) {
         let held = async {
             while !holds(self) {
                 sleep(Duration::from_millis(2)).await;
             }
         };
-        let held = timeout(LONG, held).await;
+        let held = timeout(TIMEOUT, held).await;
         assert!(held.is_ok(), "{:?} {}", self.version(), self.knows_runner());
     }
 
     fn version(&self) -> Option<u64> {
-        self.last().plan().map(|plan| plan.version)
+        self.slow_relay().plan().map(|plan| plan.version)
     }
 
     fn knows_runner(&self) -> bool {
-        self.last().runner("r-1").is_some()
+        self.slow_relay().runner("r-1").is_some()
     }
 }
 
-/// Guards against a process that fetches a new configuration from each peer that has it: the copies fill its
-/// link for seconds, and all that it must hear waits behind them.
+/// Guards against a process that fetches a new configuration from each peer that has it: the copies fill
+/// its link for seconds and delay all other messages.
 #[tokio::test]
-async fn one_copy() {
+async fn configuration_transferred_once() {
     let fleet = Fleet::new().await;
     fleet
-        .until(|fleet| fleet.version() == Some(1) && fleet.knows_runner())
+        .wait_until(|fleet| fleet.version() == Some(1) && fleet.knows_runner())
         .await;
-    let before = fleet.narrow.carried();
+    let before = fleet.slow_link.carried();
     let configuration = large(2);
     let length = configuration.to_string().len() as u64;
     fleet.service.put("plans", "config", Some(configuration));
-    fleet.until(|fleet| fleet.version() == Some(2)).await;
+    fleet.wait_until(|fleet| fleet.version() == Some(2)).await;
     loop {
-        let carried = fleet.narrow.carried();
+        let carried = fleet.slow_link.carried();
         sleep(Duration::from_millis(500)).await;
-        if fleet.narrow.carried() - carried < 4_000 {
+        if fleet.slow_link.carried() - carried < 4_000 {
             break;
         }
     }
-    let carried = fleet.narrow.carried() - before;
+    let carried = fleet.slow_link.carried() - before;
     assert!(carried < length * 3 / 2, "{carried} of {length}");
 }
 
-/// Guards against work for a runner that leaves, by a process that hears of it late: the news wait behind a
-/// large configuration.
+/// Guards against work for a leaving runner by a process that learns of it late, because the update
+/// waits behind a large configuration.
 #[tokio::test]
-async fn leaving_beside_configuration() {
+async fn leaving_runner_during_transfer() {
     let fleet = Fleet::new().await;
     fleet
-        .until(|fleet| fleet.version() == Some(1) && fleet.knows_runner())
+        .wait_until(|fleet| fleet.version() == Some(1) && fleet.knows_runner())
         .await;
-    let before = fleet.narrow.carried();
+    let before = fleet.slow_link.carried();
     fleet.service.put("plans", "config", Some(large(2)));
     fleet
-        .until(|fleet| fleet.narrow.carried() > before + TENTH / 2)
+        .wait_until(|fleet| fleet.slow_link.carried() > before + TENTH_SECOND_BYTES / 2)
         .await;
     let leaving = json!({ "service": "plain", "leaving": true });
-    let before = fleet.narrow.carried();
+    let before = fleet.slow_link.carried();
     fleet.service.put("runners", "r-1", Some(leaving));
-    fleet.until(|fleet| !fleet.knows_runner()).await;
-    let waited = fleet.narrow.carried() - before;
-    assert!(waited < TENTH, "behind {waited} bytes");
+    fleet.wait_until(|fleet| !fleet.knows_runner()).await;
+    let waited = fleet.slow_link.carried() - before;
+    assert!(waited < TENTH_SECOND_BYTES, "waited behind {waited} bytes");
 }
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -1,4 +1,4 @@
-//! Links over which processes announce what all of them must know.
+//! The overlay links over which processes announce the state that all of them share.
 
 mod common;
 
@@ -15,8 +15,8 @@
 use tokio::time::{sleep, timeout};
 use wire::{Key, Listener};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout of each step, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 const CONTENT: u64 = 7;
 
 fn member(number: usize, address: SocketAddr) -> Member {
@@ -30,8 +30,8 @@
     }
 }
 
-/// A relay that takes links.
-async fn relay(number: usize) -> (Arc<Relay<Fake>>, Member) {
+/// Starts a relay that accepts links.
+async fn linked_relay(number: usize) -> (Arc<Relay<Fake>>, Member) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member(number, listener.address().expect("bound"));
@@ -40,7 +40,7 @@
     (relay, member)
 }
 
-/// Three runners that ended under the request.
+/// Three runners that crashed while they ran the request.
 fn suspicion() -> Suspicion {
     let crash = |number: u64| Crash {
         runner: (format!("x-{number}").as_str().into(), None),
@@ -54,12 +54,13 @@
     }
 }
 
-/// Guards against processes that nobody tells anything since no work has led to a link between them.
+/// Guards against processes that receive no announcements because no order has opened a link between
+/// them.
 #[tokio::test]
-async fn announced_without_work() {
+async fn announced_without_orders() {
     let mut relays = Vec::new();
     for number in 0..6 {
-        relays.push(relay(number).await);
+        relays.push(linked_relay(number).await);
     }
     for (relay, _) in &relays {
         relay.peers.members(|members| {
@@ -76,13 +77,13 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, everywhere).await.expect("all know it");
+    timeout(TIMEOUT, everywhere).await.expect("received by all");
 }
 
-/// Guards against a link that lives on after its queue was full, and never tells what it missed.
+/// Guards against announcements that are lost for good when the queue of a link is full.
 #[tokio::test]
-async fn repeated_after_beat() {
-    let (relay, _) = relay(0).await;
+async fn resent_after_heartbeat() {
+    let (relay, _) = linked_relay(0).await;
     let (sender, mut receiver) = link::open(&relay).await;
     let empty = peer::StateDigest::default();
     let beat = |beat| Frame::Beat {
@@ -90,23 +91,24 @@
         answers: false,
     };
     relay.merge_suspicion(&suspicion(), "test");
-    let told = async {
-        // The first one may have been announced; each beat that differs brings it again.
+    let resent = async {
+        // The first frame may be the announcement itself; each heartbeat with a different digest repeats
+        // it.
         for _ in 0..2 {
             sender.send(beat(empty)).await.expect("linked");
             loop {
                 let frame = receiver.recv().await.expect("linked").expect("open");
-                if matches!(frame, Frame::Suspicion(told) if told.content == CONTENT) {
+                if matches!(frame, Frame::Suspicion(suspicion) if suspicion.content == CONTENT) {
                     break;
                 }
             }
         }
     };
-    timeout(LONG, told).await.expect("told");
+    timeout(TIMEOUT, resent).await.expect("resent");
 }
 
-/// Guards against links that grow with the number of processes, and against processes that all links
-/// leave out. A failure domain that is lost must not part the rest.
+/// Guards against a number of links that grows with the number of processes, and against processes that
+/// no link reaches. The loss of a failure domain must not partition the others.
 #[test]
 fn few_links_reach_all() {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -128,20 +130,21 @@
             .collect();
         assert!(chosen.iter().all(|chosen| chosen.len() == 4.min(count - 1)));
         for lost in [None, Some(0)] {
-            let lives = |number: usize| lost != Some(number % 3);
-            let living: BTreeSet<usize> = (0..count).filter(|number| lives(*number)).collect();
-            assert_eq!(reached(&chosen, &living), living, "{count}, {lost:?}");
+            let is_alive = |number: usize| lost != Some(number % 3);
+            let alive: BTreeSet<usize> = (0..count).filter(|number| is_alive(*number)).collect();
+            assert_eq!(reached(&chosen, &alive), alive, "{count}, {lost:?}");
         }
     }
 }
 
-/// Processes that news of one reaches over the links of those that live, both ways.
-fn reached(chosen: &[Vec<usize>], living: &BTreeSet<usize>) -> BTreeSet<usize> {
-    let first = living.first().copied().expect("one lives");
+/// Processes that an announcement of one reaches over the links of those that are alive, in both
+/// directions.
+fn reached(chosen: &[Vec<usize>], alive: &BTreeSet<usize>) -> BTreeSet<usize> {
+    let first = alive.first().copied().expect("one is alive");
     let mut reached = BTreeSet::from([first]);
     let mut fresh = vec![first];
     while let Some(at) = fresh.pop() {
-        for next in living {
+        for next in alive {
             let linked = chosen[at].contains(next) || chosen[*next].contains(&at);
             if linked && reached.insert(*next) {
                 fresh.push(*next);
--- a/crates/relay/tests/peer_orders.rs
+++ b/crates/relay/tests/peer_orders.rs
@@ -1,4 +1,4 @@
-//! Pieces that another process has made, over real links.
+//! Execution of pieces by another process, over real links.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use tokio::time::timeout;
 use wire::{Key, Listener};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout of each step, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Node {
     relay: Arc<Relay<Fake>>,
@@ -24,7 +24,7 @@
     serving: JoinHandle<()>,
 }
 
-/// A process that knows the plan and the runners, and takes links.
+/// Starts a process that has the configuration and the runners, and accepts links.
 async fn node(id: &str) -> Node {
     let events = (0..8).map(|_| Act::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
@@ -51,7 +51,7 @@
     }
 }
 
-/// Two processes, of which the second forms the calls of the stage.
+/// Two processes, of which the second owns the cell of the stage.
 async fn pair() -> (Node, Node) {
     let (one, other) = (node("relay-1").await, node("relay-2").await);
     for (node, peer) in [(&one, &other), (&other, &one)] {
@@ -68,15 +68,16 @@
 }
 
 async fn serve(node: &Node) -> (u16, String, bool) {
-    let answer = timeout(LONG, node.relay.serve(request("a", "staged"))).await;
-    timeout(LONG, body(answer.expect("an answer")))
+    let answer = timeout(TIMEOUT, node.relay.serve(request("a", "staged"))).await;
+    timeout(TIMEOUT, body(answer.expect("an answer")))
         .await
         .expect("a body")
 }
 
-/// Each process sends its pieces to the one that forms the calls, so that they share calls.
+/// Each process sends its pieces to the owner of the cell, so that pieces of several processes share
+/// calls.
 #[tokio::test]
-async fn made_by_owner() {
+async fn executed_by_owner() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
     assert!(asking.fake.carried().is_empty());
@@ -84,15 +85,15 @@
     assert_eq!(asking.fake.sent()[0].inputs, 3);
 }
 
-/// The process that forms the calls dies. The others go on with the next one, and their requests
-/// do not fail with it.
+/// The owner of the cell crashes. The others continue with the next owner, and their requests do not
+/// fail.
 #[tokio::test]
-async fn owner_dies() {
+async fn owner_crashes() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
     owner.serving.abort();
     drop(owner.serving.await);
-    // Its links are still there; it falls silent as if it were frozen.
+    // Its links stay open, but it stops responding as if it were frozen.
     owner.fake.stage_acts.lock().expect("free").clear();
     asking
         .relay
@@ -102,12 +103,12 @@
     assert_eq!(asking.fake.carried().len(), 1);
 }
 
-/// The process that forms the calls is asked to stop. It says so: new pieces go elsewhere at once,
-/// and those that it has are finished first.
+/// The owner of the cell has to stop. It announces this, so that new pieces go elsewhere at once, and
+/// finishes the pieces that it has.
 #[tokio::test]
 async fn owner_leaves() {
     let (asking, owner) = pair().await;
-    let begun = tokio::spawn({
+    let pending = tokio::spawn({
         let relay = asking.relay.clone();
         async move { body(relay.serve(request("b", "staged")).await).await }
     });
@@ -116,13 +117,15 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, carried()).await.expect("the order arrives");
+    timeout(TIMEOUT, carried())
+        .await
+        .expect("the order arrives");
     owner.relay.peers.announce_leaving(&owner.member);
-    timeout(LONG, owner.relay.peers.finish_orders())
+    timeout(TIMEOUT, owner.relay.peers.finish_orders())
         .await
         .expect("orders end");
     assert_eq!(
-        timeout(LONG, begun)
+        timeout(TIMEOUT, pending)
             .await
             .expect("in time")
             .expect("no panic")
@@ -133,35 +136,35 @@
     assert_eq!(asking.fake.carried().len(), 1);
 }
 
-/// The table service turns one process away, so that it misses a configuration that takes a key
-/// away. A peer tells it.
+/// The table service rejects the requests of one process, which thus misses a configuration that revokes
+/// a key. It gets the configuration from a peer.
 #[tokio::test]
 async fn configuration_from_peer() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
     owner.relay.adopt(plan(7));
-    let told = || async {
+    let received = || async {
         while asking.relay.plan().map(|plan| plan.version) != Some(7) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LONG, told())
+    timeout(TIMEOUT, received())
         .await
         .expect("the configuration arrives");
 }
 
-/// A process that is alone forms all calls itself.
+/// A single process owns all cells.
 #[tokio::test]
-async fn alone() {
+async fn single_process() {
     let relay = blank(Fake::default());
     let owner = relay.peers.members(|members| members.owner("stage/0"));
     assert_eq!(owner.id, relay.options.member.id);
 }
 
-/// Another process takes over the calls of a cell while requests hold results there. It hears of
-/// them; it would have pieces made that find no room otherwise.
+/// Another process becomes the owner of a cell while requests need results there. Without a report of
+/// these results, it would schedule pieces for which there is no room.
 #[tokio::test]
-async fn results_told_to_next_owner() {
+async fn results_reported_to_next_owner() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
     let cell = Cell {
@@ -178,12 +181,13 @@
         .peers
         .members(|members| members.suspect(&owner.member));
     assert_eq!(serve(&asking).await.0, 200);
-    // Room for one more result there, and all three pieces of the request fit elsewhere.
+    // That runner has room for one more result, so all three pieces of the request must go to the other
+    // one.
     assert_eq!(asking.fake.carried()[0].runner, "s-2");
 }
 
-/// All processes are asked to stop at the same time. They still agree on one that forms the calls;
-/// each for itself, they would send the same runners four times the calls.
+/// All processes have to stop at the same time. They must still agree on the owner of the cell: if each
+/// worked for itself, they would send the same runners four times the calls.
 #[tokio::test]
 async fn all_leave() {
     let (asking, owner) = pair().await;
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -1,4 +1,4 @@
-//! What a process does after it has not run for a while.
+//! Behavior of a process after a pause in which it did not run.
 
 mod common;
 
@@ -11,34 +11,40 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, advance, sleep};
 
-/// Long enough that runners have come and gone meanwhile.
+/// Pause that is long enough for runners to be added and removed.
 const PAUSE: Duration = Duration::from_secs(3);
-/// Longest time that a request waits for news.
-const WAIT: Duration = Duration::from_millis(300);
+/// Maximum time that a request waits for updates.
+const UPDATE_WAIT: Duration = Duration::from_millis(300);
 
-/// The VM is suspended: the steady clock stands still.
+/// Suspends the VM: the monotonic clock stands still.
 fn suspend() {
     SINCE_START.set(SINCE_START.get() + PAUSE);
 }
 
-/// The process does not run for a while; all clocks go on.
-async fn stop(time: Duration) {
+/// Stops the process for a while: all clocks go on.
+async fn stop_process(time: Duration) {
     SINCE_START.set(SINCE_START.get() + time);
     advance(time).await;
 }
 
-/// A relay that has heard the first of what the feed tells.
-async fn following(fake: &Fake, told: Vec<FeedReply>) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
+/// A relay that has received the first of the replies.
+async fn relay_following(
+    fake: &Fake,
+    replies: Vec<FeedReply>,
+) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
     let relay = blank(fake.clone());
     relay.adopt(plan(1));
-    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(
+        relay.clone(),
+        ScriptedFeed::new(replies),
+    ));
     sleep(Duration::from_millis(700)).await;
     assert!(relay.informed());
     (relay, following)
 }
 
-/// Runner p-1 is known; during the pause it leaves and p-2 comes.
-fn replaced() -> Vec<FeedReply> {
+/// Runner p-1 is known; during the pause it is removed and p-2 is added.
+fn runner_replaced() -> Vec<FeedReply> {
     vec![
         FeedReply::Rows(vec![("p-1", entry("plain"))]),
         FeedReply::NoChanges,
@@ -46,85 +52,86 @@
     ]
 }
 
-fn runners(fake: &Fake) -> Vec<String> {
+fn contacted_runners(fake: &Fake) -> Vec<String> {
     fake.sent().into_iter().map(|sent| sent.runner).collect()
 }
 
-/// Runner p-1 has left while the VM was suspended, and p-2 has come. The question for changes from
-/// before waits for some seconds still. A caller whose request went by the old list would wait for
-/// a runner that is not there, or meet another one at its address.
+/// While the VM was suspended, runner p-1 was removed and p-2 added. The request for changes from before
+/// the pause still waits for some seconds. With the old list, a client's request would wait for a runner
+/// that is gone, or go to another one at the same address.
 #[tokio::test(start_paused = true)]
-async fn news_first() {
+async fn updates_before_requests() {
     let fake = Fake::default();
-    let (relay, _following) = following(&fake, replaced()).await;
+    let (relay, _following) = relay_following(&fake, runner_replaced()).await;
     suspend();
-    assert!(!relay.caught_up(), "no callers are wanted yet");
+    assert!(!relay.caught_up(), "not ready for requests yet");
     let answer = body(relay.serve(request("a", "safe")).await).await;
     assert_eq!(answer, (200, "done".to_owned(), true));
-    assert_eq!(runners(&fake), ["p-2"]);
+    assert_eq!(contacted_runners(&fake), ["p-2"]);
     assert!(relay.caught_up());
 }
 
-/// The same where the process was stopped by a signal, so that its timers are late.
+/// The same if the process was stopped by a signal, so that its timers fire late.
 #[tokio::test(start_paused = true)]
-async fn stopped() {
+async fn process_stopped() {
     let fake = Fake::default();
-    let (relay, _following) = following(&fake, replaced()).await;
-    stop(PAUSE).await;
+    let (relay, _following) = relay_following(&fake, runner_replaced()).await;
+    stop_process(PAUSE).await;
     body(relay.serve(request("a", "safe")).await).await;
-    assert_eq!(runners(&fake), ["p-2"]);
+    assert_eq!(contacted_runners(&fake), ["p-2"]);
 }
 
-/// The platform is away when the process goes on. Its callers must not wait for an answer that may
-/// take a minute: after a moment they are served by what was known.
+/// The platform is unavailable when the process continues. Its clients must not wait for a response that
+/// may take a minute: after a moment, they are served with the known runners.
 #[tokio::test(start_paused = true)]
-async fn no_news() {
+async fn table_service_unavailable() {
     let fake = Fake::default();
-    let told = vec![
+    let replies = vec![
         FeedReply::Rows(vec![("p-1", entry("plain"))]),
         FeedReply::NoChanges,
         FeedReply::Unavailable(Duration::from_secs(60)),
     ];
-    let (relay, _following) = following(&fake, told).await;
+    let (relay, _following) = relay_following(&fake, replies).await;
     suspend();
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = body(relay.serve(request("a", "safe")).await).await;
     assert_eq!(answer.0, 200);
-    assert!(begun.elapsed() >= WAIT, "news was waited for");
-    assert!(begun.elapsed() < 2 * WAIT);
-    assert!(relay.caught_up(), "one that cannot know more serves on");
+    assert!(started.elapsed() >= UPDATE_WAIT, "waited for updates");
+    assert!(started.elapsed() < 2 * UPDATE_WAIT);
+    assert!(relay.caught_up(), "serves with the known runners");
 }
 
-/// A process that is busy for a few hundred milliseconds, or just has little of its processor, has
-/// not paused. Its requests must not wait for the platform each time.
+/// A process that is busy for a few hundred milliseconds, or gets little processor time, was not paused.
+/// Its requests must not wait for the platform each time.
 #[tokio::test(start_paused = true)]
 async fn busy_process() {
     let fake = Fake::default();
     let (relay, _following) =
-        following(&fake, vec![FeedReply::Rows(vec![("p-1", entry("plain"))])]).await;
+        relay_following(&fake, vec![FeedReply::Rows(vec![("p-1", entry("plain"))])]).await;
     assert!(relay.caught_up());
-    stop(Duration::from_millis(400)).await;
+    stop_process(Duration::from_millis(400)).await;
     assert!(relay.caught_up());
 }
 
-/// The VM is suspended while a runner refuses a request. The caller has waited all that time; told
-/// of the time that the steady clock left, the next runner would work for nobody.
+/// The VM is suspended while a runner rejects a request. The client has waited all that time. If the
+/// next runner got the remaining time by the monotonic clock, it would work for a client that has timed
+/// out.
 #[tokio::test(start_paused = true)]
-async fn time_left() {
+async fn remaining_time_after_suspension() {
     let fake = Fake::doing([Act::Refuse(NotRun::Full { spacing: None })]);
-    let told = vec![FeedReply::Rows(vec![
+    let replies = vec![FeedReply::Rows(vec![
         ("p-1", entry("plain")),
         ("p-2", entry("plain")),
     ])];
-    let (relay, _following) = following(&fake, told).await;
-    let serving = tokio::spawn({
+    let (relay, _following) = relay_following(&fake, replies).await;
+    let response = tokio::spawn({
         let relay = relay.clone();
         async move { body(relay.serve(request("a", "safe")).await).await }
     });
     sleep(Duration::from_millis(2)).await;
     suspend();
-    assert_eq!(serving.await.expect("no panic").0, 200);
-    let left: Vec<_> = fake.sent().iter().map(|sent| sent.remaining).collect();
-    assert_eq!(left.len(), 2);
-    assert!(left[1] + PAUSE <= left[0], "{left:?}");
+    assert_eq!(response.await.expect("no panic").0, 200);
+    let remaining: Vec<_> = fake.sent().iter().map(|sent| sent.remaining).collect();
+    assert_eq!(remaining.len(), 2);
+    assert!(remaining[1] + PAUSE <= remaining[0], "{remaining:?}");
 }
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -1,4 +1,4 @@
-//! A few processes read the platform's tables and tell the others.
+//! Distribution of the platform's tables from a few readers to the other processes.
 
 mod common;
 
@@ -13,8 +13,8 @@
 use tokio::time::{sleep, timeout};
 use wire::{Key, Listener, Receiver, Sender};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout of each step, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn member(number: usize) -> Member {
     Member {
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a process of so many knows of the others.
+/// The list of `count` processes, as process `own` knows it.
 fn members(own: usize, count: usize) -> Members {
     let mut members = Members::new(member(own));
     for number in 0..count {
@@ -39,26 +39,26 @@
     members
 }
 
-/// Asks a process that follows the list of runners, as another process does.
-struct Asking {
+/// Requests updates from a process that follows the runner table, as another process does.
+struct Requester {
     address: SocketAddr,
     sender: Sender<Frame>,
     receiver: Receiver<Frame>,
 }
 
-impl Asking {
-    async fn new(told: Vec<FeedReply>) -> Self {
+impl Requester {
+    async fn new(replies: Vec<FeedReply>) -> Self {
         let any = "127.0.0.1:0".parse().expect("an address");
         let key = Key::new("key");
         let listener = Listener::bind(any, key.clone()).await.expect("bound");
         let address = listener.address().expect("bound");
-        let teller = Member {
+        let upstream = Member {
             address,
             ..member(0)
         };
-        let relay = blank_as(Fake::default(), teller);
+        let relay = blank_as(Fake::default(), upstream);
         tokio::spawn(peer::serve(relay.clone(), listener));
-        tokio::spawn(follow::runner_table(relay, ScriptedFeed::new(told)));
+        tokio::spawn(follow::runner_table(relay, ScriptedFeed::new(replies)));
         let (sender, receiver) = wire::connect(address, &key).await.expect("linked");
         Self {
             address,
@@ -67,15 +67,15 @@
         }
     }
 
-    async fn news(&mut self, after: impl Into<Option<RowRevision>>) -> TableUpdate {
+    async fn update(&mut self, after: impl Into<Option<RowRevision>>) -> TableUpdate {
         let after = after.into();
-        let question = Frame::AskNews {
+        let request = Frame::AskNews {
             ticket: 1,
             table: ScriptedFeed::RUNNER_TABLE.to_owned(),
             after,
         };
-        self.sender.send(question).await.expect("linked");
-        let answer = async {
+        self.sender.send(request).await.expect("linked");
+        let response = async {
             loop {
                 let frame = self.receiver.recv().await.expect("linked").expect("open");
                 if let Frame::News { news, .. } = frame {
@@ -83,92 +83,93 @@
                 }
             }
         };
-        timeout(LONG, answer).await.expect("an answer")
+        timeout(TIMEOUT, response).await.expect("a response")
     }
 }
 
-/// A runner leaves. The process that reads the list tells those that ask it; they would go on to send
-/// work there until the runner ends with it.
+/// A runner leaves. The reader of the table must send the change to processes that request it. Otherwise
+/// they would send work to that runner until it exits, and the work would be lost.
 #[tokio::test]
-async fn change_told() {
-    let told = vec![
+async fn change_sent() {
+    let replies = vec![
         FeedReply::At(5, vec![("r-1", entry("plain"))]),
         FeedReply::At(6, vec![("r-1", None)]),
     ];
-    let mut asking = Asking::new(told).await;
-    let news = asking.news(5).await;
-    assert_eq!((news.before, news.revision), (Some(5), 6));
-    let rows = news.changes().rows;
+    let mut requester = Requester::new(replies).await;
+    let update = requester.update(5).await;
+    assert_eq!((update.before, update.revision), (Some(5), 6));
+    let rows = update.changes().rows;
     assert_eq!((rows.len(), &rows[0].value), (1, &None));
 }
 
-/// The process that tells has started anew and lacks the changes that came before. The other one would
-/// take what it is told for all there was, and keep a runner that has left: it is told the whole table,
-/// and that it is.
+/// The upstream process has restarted and lacks the changes that came before. If it sent only the
+/// changes that it has, the other process would keep a runner that has left. It must send the whole
+/// table, marked as such.
 #[tokio::test]
-async fn history_lacking() {
-    let told = vec![FeedReply::At(7, vec![("r-2", entry("plain"))])];
-    let mut asking = Asking::new(told).await;
-    let news = asking.news(4).await;
-    assert_eq!((news.is_whole(), news.revision), (true, 7));
-    let rows = news.changes().rows;
+async fn history_missing() {
+    let replies = vec![FeedReply::At(7, vec![("r-2", entry("plain"))])];
+    let mut requester = Requester::new(replies).await;
+    let update = requester.update(4).await;
+    assert_eq!((update.is_whole(), update.revision), (true, 7));
+    let rows = update.changes().rows;
     assert_eq!((rows.len(), &*rows[0].key), (1, "r-2"));
 }
 
-/// A change is too large to be told to others by a small VM, whose callers would wait behind it. Those
-/// that ask read it from the table.
+/// A change is too large to be sent to others by a small VM, since it would delay the responses to
+/// clients. The requesting processes read it from the table.
 #[tokio::test]
-async fn large_change() {
+async fn large_change_withheld() {
     let long = "x".repeat(2_000_000);
-    let told = vec![
+    let replies = vec![
         FeedReply::At(5, vec![]),
         FeedReply::At(6, vec![("r-1", entry(&long))]),
     ];
-    let mut asking = Asking::new(told).await;
-    let news = asking.news(5).await;
-    assert_eq!((news.before, news.revision), (Some(6), 6));
-    assert!(news.changes().rows.is_empty());
+    let mut requester = Requester::new(replies).await;
+    let update = requester.update(5).await;
+    assert_eq!((update.before, update.revision), (Some(6), 6));
+    assert!(update.changes().rows.is_empty());
 }
 
-/// Guards against calls of each process that starts: one that knows nothing is told the whole table.
+/// Guards against calls to the table service by each process that starts: a process that has read
+/// nothing yet must get the whole table.
 #[tokio::test]
 async fn whole_table() {
-    let told = vec![
+    let replies = vec![
         FeedReply::At(5, vec![("r-1", entry("plain")), ("r-2", entry("plain"))]),
         FeedReply::At(6, vec![("r-1", None)]),
     ];
-    let mut asking = Asking::new(told).await;
-    asking.news(5).await;
-    let news = asking.news(None).await;
-    assert_eq!((news.is_whole(), news.revision), (true, 6));
-    let rows = news.changes().rows;
+    let mut requester = Requester::new(replies).await;
+    requester.update(5).await;
+    let update = requester.update(None).await;
+    assert_eq!((update.is_whole(), update.revision), (true, 6));
+    let rows = update.changes().rows;
     assert_eq!((rows.len(), &*rows[0].key), (1, "r-2"));
 }
 
-/// Processes that ask must be told when nothing is new, too, and how old that word is: the reader may
-/// have been cut off since.
+/// Processes must get a response even if nothing has changed. It must tell how recent it is, since the
+/// reader may have been cut off in the meantime.
 #[tokio::test]
-async fn nothing_new() {
-    let told = vec![FeedReply::At(9, vec![("r-1", entry("plain"))])];
-    let mut asking = Asking::new(told).await;
-    let news = asking.news(9).await;
-    assert_eq!((news.before, news.revision), (Some(9), 9));
-    assert!(news.changes().rows.is_empty());
+async fn no_changes_sent() {
+    let replies = vec![FeedReply::At(9, vec![("r-1", entry("plain"))])];
+    let mut requester = Requester::new(replies).await;
+    let update = requester.update(9).await;
+    assert_eq!((update.before, update.revision), (Some(9), 9));
+    assert!(update.changes().rows.is_empty());
 }
 
-/// Guards against a start that takes a table as it was long ago for the one that is: whoever was asked
-/// is cut off from the table service, and would have the newcomer send work to runners that have left.
+/// Guards against a starting process that accepts an outdated table from a process which is cut off from
+/// the table service. It would send work to runners that have left.
 #[tokio::test]
-async fn old_table() {
-    let quiet = FeedReply::Unavailable(LONG);
-    let told = vec![FeedReply::At(5, vec![("r-old", entry("plain"))]), quiet];
-    let asking = Asking::new(told).await;
+async fn outdated_table_rejected() {
+    let outage = FeedReply::Unavailable(TIMEOUT);
+    let replies = vec![FeedReply::At(5, vec![("r-old", entry("plain"))]), outage];
+    let requester = Requester::new(replies).await;
     sleep(Duration::from_secs(2)).await;
     let relay = blank_as(Fake::default(), member(39));
     relay.peers.members(|known| {
         *known = members(39, 40);
         let upstream = known.upstream().expect("one of forty");
-        let address = asking.address;
+        let address = requester.address;
         known.put(
             Member {
                 address,
@@ -177,90 +178,97 @@
             5,
         );
     });
-    let told = [FeedReply::At(7, vec![("r-new", entry("plain"))])];
-    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
+    let replies = [FeedReply::At(7, vec![("r-new", entry("plain"))])];
+    let following = tokio::spawn(follow::runner_table(
+        relay.clone(),
+        ScriptedFeed::new(replies),
+    ));
     let listed = async {
         while relay.fleet(|_| ()).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, listed).await.expect("a list");
+    timeout(TIMEOUT, listed).await.expect("a list");
     following.abort();
     let known = ["r-old", "r-new"].map(|id| relay.runner(id).is_some());
     assert_eq!(known, [false, true]);
 }
 
-/// The process that should tell is gone, and with it all others that might. This one reads the list
-/// itself before what it knows is too old.
+/// The upstream process and all its replacements are gone. This process must read the table itself
+/// before its contents are too old.
 #[tokio::test(start_paused = true)]
-async fn tellers_gone() {
+async fn upstreams_unreachable() {
     let relay = blank_as(Fake::default(), member(39));
     relay.peers.members(|known| *known = members(39, 40));
     assert!(relay.peers.members(|known| known.upstream()).is_some());
-    let quiet = (0..4).map(|_| FeedReply::NoChanges);
-    let told = [FeedReply::At(5, vec![("r-1", entry("plain"))])];
-    let told = told
+    let no_changes = (0..4).map(|_| FeedReply::NoChanges);
+    let replies = [FeedReply::At(5, vec![("r-1", entry("plain"))])];
+    let replies = replies
         .into_iter()
-        .chain(quiet)
+        .chain(no_changes)
         .chain([FeedReply::At(6, vec![("r-1", None)])]);
-    let following = tokio::spawn(follow::runner_table(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(follow::runner_table(
+        relay.clone(),
+        ScriptedFeed::new(replies),
+    ));
     sleep(Duration::from_secs(12)).await;
     following.abort();
     assert!(relay.runner("r-1").is_none());
 }
 
-/// The one that tells each of so many processes; none for those that read.
+/// The upstream process of each of `count` processes; `None` for readers.
 fn upstreams(count: usize) -> Vec<Option<usize>> {
     let number = |member: Member| member.id["relay-".len()..].parse().expect("a number");
-    let teller = |own: usize| members(own, count).upstream().map(number);
-    (0..count).map(teller).collect()
+    let upstream = |own: usize| members(own, count).upstream().map(number);
+    (0..count).map(upstream).collect()
 }
 
-/// Each process of a large fleet would ask the table service every few seconds, and once more for each
-/// change. Whatever the size, two ask; a small fleet has nothing to gain.
+/// Guards against requests to the table service by every process of a large fleet, every few seconds and
+/// once more for each change. Two processes must read, whatever the size; in a small fleet, sharing
+/// saves nothing.
 #[test]
 fn few_readers() {
     let readers = |count: usize| {
         upstreams(count)
             .iter()
-            .filter(|teller| teller.is_none())
+            .filter(|upstream| upstream.is_none())
             .count()
     };
     assert_eq!([4, 30, 70, 300, 1_000].map(readers), [4, 2, 2, 2, 2]);
 }
 
-/// Guards against a process that tells so many others that its link or its processor is taken up, and
-/// against news that pass through so many that they come too late.
+/// Guards against a process that updates so many others that its link or its processor is saturated, and
+/// against updates that arrive too late after too many hops.
 #[test]
-fn short_ways() {
+fn short_paths() {
     for (count, most) in [(30, 2), (300, 3), (1_000, 3)] {
-        let tellers = upstreams(count);
-        let mut told = vec![0; count];
-        tellers
+        let chosen = upstreams(count);
+        let mut fan_out = vec![0; count];
+        chosen
             .iter()
             .flatten()
-            .for_each(|teller| told[*teller] += 1);
-        assert!(told.iter().all(|told| *told <= 8), "{count}");
-        let steps = |own: usize| {
-            let way = std::iter::successors(Some(own), |at| tellers[*at]);
-            way.take(count).count() - 1
+            .for_each(|upstream| fan_out[*upstream] += 1);
+        assert!(fan_out.iter().all(|fan_out| *fan_out <= 8), "{count}");
+        let path_length = |own: usize| {
+            let path = std::iter::successors(Some(own), |at| chosen[*at]);
+            path.take(count).count() - 1
         };
-        let longest = (0..count).map(steps).max();
+        let longest = (0..count).map(path_length).max();
         assert_eq!(longest, Some(most), "{count}");
         let depths = (0..count).map(|own| members(own, count).tree.depth() as usize);
         assert_eq!(depths.max(), Some(most));
     }
 }
 
-/// Guards against a fleet that relies on its smallest VMs, and on processes that have just started and
-/// know nothing.
+/// Guards against readers on the smallest VMs, and against readers that have just started and have no
+/// contents yet.
 #[test]
-fn weak_and_new_last() {
+fn weak_and_new_processes_last() {
     let weak = Member {
         weight: 0.1,
         ..member(0)
     };
-    let reads = |own: &usize| {
+    let is_reader = |own: &usize| {
         let mut known = match own {
             0 => Members::new(weak.clone()),
             own => Members::new(member(*own)),
@@ -269,36 +277,36 @@
             known.put(member(number), number as u64 + 1);
         }
         known.put(weak.clone(), 1);
-        // It has written its row anew.
+        // Process 1 has rewritten its row.
         known.put(member(1), 99);
         let revision = if *own == 1 { 99 } else { *own as u64 + 1 };
         known.mark_registered(Duration::ZERO, revision);
         known.mark_listed();
         known.upstream().is_none()
     };
-    let readers = (0..40).filter(reads);
+    let readers = (0..40).filter(is_reader);
     assert_eq!(readers.collect::<Vec<_>>(), [2, 3]);
 }
 
-/// Guards against calls of all that a process tells, when that has nothing new to tell.
+/// Guards against calls to the table service by all processes below one that has no updates.
 #[tokio::test(start_paused = true)]
-async fn stale_upstream() {
+async fn stale_upstream_replaced() {
     let mut known = members(39, 40);
-    let teller = known.upstream().expect("one of forty");
-    known.tree.mark_stale(&teller.id);
+    let upstream = known.upstream().expect("one of forty");
+    known.tree.mark_stale(&upstream.id);
     let next = known.upstream().expect("another one");
-    assert_ne!(next.id, teller.id);
+    assert_ne!(next.id, upstream.id);
     sleep(Duration::from_secs(4)).await;
-    assert_eq!(known.upstream(), Some(teller));
+    assert_eq!(known.upstream(), Some(upstream));
 }
 
-/// The process that tells is asked to stop, and ends with what it knows. The others turn to the next
-/// one at once, not when they miss it.
+/// The upstream process has to stop. The others must switch to the next one at once, not only when
+/// requests fail.
 #[test]
-fn teller_leaves() {
+fn stopping_upstream_replaced() {
     let mut known = members(39, 40);
-    let teller = known.upstream().expect("one of forty");
-    known.mark_left(teller.id.clone(), teller.incarnation);
+    let upstream = known.upstream().expect("one of forty");
+    known.mark_left(upstream.id.clone(), upstream.incarnation);
     let next = known.upstream();
-    assert!(next.is_none_or(|next| next.id != teller.id));
+    assert!(next.is_none_or(|next| next.id != upstream.id));
 }
