--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -6,10 +6,10 @@
 pub use budget::StalenessBudget;
 pub(crate) use follower::{Follower, PollIntervals};
 
+use crate::configuration::Configuration;
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use crate::drain::Drains;
-use crate::plan::Plan;
 use crate::runner::{Change, DomainId, Runner, RunnerId};
 use crate::telemetry::millis;
 use decide::Map;
@@ -78,7 +78,7 @@
     fn parse_configuration(
         key: &str,
         value: &serde_json::Value,
-    ) -> Result<Option<Plan>, InvalidRow>;
+    ) -> Result<Option<Configuration>, InvalidRow>;
 
     /// Parses a row of the runner table.
     ///
@@ -141,9 +141,9 @@
         for change in changes.rows {
             let Some(value) = &change.value else { continue };
             match S::parse_configuration(&change.key, value) {
-                Ok(Some(mut plan)) => {
-                    plan.revision = change.revision;
-                    adopt(&relay, plan, follower.origin());
+                Ok(Some(mut configuration)) => {
+                    configuration.revision = change.revision;
+                    adopt(&relay, configuration, follower.origin());
                 }
                 Ok(None) => {}
                 Err(error) => {
@@ -216,10 +216,12 @@
     }
 }
 
-fn adopt<D: Downstream>(relay: &Relay<D>, plan: Plan, origin: &str) {
-    let version = plan.version;
-    let before = relay.plan().map(|plan| plan.version);
-    let adopted = relay.adopt(plan);
+fn adopt<D: Downstream>(relay: &Relay<D>, configuration: Configuration, origin: &str) {
+    let version = configuration.version;
+    let before = relay
+        .configuration()
+        .map(|configuration| configuration.version);
+    let adopted = relay.adopt(configuration);
     info!(relay.log, "configuration"; "version" => version, "before" => before, "adopted" => adopted,
         "from" => origin);
 }
@@ -243,7 +245,7 @@
         }
         updates.extend(deferred.take_due());
         relay.update(updates);
-        relay.runners_known(relay.started() + follower.current());
+        relay.mark_runner_list_current(relay.started() + follower.current());
     }
 }
 
@@ -282,7 +284,7 @@
         let mut now = Vec::new();
         for change in changes {
             match &change {
-                Change::Listed(runner) if !runner.leaving && !relay.knows(runner) => {
+                Change::Listed(runner) if !runner.leaving && !relay.has_entry(runner) => {
                     self.0.insert(runner.id.clone(), (change, until));
                 }
                 _ => now.push(change),
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -8,7 +8,7 @@
 use crate::peer::TableUpdate;
 use crate::peer::tables::{Table, TableRead};
 use crate::telemetry::millis;
-use protocol::reader::{Reader, Take, Told};
+use protocol::reader::{PeerUpdate, Reader, UpdateAction};
 use rand::Rng;
 use slog::{info, warn};
 use std::sync::Arc;
@@ -100,7 +100,7 @@
         table: &'static str,
         intervals: PollIntervals,
     ) -> Self {
-        relay.pause.enroll();
+        relay.pause.add_follower();
         Self {
             pauses: relay.pause.count(),
             reader: Reader::new(intervals.max_age),
@@ -156,7 +156,7 @@
             let withheld = self.withheld;
             let answer = tokio::select! {
                 answer = self.request_changes(relay, pauses) => answer,
-                () = relay.pause.beyond(pauses) => continue,
+                () = relay.pause.wait_for_pause_after(pauses) => continue,
                 () = wait_withheld_timeout(relay, withheld) => {
                     self.read_withheld(relay);
                     continue;
@@ -165,7 +165,7 @@
             match answer {
                 Ok(changes) => {
                     relay.telemetry.table_answer(self.upstream.is_some());
-                    relay.pause.heard(self.pauses, pauses);
+                    relay.pause.record_answer_after_pause(self.pauses, pauses);
                     self.pauses = pauses;
                     self.note_recovery(relay);
                     return changes;
@@ -218,7 +218,11 @@
             Some((upstream, members.tree.depth(), members.tree.levels()))
         })?;
         let trust_reduction = StalenessBudget::new(relay.options.drain).trust_reduction(levels);
-        let until = self.reader.trusts_until()?.saturating_sub(trust_reduction) + HOP_DELAY * depth;
+        let until = self
+            .reader
+            .trusts_peers_until()?
+            .saturating_sub(trust_reduction)
+            + HOP_DELAY * depth;
         let until = relay.started() + until.saturating_sub(self.extra_age);
         let asked = Instant::now();
         if until <= asked {
@@ -326,27 +330,27 @@
             // Only the table itself can tell what a backup lacks.
             return None;
         }
-        let peer_update = Told {
+        let peer_update = PeerUpdate {
             before: update.before.unwrap_or_default(),
             revision: update.revision,
             current: update.current(asked),
         };
-        let action = self.reader.told(peer_update);
+        let action = self.reader.on_peer_update(peer_update);
         if self.current() > Duration::ZERO {
             self.extra_age = Duration::ZERO;
         }
         let changes = match action {
-            Take::Gap => return None,
-            Take::Ignore => Changes {
+            UpdateAction::Gap => return None,
+            UpdateAction::Ignore => Changes {
                 revision: after,
                 ..Changes::default()
             },
-            Take::Apply => {
+            UpdateAction::Apply => {
                 self.note_withheld(withheld);
                 update.changes()
             }
         };
-        let before = (!is_whole || action == Take::Ignore).then_some(after);
+        let before = (!is_whole || action == UpdateAction::Ignore).then_some(after);
         self.publish(relay, before, &changes, self.grace_until.max(grace_until));
         Some(changes)
     }
@@ -362,7 +366,10 @@
         let Some((revision, since)) = self.withheld.take() else {
             return;
         };
-        if relay.plan().is_some_and(|plan| plan.revision >= revision) {
+        if relay
+            .configuration()
+            .is_some_and(|configuration| configuration.revision >= revision)
+        {
             return;
         }
         warn!(relay.log, "no configuration from peer, reading the whole table";
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -13,9 +13,9 @@
 use crate::telemetry::millis;
 use decide::Map;
 use decide::owner::{Candidate, choose};
-use decide::subset::{self, rank};
-use decide::warmup::Share;
-use protocol::roster::Roster;
+use decide::subset::{self, rendezvous_hash};
+use decide::warmup::RateShare;
+use protocol::roster::Activation;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
@@ -101,7 +101,7 @@
     listed: bool,
     leaving: bool,
     /// Whether this process may do work that only a limited number of processes may do at a time.
-    pub(crate) roster: Roster,
+    pub(crate) roster: Activation,
 }
 
 impl Members {
@@ -118,7 +118,7 @@
             listed_clock: None,
             listed: false,
             leaving: false,
-            roster: Roster::new(MAX_LIST_AGE, HANDOVER_DELAY),
+            roster: Activation::new(MAX_LIST_AGE, HANDOVER_DELAY),
         }
     }
 
@@ -175,7 +175,7 @@
     /// Records that the row of this process was written at this time, with this revision.
     pub fn mark_registered(&mut self, now: Duration, revision: RowRevision) {
         self.tree.put(&self.own, revision);
-        self.roster.enlisted(now);
+        self.roster.mark_registered(now);
     }
 
     /// When a row with this process's id was first written, on the table service's clock, and whether
@@ -195,9 +195,9 @@
     /// Unreachable processes keep their places, since two processes that disagree on reachability would
     /// both send.
     #[must_use]
-    pub fn has_place(&self, share: &Share, runner: &str) -> bool {
+    pub fn may_send(&self, share: &RateShare, runner: &str) -> bool {
         let others = self.others.keys().map(|id| &**id);
-        share.has_place(runner, &self.own.id, others)
+        share.may_send(runner, &self.own.id, others)
     }
 
     /// The other processes, except the suspected ones.
@@ -249,9 +249,9 @@
     /// work from one another.
     #[must_use]
     pub fn takeover_rank(&self, work: &str) -> u32 {
-        let own = rank(work, &self.own.id);
+        let own = rendezvous_hash(work, &self.own.id);
         let before = self.reachable().filter(|member| {
-            let other = rank(work, &member.id);
+            let other = rendezvous_hash(work, &member.id);
             (other, &*member.id) < (own, &*self.own.id)
         });
         u32::try_from(before.count()).unwrap_or(u32::MAX)
@@ -333,7 +333,7 @@
     relay.peers.members(|members| {
         members.mark_registered(relay.now(), revision);
         if is_settled {
-            members.roster.settle();
+            members.roster.mark_known();
         }
     });
     relay.peers.mark_registered();
@@ -408,12 +408,12 @@
         let mut changes = follower.next(&relay).await;
         if follower.is_restored {
             relay.peers.rewrite_own_row.notify_one();
-            quarantine::write_again(&relay);
+            quarantine::rewrite_rows(&relay);
         }
         changes
             .rows
-            .retain(|change| !quarantine::take(&relay, change));
-        quarantine::forget_old(&relay);
+            .retain(|change| !quarantine::apply_row(&relay, change));
+        quarantine::expire(&relay);
         relay.peers.members(|members| {
             if follower.is_restored {
                 // The backup may contain the row of an earlier start of a process, which will rewrite
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -15,13 +15,13 @@
 pub use tables::TableUpdate;
 pub use transfer::Part;
 
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError, WaitEstimates};
+use crate::configuration::{Rank, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle};
 use crate::drain::Drains;
-use crate::limit::Notice;
+use crate::limit::LimitNotice;
 use crate::member::{Member, MemberId, Members};
-use crate::plan::{Rank, Version};
 use crate::quarantine::Suspicion;
 use decide::Map;
 use slog::{info, warn};
@@ -49,7 +49,7 @@
     members: Mutex<Members>,
     links: Mutex<Map<MemberId, Arc<LinkSlot>>>,
     subscribers: Mutex<Vec<Sender<Frame>>>,
-    wait_estimates: Mutex<Map<Cell, (Waits, Instant)>>,
+    wait_estimates: Mutex<Map<Cell, (WaitEstimates, Instant)>>,
     held_results: Mutex<Map<Cell, HeldResults>>,
     pub(crate) call_loads: CallLoadTable,
     /// What this process has completed of its own registration and of reading the list of processes.
@@ -247,7 +247,7 @@
     }
 
     /// Announces a runner's limit to all linked processes.
-    pub(crate) fn announce_limit(&self, notice: &Notice) {
+    pub(crate) fn announce_limit(&self, notice: &LimitNotice) {
         self.broadcast(&Frame::Limit(notice.clone()));
     }
 
@@ -288,7 +288,7 @@
         fresh.map_or(batches.shape.call, |(waits, _)| waits.of(rank))
     }
 
-    pub(crate) fn record_wait_estimates(&self, cell: Cell, waits: Waits) {
+    pub(crate) fn record_wait_estimates(&self, cell: Cell, waits: WaitEstimates) {
         lock(&self.wait_estimates).insert(cell, (waits, Instant::now()));
     }
 
@@ -312,9 +312,14 @@
     }
 
     /// Notifies the owner of a cell that results were fetched or are not needed any more.
-    pub fn release<D: Downstream>(&self, relay: &Arc<Relay<D>>, results: Results, spent: Spent) {
+    pub fn release<D: Downstream>(
+        &self,
+        relay: &Arc<Relay<D>>,
+        results: Results,
+        spent: ReleaseKind,
+    ) {
         let Results { cell, handles } = &results;
-        if spent == Spent::Over
+        if spent == ReleaseKind::Over
             && let Some(held_results) = lock(&self.held_results).get_mut(cell)
         {
             for handle in handles {
@@ -437,7 +442,7 @@
         let results = relay.peers.results_for_new_owner(cell, &owner);
         if owner.id == relay.options.member.id {
             if let Some(results) = results {
-                relay.batcher(cell).hold(relay, &results);
+                relay.batcher(cell).record_results(relay, &results);
             }
             return execute_locally(relay, cell, order).await;
         }
@@ -448,15 +453,15 @@
         }
         let forwarded = forward_order(relay, &owner, cell, &order).await;
         match forwarded {
-            ForwardOutcome::Completed(Err(Spoiled::NoRunner)) => break,
+            ForwardOutcome::Completed(Err(StageError::NoRunner)) => break,
             ForwardOutcome::Completed(outcome) => return outcome,
             ForwardOutcome::Unreachable => relay.peers.members(|members| members.suspect(&owner)),
             ForwardOutcome::LinkLost => {
                 info!(relay.log, "link to peer lost while it executed an order"; "peer" => &*owner.id,
                     "request" => &*order.id, "stage" => order.stage);
                 relay.peers.members(|members| members.suspect(&owner));
-                if !relay.may_repeat(&cell.service) {
-                    return Err(Spoiled::Failed);
+                if !relay.try_retry(&cell.service) {
+                    return Err(StageError::Failed);
                 }
             }
         }
@@ -471,7 +476,7 @@
 ) -> Outcome {
     let outcome = relay.batcher(cell).submit(relay, order).await;
     // The sender is dropped without an outcome only when the order has been withdrawn.
-    outcome.unwrap_or(Err(Spoiled::Failed))
+    outcome.unwrap_or(Err(StageError::Failed))
 }
 
 /// Result of forwarding an order to another process.
--- a/crates/relay/src/peer/call_loads.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -5,13 +5,13 @@
 //! sums up the reports of all processes, and replies to each with the load of the others.
 
 use super::frame::Frame;
+use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::MemberId;
-use crate::plan::ServiceId;
 use crate::runner::RunnerId;
 use decide::Map;
-use decide::route::Burden;
+use decide::route::CallLoad;
 use setting::Policy;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const REPORT_TTL: Duration = Duration::from_millis(500);
 
 /// Load that calls put on each runner.
-pub type CallLoads = Vec<(RunnerId, Burden)>;
+pub type CallLoads = Vec<(RunnerId, CallLoad)>;
 
 /// The latest report of each process on its calls at each service.
 #[derive(Debug, Default)]
@@ -42,10 +42,10 @@
         let mut table = lock(&self.0);
         let reports = table.entry(service.clone()).or_default();
         reports.retain(|_, report| report.received.elapsed() < REPORT_TTL);
-        let mut sums: Map<RunnerId, Burden> = Map::default();
+        let mut sums: Map<RunnerId, CallLoad> = Map::default();
         let others = reports.iter().filter(|(member, _)| **member != from);
-        for (runner, burden) in others.flat_map(|(_, report)| &report.burdens) {
-            *sums.entry(runner.clone()).or_default() += *burden;
+        for (runner, call_load) in others.flat_map(|(_, report)| &report.burdens) {
+            *sums.entry(runner.clone()).or_default() += *call_load;
         }
         let report = LoadReport {
             received: Instant::now(),
@@ -97,5 +97,5 @@
 /// Applies the load that the other processes put on the runners.
 pub(super) fn apply<D: Downstream>(relay: &Relay<D>, service: &ServiceId, others: CallLoads) {
     let now = relay.now();
-    relay.pool(service, |pool| pool.told(now, others));
+    relay.pool(service, |pool| pool.update_peer_loads(now, others));
 }
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -3,14 +3,14 @@
 use super::overlay::{self, StateDigest};
 use super::transfer::Part;
 use super::{CallLoads, PeerLink, TableUpdate, call_loads, transfer};
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, WaitEstimates};
+use crate::configuration::{Rank, ServiceId, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle, Source};
 use crate::drain::Drains;
-use crate::limit::Notice;
+use crate::limit::LimitNotice;
 use crate::member::MemberId;
 use crate::outage;
-use crate::plan::{Rank, ServiceId, Version};
 use crate::quarantine::Suspicion;
 use crate::request::{ContentId, RequestId};
 use crate::runner::DomainId;
@@ -64,7 +64,7 @@
         /// The results.
         results: Results,
         /// Which of the two.
-        spent: Spent,
+        spent: ReleaseKind,
     },
     /// Reports the results that the sender needs to a process that was not the cell's owner before.
     Held {
@@ -78,7 +78,7 @@
         /// The cell.
         cell: Cell,
         /// Expected times until they are completed.
-        waits: Waits,
+        waits: WaitEstimates,
     },
     /// Reports the load of the sender's calls on a service's runners.
     Burdens {
@@ -126,7 +126,7 @@
         answers: bool,
     },
     /// A limit that a runner sets in its responses.
-    Limit(Notice),
+    Limit(LimitNotice),
     /// Announces that the sender stops and accepts no more orders until it has restarted.
     Leaving {
         /// Id of the sender.
@@ -175,12 +175,12 @@
             pieces: order.pieces,
             source: order.source.clone(),
             inputs: order.inputs.clone(),
-            result: order.result,
+            result: order.result_bytes,
             due: order.due.saturating_duration_since(now),
-            last: order.last.saturating_duration_since(now),
+            last: order.expires_at.saturating_duration_since(now),
             rank: order.rank,
             domain: order.domain.clone(),
-            patience: order.patience,
+            patience: order.max_domain_wait,
             content: order.content,
             trial: order.trial,
         }
@@ -196,12 +196,12 @@
             pieces: self.pieces,
             source: self.source,
             inputs: self.inputs,
-            result: self.result,
+            result_bytes: self.result,
             due: now + self.due,
-            last: now + self.last,
+            expires_at: now + self.last,
             rank: self.rank,
             domain: self.domain,
-            patience: self.patience,
+            max_domain_wait: self.patience,
             content: self.content,
             trial: self.trial,
         }
@@ -235,9 +235,9 @@
         // Those that do not fit into the queue are sent after the next heartbeat.
         let _ = sender.try_send(&Frame::Suspicion(suspicion));
     }
-    if let Some(plan) = relay.plan() {
+    if let Some(configuration) = relay.configuration() {
         // A lost link is detected when it is read.
-        let _ = sender.try_send(&Frame::Version(plan.version));
+        let _ = sender.try_send(&Frame::Version(configuration.version));
     }
 }
 
@@ -330,8 +330,11 @@
 /// Processes that do not read the tables themselves, or whose requests the table service rejects, learn
 /// of a new configuration and of revoked keys from their peers alone.
 fn check_version<D: Downstream>(relay: &Arc<Relay<D>>, sender: &Sender<Frame>, version: Version) {
-    let is_outdated =
-        move |relay: &Relay<D>| relay.plan().is_none_or(|plan| plan.version < version);
+    let is_outdated = move |relay: &Relay<D>| {
+        relay
+            .configuration()
+            .is_none_or(|configuration| configuration.version < version)
+    };
     if !is_outdated(relay) {
         return;
     }
--- a/crates/relay/src/peer/overlay.rs
+++ b/crates/relay/src/peer/overlay.rs
@@ -8,10 +8,10 @@
 
 use super::PeerLink;
 use super::frame::{self, Frame};
+use crate::configuration::Version;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member::{Member, MemberId};
-use crate::plan::Version;
 use decide::Map;
 use foldhash::fast::FixedState;
 use futures::future::join_all;
@@ -46,7 +46,9 @@
             suspects: relay.suspicions_digest(),
             limits: relay.limits_digest(),
             drains: FixedState::default().hash_one(relay.drains().domains),
-            version: relay.plan().map(|plan| plan.version),
+            version: relay
+                .configuration()
+                .map(|configuration| configuration.version),
         }
     }
 }
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{self, Frame};
 use super::{tables, transfer};
-use crate::batch::{Cell, Outcome, Spoiled};
+use crate::batch::{Cell, Outcome, StageError};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use decide::Map;
@@ -90,9 +90,9 @@
                 sheet,
             } => {
                 let outcome = relay.batcher(&cell).submit(relay, sheet.into_order());
-                let handle = self
-                    .running
-                    .spawn(async move { (ticket, outcome.await.unwrap_or(Err(Spoiled::Failed))) });
+                let handle = self.running.spawn(async move {
+                    (ticket, outcome.await.unwrap_or(Err(StageError::Failed)))
+                });
                 self.handles.insert(ticket, (cell, handle));
             }
             Frame::Withdraw { ticket } => {
@@ -119,7 +119,7 @@
                     tables::send_update(relay.clone(), sender.clone(), ticket, table, after);
                 tokio::spawn(reply);
             }
-            Frame::Held { cell, results } => relay.batcher(&cell).hold(relay, &results),
+            Frame::Held { cell, results } => relay.batcher(&cell).record_results(relay, &results),
             Frame::Release { results, spent } => {
                 let batcher = relay.batcher(&results.cell);
                 batcher.release(relay, &results.handles, spent);
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -1,9 +1,9 @@
 //! Transfer of configurations between processes, in parts.
 
 use super::frame::Frame;
+use crate::configuration::{Configuration, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
-use crate::plan::{Plan, Version};
 use crate::telemetry::millis;
 use bytes::{Bytes, BytesMut};
 use flate2::Compression;
@@ -11,7 +11,7 @@
 use flate2::write::DeflateEncoder;
 use foldhash::fast::FixedState;
 use protocol::Fetch;
-use protocol::fetch::{self, Question, Take};
+use protocol::fetch::{self, PartAction, PartRequest};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use snafu::{ResultExt, Snafu};
@@ -83,15 +83,15 @@
         }
     }
 
-    fn encode(plan: &Plan) -> Result<Self, CodecError> {
-        let encoded = postcard::to_stdvec(plan).context(EncodedSnafu)?;
+    fn encode(configuration: &Configuration) -> Result<Self, CodecError> {
+        let encoded = postcard::to_stdvec(configuration).context(EncodedSnafu)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&encoded).context(CompressedSnafu)?;
         let bytes = encoder.finish().context(CompressedSnafu)?;
-        Ok(Self::new(plan.version, bytes.into()))
+        Ok(Self::new(configuration.version, bytes.into()))
     }
 
-    fn decode(&self) -> Result<Plan, CodecError> {
+    fn decode(&self) -> Result<Configuration, CodecError> {
         let mut encoded = Vec::new();
         let decoder = DeflateDecoder::new(&self.bytes[..]);
         let mut bounded = decoder.take(MAX_CONFIGURATION_BYTES);
@@ -162,16 +162,16 @@
     }
 
     /// The image of a version, or of the version in force if that image is not kept.
-    fn image(&self, version: Version, plan: &Plan) -> Result<Image, CodecError> {
+    fn image(&self, version: Version, configuration: &Configuration) -> Result<Image, CodecError> {
         let kept = |version: Version| {
             let images = lock(&self.images);
             let image = images.iter().find(|image| image.version == version);
             image.cloned()
         };
-        if let Some(image) = kept(version).or_else(|| kept(plan.version)) {
+        if let Some(image) = kept(version).or_else(|| kept(configuration.version)) {
             return Ok(image);
         }
-        let image = Image::encode(plan)?;
+        let image = Image::encode(configuration)?;
         self.keep(image.clone());
         Ok(image)
     }
@@ -206,14 +206,16 @@
     version: Version,
     offset: u64,
 ) {
-    let Some(plan) = relay.plan() else { return };
-    match relay.peers.transfer.image(version, &plan) {
+    let Some(configuration) = relay.configuration() else {
+        return;
+    };
+    match relay.peers.transfer.image(version, &configuration) {
         Ok(image) => {
             // If the queue is full, the peer requests the part from another process.
             let _ = sender.try_send(&Frame::Part(image.part(offset)));
         }
         Err(error) => {
-            warn!(relay.log, "cannot encode configuration for peer"; "version" => plan.version,
+            warn!(relay.log, "cannot encode configuration for peer"; "version" => configuration.version,
             "error" => %error);
         }
     }
@@ -229,14 +231,14 @@
     let mut state = lock(&relay.peers.transfer.state);
     let action = state.fetch.part(sender, part.header(), now);
     let request = match action {
-        Take::Ignore => return,
-        Take::Reset(request) => Some(request),
-        Take::Restart(request) => {
+        PartAction::Ignore => return,
+        PartAction::Reset(request) => Some(request),
+        PartAction::Restart(request) => {
             state.received.clear();
             state.received.extend_from_slice(&part.bytes);
             request
         }
-        Take::Append(request) => {
+        PartAction::Append(request) => {
             state.received.extend_from_slice(&part.bytes);
             request
         }
@@ -260,8 +262,8 @@
     took: Duration,
 ) {
     let (version, bytes) = (image.version, image.bytes.len());
-    let plan = match image.decode() {
-        Ok(plan) => plan,
+    let configuration = match image.decode() {
+        Ok(configuration) => configuration,
         Err(error) => {
             warn!(relay.log, "cannot decode configuration from peer"; "version" => version,
                 "error" => %error);
@@ -270,8 +272,10 @@
         }
     };
     relay.peers.transfer.keep(image);
-    let before = relay.plan().map(|plan| plan.version);
-    let adopted = relay.adopt(plan);
+    let before = relay
+        .configuration()
+        .map(|configuration| configuration.version);
+    let adopted = relay.adopt(configuration);
     relay.telemetry.configuration_copy(adopted);
     info!(relay.log, "received configuration from peer"; "version" => version, "before" => before,
         "adopted" => adopted, "bytes" => bytes, "took_ms" => millis(took));
@@ -280,7 +284,7 @@
 
 /// Sends the request for a part to its source, or to the next source if the link is lost or its queue is
 /// full.
-fn request_part<D: Downstream>(relay: &Relay<D>, mut next: Option<Question<Sender<Frame>>>) {
+fn request_part<D: Downstream>(relay: &Relay<D>, mut next: Option<PartRequest<Sender<Frame>>>) {
     while let Some(request) = next {
         let (version, offset) = (request.version, request.offset);
         if offset == 0 {
@@ -301,7 +305,7 @@
 fn next_source<D: Downstream>(
     relay: &Relay<D>,
     source: &Sender<Frame>,
-) -> Option<Question<Sender<Frame>>> {
+) -> Option<PartRequest<Sender<Frame>>> {
     let now = relay.now();
     let mut state = lock(&relay.peers.transfer.state);
     let request = state.fetch.lost(source, now);
@@ -340,9 +344,9 @@
     /// Discards the received parts if the request starts the fetch over.
     fn reset_if_restarted(
         &mut self,
-        request: Option<Question<Sender<Frame>>>,
+        request: Option<PartRequest<Sender<Frame>>>,
         now: Duration,
-    ) -> Option<Question<Sender<Frame>>> {
+    ) -> Option<PartRequest<Sender<Frame>>> {
         if request.as_ref().is_some_and(|request| request.offset == 0) {
             self.started = now;
             self.received.clear();
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -1,9 +1,9 @@
 //! A feed that sends scripted replies.
 
-use super::{plan, plan_with, runner};
+use super::{configuration, configuration_with_routes, runner};
 use relay::follow::{InvalidRow, TableSource};
 use relay::runner::DomainId;
-use relay::{Plan, Runner};
+use relay::{Configuration, Runner};
 use serde_json::Value;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -106,16 +106,16 @@
     }
 
     /// The value is a version, or a version with the names of further routes.
-    fn parse_configuration(_key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
+    fn parse_configuration(_key: &str, value: &Value) -> Result<Option<Configuration>, InvalidRow> {
         if let (Some(version), Some(names)) = (value["version"].as_u64(), value["names"].as_array())
         {
             let names: Vec<&str> = names.iter().filter_map(Value::as_str).collect();
-            return Ok(Some(plan_with(version, &names)));
+            return Ok(Some(configuration_with_routes(version, &names)));
         }
         let version = value.as_u64().ok_or_else(|| InvalidRow {
             reason: "no number".to_owned(),
         })?;
-        Ok(Some(plan(version)))
+        Ok(Some(configuration(version)))
     }
 
     fn parse_runner(key: &str, value: &Value) -> Result<Runner, InvalidRow> {
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -3,7 +3,7 @@
 use super::feed::ScriptedFeed;
 use relay::follow::{InvalidRow, TableSource};
 use relay::runner::DomainId;
-use relay::{Plan, Runner};
+use relay::{Configuration, Runner};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -142,7 +142,7 @@
         ScriptedFeed::drained_domain(key)
     }
 
-    fn parse_configuration(key: &str, value: &Value) -> Result<Option<Plan>, InvalidRow> {
+    fn parse_configuration(key: &str, value: &Value) -> Result<Option<Configuration>, InvalidRow> {
         ScriptedFeed::parse_configuration(key, value)
     }
 
--- a/crates/relay/tests/domain_drained.rs
+++ b/crates/relay/tests/domain_drained.rs
@@ -56,7 +56,7 @@
 async fn no_work_while_drained() {
     let relay = relay_after(vec![drained()]).await;
     assert_eq!(runner_count(&relay), 0);
-    assert_eq!(relay.shares(&"stage".into())[0].runners.len(), 0);
+    assert_eq!(relay.cells(&"stage".into())[0].runners.len(), 0);
     let answer = relay.serve(request("q", "safe")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
@@ -131,7 +131,7 @@
 /// undo the drain.
 #[tokio::test]
 async fn drain_before_runner_list() {
-    let relay = common::blank(Fake::default());
+    let relay = common::unconfigured(Fake::default());
     relay.drain(&drains(1, &[DOMAIN]), "test");
     relay.update(vec![Change::Listed(runner("p-1", "plain"))]);
     assert_eq!(runner_count(&relay), 0);
--- a/crates/relay/tests/inputs_fetched.rs
+++ b/crates/relay/tests/inputs_fetched.rs
@@ -7,9 +7,9 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Carried, Fake, choosing, ready, request};
+use common::{Fake, StageCall, ready, request, with_policies};
 use relay::Relay;
-use relay::batch::{Order, Spent};
+use relay::batch::{Order, ReleaseKind};
 use relay::downstream::Handle;
 use setting::Policy;
 use setting::relay::Policies;
@@ -21,7 +21,7 @@
     let patient = Instant::now() + Duration::from_secs(8);
     let order = Order {
         due: patient,
-        last: patient,
+        expires_at: patient,
         ..order(id, 4)
     };
     let outcome = relay.batcher(&cell()).submit(relay, order).await;
@@ -47,7 +47,7 @@
     let kept = fill(&relay).await;
     relay
         .batcher(&cell())
-        .release(&relay, &kept, Spent::Fetched);
+        .release(&relay, &kept, ReleaseKind::Fetched);
     let begun = Instant::now();
     make(&relay, "next").await;
     assert!(begun.elapsed() < Duration::from_secs(1));
@@ -64,11 +64,13 @@
     let made = make(&relay, "first").await;
     relay
         .batcher(&cell())
-        .release(&relay, &made, Spent::Fetched);
+        .release(&relay, &made, ReleaseKind::Fetched);
     make(&relay, "second").await;
     make(&relay, "third").await;
     assert_eq!(fake.released.lock().expect("free").len(), 0);
-    relay.batcher(&cell()).release(&relay, &made, Spent::Over);
+    relay
+        .batcher(&cell())
+        .release(&relay, &made, ReleaseKind::Over);
     make(&relay, "fourth").await;
     make(&relay, "fifth").await;
     assert_eq!(fake.released.lock().expect("free").len(), made.len());
@@ -84,7 +86,7 @@
             fetched,
             ..Policies::default()
         };
-        let relay = choosing(fake.clone(), policy);
+        let relay = with_policies(fake.clone(), policy);
         for number in 0..4 {
             make(&relay, &format!("kept-{number}")).await;
         }
@@ -92,7 +94,7 @@
             let relay = relay.clone();
             async move { relay.serve(request("chained", "chained")).await }
         });
-        while !fake.carried().iter().any(is_second) {
+        while !fake.stage_calls().iter().any(is_second) {
             sleep(Duration::from_millis(5)).await;
         }
         sleep(Duration::from_millis(80)).await;
@@ -111,6 +113,6 @@
     }
 }
 
-fn is_second(call: &Carried) -> bool {
+fn is_second(call: &StageCall) -> bool {
     call.items.iter().any(|item| item.stage == 1)
 }
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -5,7 +5,7 @@
 use common::feed::{FeedReply, ScriptedFeed};
 use common::service::Service;
 use common::slow_link::{Direction, SlowLink};
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, follow, peer};
 use serde_json::{Value, json};
@@ -64,7 +64,7 @@
                 weight: 1.0,
                 since: None,
             };
-            let relay = blank_as(Fake::default(), member.clone());
+            let relay = unconfigured_member(Fake::default(), member.clone());
             tokio::spawn(peer::serve(relay.clone(), listener));
             relays.push(relay);
             members.push(member);
@@ -140,7 +140,9 @@
     }
 
     fn version(&self) -> Option<u64> {
-        self.slow_relay().plan().map(|plan| plan.version)
+        self.slow_relay()
+            .configuration()
+            .map(|configuration| configuration.version)
     }
 
     fn knows_runner(&self) -> bool {
--- a/crates/relay/tests/older_backup.rs
+++ b/crates/relay/tests/older_backup.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{FeedReply, ScriptedFeed};
-use common::{Fake, blank, entry, ready};
+use common::{Fake, entry, ready, unconfigured};
 use relay::drain::Drains;
 use relay::{Relay, follow, member};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 }
 
 async fn working_runners(replies: Vec<FeedReply>, time: Duration) -> Vec<String> {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let following = tokio::spawn(follow::runner_table(
         relay.clone(),
         ScriptedFeed::new(replies),
@@ -185,7 +185,12 @@
         FeedReply::At(after_restore(6), vec![("plan", Some(json!(4)))]),
     ];
     let relay = relay_after(replies, APPLY_TIME * 3).await;
-    assert_eq!(relay.plan().map(|plan| plan.version), Some(5));
+    assert_eq!(
+        relay
+            .configuration()
+            .map(|configuration| configuration.version),
+        Some(5)
+    );
 }
 
 /// A peer's announcement from before the restore is older than what was read since.
--- a/crates/relay/tests/peer_orders.rs
+++ b/crates/relay/tests/peer_orders.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{Act, End, Fake, blank, body, member_at, plan, request, runner};
+use common::{
+    Behavior, Fake, StreamEnd, body, configuration, member_at, request, runner, unconfigured,
+};
 use relay::batch::Cell;
 use relay::downstream::Handle;
 use relay::member::Member;
@@ -26,16 +28,16 @@
 
 /// Starts a process that has the configuration and the runners, and accepts links.
 async fn node(id: &str) -> Node {
-    let events = (0..8).map(|_| Act::Stream {
+    let events = (0..8).map(|_| Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
-        end: End::Whole,
+        end: StreamEnd::Whole,
     });
-    let fake = Fake::doing(events);
+    let fake = Fake::with_behaviors(events);
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = Listener::bind(any, Key::new("key")).await.expect("bound");
     let member = member_at(id, listener.address().expect("bound"));
-    let relay = common::blank_as(fake.clone(), member.clone());
-    relay.adopt(plan(1));
+    let relay = common::unconfigured_member(fake.clone(), member.clone());
+    relay.adopt(configuration(1));
     let runners = [("p-1", "plain"), ("s-1", "stage"), ("s-2", "stage")];
     relay.update(
         runners
@@ -80,8 +82,8 @@
 async fn executed_by_owner() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
-    assert!(asking.fake.carried().is_empty());
-    assert_eq!(owner.fake.carried().len(), 1);
+    assert!(asking.fake.stage_calls().is_empty());
+    assert_eq!(owner.fake.stage_calls().len(), 1);
     assert_eq!(asking.fake.sent()[0].inputs, 3);
 }
 
@@ -94,13 +96,13 @@
     owner.serving.abort();
     drop(owner.serving.await);
     // Its links stay open, but it stops responding as if it were frozen.
-    owner.fake.stage_acts.lock().expect("free").clear();
+    owner.fake.stage_behaviors.lock().expect("free").clear();
     asking
         .relay
         .peers
         .members(|members| members.suspect(&owner.member));
     assert_eq!(serve(&asking).await.0, 200);
-    assert_eq!(asking.fake.carried().len(), 1);
+    assert_eq!(asking.fake.stage_calls().len(), 1);
 }
 
 /// The owner of the cell has to stop. It announces this, so that new pieces go elsewhere at once, and
@@ -112,12 +114,12 @@
         let relay = asking.relay.clone();
         async move { body(relay.serve(request("b", "staged")).await).await }
     });
-    let carried = || async {
-        while owner.fake.carried().is_empty() {
+    let stage_calls = || async {
+        while owner.fake.stage_calls().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(TIMEOUT, carried())
+    timeout(TIMEOUT, stage_calls())
         .await
         .expect("the order arrives");
     owner.relay.peers.announce_leaving(&owner.member);
@@ -133,7 +135,7 @@
         200
     );
     assert_eq!(serve(&asking).await.0, 200);
-    assert_eq!(asking.fake.carried().len(), 1);
+    assert_eq!(asking.fake.stage_calls().len(), 1);
 }
 
 /// The table service rejects the requests of one process, which thus misses a configuration that revokes
@@ -142,9 +144,14 @@
 async fn configuration_from_peer() {
     let (asking, owner) = pair().await;
     assert_eq!(serve(&asking).await.0, 200);
-    owner.relay.adopt(plan(7));
+    owner.relay.adopt(configuration(7));
     let received = || async {
-        while asking.relay.plan().map(|plan| plan.version) != Some(7) {
+        while asking
+            .relay
+            .configuration()
+            .map(|configuration| configuration.version)
+            != Some(7)
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
@@ -156,7 +163,7 @@
 /// A single process owns all cells.
 #[tokio::test]
 async fn single_process() {
-    let relay = blank(Fake::default());
+    let relay = unconfigured(Fake::default());
     let owner = relay.peers.members(|members| members.owner("stage/0"));
     assert_eq!(owner.id, relay.options.member.id);
 }
@@ -183,7 +190,7 @@
     assert_eq!(serve(&asking).await.0, 200);
     // That runner has room for one more result, so all three pieces of the request must go to the other
     // one.
-    assert_eq!(asking.fake.carried()[0].runner, "s-2");
+    assert_eq!(asking.fake.stage_calls()[0].runner, "s-2");
 }
 
 /// All processes have to stop at the same time. They must still agree on the owner of the cell: if each
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::stage::{cell, order};
-use common::{Act, Fake, body, ready, request, runner};
-use protocol::quarantine::CRASHES;
+use common::{Behavior, Fake, body, ready, request, runner};
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::Relay;
 use relay::batch::Order;
 use relay::runner::Change;
@@ -49,9 +49,9 @@
     let relay = relay();
     let mut silenced = BTreeSet::new();
     for number in 0..ATTEMPTS {
-        *relay.downstream.acts.lock().expect("free") = [Act::Silent].into();
+        *relay.downstream.behaviors.lock().expect("free") = [Behavior::Silent].into();
         let mut attempt = request(&format!("q{number}"), "once");
-        attempt.patience = Some(PAUSE / 2);
+        attempt.timeout = Some(PAUSE / 2);
         let before = relay.downstream.sent().len();
         body(relay.serve(attempt).await).await;
         for call in relay.downstream.sent().split_off(before) {
@@ -61,7 +61,7 @@
         }
         sleep(PAUSE / 2).await;
     }
-    assert!(silenced.len() <= CRASHES as usize, "{silenced:?}");
+    assert!(silenced.len() <= CRASH_THRESHOLD as usize, "{silenced:?}");
 }
 
 /// Guards against a piece that ends each runner of its stage: calls carry the pieces of several requests,
@@ -72,13 +72,13 @@
     let mut ended = BTreeSet::new();
     for number in 0..ATTEMPTS {
         *relay.downstream.deadly_piece.lock().expect("free") = Some(format!("poison-{number}"));
-        let before = relay.downstream.carried().len();
+        let before = relay.downstream.stage_calls().len();
         let deadly = Order {
-            last: Instant::now() + PAUSE / 2,
+            expires_at: Instant::now() + PAUSE / 2,
             ..order(&format!("poison-{number}"), 1)
         };
         let _ = relay.batcher(&cell()).submit(&relay, deadly).await;
-        for call in relay.downstream.carried().split_off(before) {
+        for call in relay.downstream.stage_calls().split_off(before) {
             if !relay
                 .downstream
                 .ended
@@ -94,5 +94,5 @@
         }
         sleep(PAUSE).await;
     }
-    assert!(ended.len() <= CRASHES as usize, "{ended:?}");
+    assert!(ended.len() <= CRASH_THRESHOLD as usize, "{ended:?}");
 }
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{FeedReply, ScriptedFeed};
-use common::{Act, Fake, SINCE_START, blank, body, entry, plan, request};
+use common::{Behavior, Fake, SINCE_START, body, configuration, entry, request, unconfigured};
 use relay::downstream::NotRun;
 use relay::{Relay, follow};
 use std::sync::Arc;
@@ -32,14 +32,14 @@
     fake: &Fake,
     replies: Vec<FeedReply>,
 ) -> (Arc<Relay<Fake>>, JoinHandle<()>) {
-    let relay = blank(fake.clone());
-    relay.adopt(plan(1));
+    let relay = unconfigured(fake.clone());
+    relay.adopt(configuration(1));
     let following = tokio::spawn(follow::runner_table(
         relay.clone(),
         ScriptedFeed::new(replies),
     ));
     sleep(Duration::from_millis(700)).await;
-    assert!(relay.informed());
+    assert!(relay.is_ready());
     (relay, following)
 }
 
@@ -64,11 +64,11 @@
     let fake = Fake::default();
     let (relay, _following) = relay_following(&fake, runner_replaced()).await;
     suspend();
-    assert!(!relay.caught_up(), "not ready for requests yet");
+    assert!(!relay.is_caught_up(), "not ready for requests yet");
     let answer = body(relay.serve(request("a", "safe")).await).await;
     assert_eq!(answer, (200, "done".to_owned(), true));
     assert_eq!(contacted_runners(&fake), ["p-2"]);
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
 }
 
 /// The same if the process was stopped by a signal, so that its timers fire late.
@@ -98,7 +98,7 @@
     assert_eq!(answer.0, 200);
     assert!(started.elapsed() >= UPDATE_WAIT, "waited for updates");
     assert!(started.elapsed() < 2 * UPDATE_WAIT);
-    assert!(relay.caught_up(), "serves with the known runners");
+    assert!(relay.is_caught_up(), "serves with the known runners");
 }
 
 /// A process that is busy for a few hundred milliseconds, or gets little processor time, was not paused.
@@ -108,9 +108,9 @@
     let fake = Fake::default();
     let (relay, _following) =
         relay_following(&fake, vec![FeedReply::Rows(vec![("p-1", entry("plain"))])]).await;
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
     stop_process(Duration::from_millis(400)).await;
-    assert!(relay.caught_up());
+    assert!(relay.is_caught_up());
 }
 
 /// The VM is suspended while a runner rejects a request. The client has waited all that time. If the
@@ -118,7 +118,7 @@
 /// out.
 #[tokio::test(start_paused = true)]
 async fn remaining_time_after_suspension() {
-    let fake = Fake::doing([Act::Refuse(NotRun::Full { spacing: None })]);
+    let fake = Fake::with_behaviors([Behavior::Refuse(NotRun::Full { spacing: None })]);
     let replies = vec![FeedReply::Rows(vec![
         ("p-1", entry("plain")),
         ("p-2", entry("plain")),
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{FeedReply, ScriptedFeed};
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::follow::{self, TableSource};
 use relay::member::{Member, Members};
 use relay::peer::{self, Frame, TableUpdate};
@@ -56,7 +56,7 @@
             address,
             ..member(0)
         };
-        let relay = blank_as(Fake::default(), upstream);
+        let relay = unconfigured_member(Fake::default(), upstream);
         tokio::spawn(peer::serve(relay.clone(), listener));
         tokio::spawn(follow::runner_table(relay, ScriptedFeed::new(replies)));
         let (sender, receiver) = wire::connect(address, &key).await.expect("linked");
@@ -165,7 +165,7 @@
     let replies = vec![FeedReply::At(5, vec![("r-old", entry("plain"))]), outage];
     let requester = Requester::new(replies).await;
     sleep(Duration::from_secs(2)).await;
-    let relay = blank_as(Fake::default(), member(39));
+    let relay = unconfigured_member(Fake::default(), member(39));
     relay.peers.members(|known| {
         *known = members(39, 40);
         let upstream = known.upstream().expect("one of forty");
@@ -198,7 +198,7 @@
 /// before its contents are too old.
 #[tokio::test(start_paused = true)]
 async fn upstreams_unreachable() {
-    let relay = blank_as(Fake::default(), member(39));
+    let relay = unconfigured_member(Fake::default(), member(39));
     relay.peers.members(|known| *known = members(39, 40));
     assert!(relay.peers.members(|known| known.upstream()).is_some());
     let no_changes = (0..4).map(|_| FeedReply::NoChanges);
