--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -327,15 +327,15 @@
     changes: &Changes,
 ) -> Vec<Change> {
     let parse_row = |change: &store::Change| {
-        let gone = || Change::Gone(change.key.as_str().into());
+        let removal = || Change::Gone(change.key.as_str().into());
         let Some(value) = &change.value else {
-            return gone();
+            return removal();
         };
         S::parse_runner(&change.key, value).map_or_else(
             |error| {
                 warn!(relay.log, "invalid runner entry, the runner gets no work";
                     "runner" => &change.key, "error" => %error);
-                gone()
+                removal()
             },
             Change::Listed,
         )
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -224,8 +224,8 @@
             .saturating_sub(trust_reduction)
             + HOP_DELAY * depth;
         let until = relay.started() + until.saturating_sub(self.extra_age);
-        let asked = Instant::now();
-        if until <= asked {
+        let requested_at = Instant::now();
+        if until <= requested_at {
             return None;
         }
         let current = self.current();
@@ -233,8 +233,8 @@
             .peers
             .request_update(relay, &upstream, self.table, Some(after));
         let update = timeout_at(until, update).await.ok().flatten();
-        let changes =
-            update.and_then(|update| self.apply_update(relay, update, after, relay.at(asked)));
+        let changes = update
+            .and_then(|update| self.apply_update(relay, update, after, relay.at(requested_at)));
         // An update that is not newer than what is known says nothing about the table.
         let is_stale = |changes: &Changes| changes.rows.is_empty() && self.current() <= current;
         if changes.as_ref().is_none_or(is_stale) {
@@ -280,7 +280,7 @@
         relay: &Arc<Relay<D>>,
         peer: Member,
     ) -> Option<Changes> {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let update = relay.peers.request_update(relay, &peer, self.table, None);
         let max_wait = if relay.options.first_start {
             FIRST_START_TIMEOUT
@@ -302,10 +302,10 @@
         // it.
         self.extra_age = match relay.options.first_start {
             true => Duration::ZERO,
-            false => update.age().saturating_sub(relay.at(asked)),
+            false => update.age().saturating_sub(relay.at(requested_at)),
         };
         self.reader
-            .read(update.revision, update.current(relay.at(asked)));
+            .read(update.revision, update.current(relay.at(requested_at)));
         self.note_era(relay, update.revision);
         self.note_withheld(update.withheld);
         let grace_until = update.lapse.map(|left| Instant::now() + left);
@@ -315,14 +315,14 @@
         Some(changes)
     }
 
-    /// Applies the update of another process to a request that was sent at `asked`; returns `None` if
-    /// changes are missing.
+    /// Applies the update of another process to a request that was sent at `requested_at`; returns
+    /// `None` if changes are missing.
     fn apply_update<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         update: TableUpdate,
         after: RowRevision,
-        asked: Duration,
+        requested_at: Duration,
     ) -> Option<Changes> {
         let grace_until = update.lapse.map(|left| Instant::now() + left);
         let (is_whole, withheld) = (update.is_whole(), update.withheld);
@@ -333,7 +333,7 @@
         let peer_update = PeerUpdate {
             before: update.before.unwrap_or_default(),
             revision: update.revision,
-            current: update.current(asked),
+            current: update.current(requested_at),
         };
         let action = self.reader.on_peer_update(peer_update);
         if self.current() > Duration::ZERO {
@@ -407,9 +407,12 @@
         let (changes, current) = match before {
             Some(after) => self.read_changes(relay, after, was_paused).await?,
             None => {
-                let asked = Instant::now();
+                let requested_at = Instant::now();
                 let listed = self.source.list(self.table).await;
-                (listed.map_err(|error| Miss::Failed { error })?, asked)
+                (
+                    listed.map_err(|error| Miss::Failed { error })?,
+                    requested_at,
+                )
             }
         };
         self.reader.read(changes.revision, relay.at(current));
@@ -459,12 +462,19 @@
             sleep_until(received + debounce).await;
         }
         let wait = self.poll_wait(relay, is_shared, skip_wait);
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let changes = self.source.changes(self.table, after, wait).await?;
         // A response without changes after the full wait shows that there were none until the end of the
         // wait.
-        let was_idle = changes.rows.is_empty() && asked.elapsed() >= wait;
-        Ok((changes, if was_idle { asked + wait } else { asked }))
+        let was_idle = changes.rows.is_empty() && requested_at.elapsed() >= wait;
+        Ok((
+            changes,
+            if was_idle {
+                requested_at + wait
+            } else {
+                requested_at
+            },
+        ))
     }
 
     /// How long the next request waits for changes.
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -15,7 +15,7 @@
 use decide::owner::{Candidate, choose};
 use decide::subset::{self, rendezvous_hash};
 use decide::warmup::RateShare;
-use protocol::roster::Activation;
+use protocol::activation::Activation;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -278,18 +278,18 @@
         };
         let owner = lock(&self.members).owner(&cell.name());
         if owner.id == relay.options.member.id {
-            let waits = relay.batcher(cell).expected(relay, &batches);
-            return waits.map_or(Duration::ZERO, |waits| waits.of(rank));
+            let estimates = relay.batcher(cell).expected(relay, &batches);
+            return estimates.map_or(Duration::ZERO, |estimates| estimates.of(rank));
         }
         let wait_estimates = lock(&self.wait_estimates);
         let fresh = wait_estimates
             .get(cell)
             .filter(|(_, received)| received.elapsed() < WAIT_ESTIMATE_TTL);
-        fresh.map_or(batches.shape.call, |(waits, _)| waits.of(rank))
+        fresh.map_or(batches.shape.call, |(estimates, _)| estimates.of(rank))
     }
 
-    pub(crate) fn record_wait_estimates(&self, cell: Cell, waits: WaitEstimates) {
-        lock(&self.wait_estimates).insert(cell, (waits, Instant::now()));
+    pub(crate) fn record_wait_estimates(&self, cell: Cell, estimates: WaitEstimates) {
+        lock(&self.wait_estimates).insert(cell, (estimates, Instant::now()));
     }
 
     /// Records results of a cell that a request needs from now on, each of this size.
@@ -316,10 +316,10 @@
         &self,
         relay: &Arc<Relay<D>>,
         results: Results,
-        spent: ReleaseKind,
+        kind: ReleaseKind,
     ) {
         let Results { cell, handles } = &results;
-        if spent == ReleaseKind::Over
+        if kind == ReleaseKind::Over
             && let Some(held_results) = lock(&self.held_results).get_mut(cell)
         {
             for handle in handles {
@@ -328,13 +328,16 @@
         }
         let owner = lock(&self.members).owner(&cell.name());
         if owner.id == relay.options.member.id {
-            relay.batcher(cell).release(relay, handles, spent);
+            relay.batcher(cell).release(relay, handles, kind);
             return;
         }
         let slot = lock(&self.links).get(&owner.id).cloned();
         // Without a link, the results expire by themselves.
         if let Some(link) = slot.and_then(|slot| slot.try_lock().ok()?.clone()) {
-            let _ = link.sender.try_send(&Frame::Release { results, spent });
+            let _ = link.sender.try_send(&Frame::Release {
+                results,
+                spent: kind,
+            });
         }
     }
 
--- a/crates/relay/src/peer/call_loads.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -33,23 +33,28 @@
 #[derive(Debug)]
 struct LoadReport {
     received: Instant,
-    burdens: CallLoads,
+    call_loads: CallLoads,
 }
 
 impl CallLoadTable {
     /// Stores the report of a process, and returns the summed load of the others.
-    pub fn exchange(&self, service: &ServiceId, from: MemberId, burdens: CallLoads) -> CallLoads {
+    pub fn exchange(
+        &self,
+        service: &ServiceId,
+        from: MemberId,
+        call_loads: CallLoads,
+    ) -> CallLoads {
         let mut table = lock(&self.0);
         let reports = table.entry(service.clone()).or_default();
         reports.retain(|_, report| report.received.elapsed() < REPORT_TTL);
         let mut sums: Map<RunnerId, CallLoad> = Map::default();
         let others = reports.iter().filter(|(member, _)| **member != from);
-        for (runner, call_load) in others.flat_map(|(_, report)| &report.burdens) {
+        for (runner, call_load) in others.flat_map(|(_, report)| &report.call_loads) {
             *sums.entry(runner.clone()).or_default() += *call_load;
         }
         let report = LoadReport {
             received: Instant::now(),
-            burdens,
+            call_loads,
         };
         reports.insert(from, report);
         sums.into_iter().collect()
@@ -65,8 +70,8 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (service, burdens) in relay.burdens() {
-            exchange_service(&relay, service, burdens).await;
+        for (service, call_loads) in relay.burdens() {
+            exchange_service(&relay, service, call_loads).await;
         }
     }
 }
@@ -74,13 +79,13 @@
 async fn exchange_service<D: Downstream>(
     relay: &Arc<Relay<D>>,
     service: ServiceId,
-    burdens: CallLoads,
+    call_loads: CallLoads,
 ) {
     let own = relay.options.member.id.clone();
     let name = format!("board/{service}");
     let owner = relay.peers.members(|members| members.owner(&name));
     if owner.id == own {
-        let others = relay.peers.call_loads.exchange(&service, own, burdens);
+        let others = relay.peers.call_loads.exchange(&service, own, call_loads);
         apply(relay, &service, others);
         return;
     }
@@ -89,7 +94,7 @@
         let _ = link.sender.try_send(&Frame::Burdens {
             service,
             from: own,
-            burdens,
+            burdens: call_loads,
         });
     }
 }
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -270,11 +270,17 @@
                 // The waiting task may have been dropped meanwhile.
                 let _ = reply.map(|reply| reply.send(outcome));
             }
-            Frame::Load { cell, waits } => relay.peers.record_wait_estimates(cell, waits),
-            Frame::News { ticket, news } => {
+            Frame::Load {
+                cell,
+                waits: estimates,
+            } => relay.peers.record_wait_estimates(cell, estimates),
+            Frame::News {
+                ticket,
+                news: update,
+            } => {
                 let reply = lock(&link.pending).updates.remove(&ticket);
                 // The requesting task may have read the table meanwhile.
-                let _ = reply.map(|reply| reply.send(news));
+                let _ = reply.map(|reply| reply.send(update));
             }
             other => handle_frame(&relay, &link.sender, other),
         }
@@ -290,11 +296,11 @@
 impl PeerLink {
     fn is_timed_out(&self) -> bool {
         let pending = lock(&self.pending);
-        let silence = pending.last_received.elapsed();
+        let idle = pending.last_received.elapsed();
         let unanswered = pending
             .heartbeat_sent
             .is_some_and(|at| at.elapsed() > overlay::HEARTBEAT_TIMEOUT);
-        !pending.orders.is_empty() && silence > LINK_TIMEOUT || unanswered
+        !pending.orders.is_empty() && idle > LINK_TIMEOUT || unanswered
     }
 }
 
@@ -312,7 +318,10 @@
             relay.merge_suspicion(&suspicion, PEER);
             outage::probe_named(relay, &suspicion);
         }
-        Frame::Beat { beat, answers } => overlay::compare_state(relay, sender, beat, answers),
+        Frame::Beat {
+            beat: digest,
+            answers,
+        } => overlay::compare_state(relay, sender, digest, answers),
         Frame::Leaving { id, incarnation } => {
             info!(relay.log, "peer is stopping"; "peer" => &*id, "incarnation" => incarnation);
             relay
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -105,10 +105,13 @@
                 from,
                 burdens,
             } => {
-                let burdens = relay.peers.call_loads.exchange(&service, from, burdens);
+                let others = relay.peers.call_loads.exchange(&service, from, burdens);
                 // The reply is dropped if the link is lost or its queue is full: the sender reports
                 // again soon.
-                let _ = sender.try_send(&Frame::Elsewhere { service, burdens });
+                let _ = sender.try_send(&Frame::Elsewhere {
+                    service,
+                    burdens: others,
+                });
             }
             Frame::AskNews {
                 ticket,
@@ -120,9 +123,12 @@
                 tokio::spawn(reply);
             }
             Frame::Held { cell, results } => relay.batcher(&cell).record_results(relay, &results),
-            Frame::Release { results, spent } => {
+            Frame::Release {
+                results,
+                spent: kind,
+            } => {
                 let batcher = relay.batcher(&results.cell);
-                batcher.release(relay, &results.handles, spent);
+                batcher.release(relay, &results.handles, kind);
             }
             other => frame::handle_frame(relay, sender, other),
         }
@@ -143,9 +149,14 @@
             let Some(batches) = relay.batches(&cell.service) else {
                 continue;
             };
-            if let Some(waits) = relay.batcher(cell).expected(relay, &batches) {
+            if let Some(estimates) = relay.batcher(cell).expected(relay, &batches) {
                 let cell = cell.clone();
-                sender.send(Frame::Load { cell, waits }).await?;
+                sender
+                    .send(Frame::Load {
+                        cell,
+                        waits: estimates,
+                    })
+                    .await?;
             }
         }
         Ok(())
--- a/crates/relay/src/peer/tables.rs
+++ b/crates/relay/src/peer/tables.rs
@@ -101,14 +101,14 @@
     }
 
     /// Latest moment at which the table is known to have contained nothing newer, for a request that was
-    /// sent at `asked`.
+    /// sent at `requested_at`.
     #[must_use]
-    pub fn current(&self, asked: Duration) -> Duration {
+    pub fn current(&self, requested_at: Duration) -> Duration {
         let offset = Duration::from_millis(self.current.unsigned_abs());
         if self.current < 0 {
-            return asked.saturating_sub(offset);
+            return requested_at.saturating_sub(offset);
         }
-        asked + offset
+        requested_at + offset
     }
 
     /// Converts the update into changes of a table.
@@ -191,8 +191,8 @@
 
     /// The update for a process that has read the table up to `after`, if at all, and sent its request
     /// at
-    /// `asked`: the changes since then, or the whole table if not all of them are kept.
-    fn update(&self, after: Option<RowRevision>, asked: Instant) -> Option<TableUpdate> {
+    /// `requested_at`: the changes since then, or the whole table if not all of them are kept.
+    fn update(&self, after: Option<RowRevision>, requested_at: Instant) -> Option<TableUpdate> {
         let current = self.current?;
         let kept = after.filter(|after| *after >= self.since);
         let rows: Vec<&Row> = match kept {
@@ -209,8 +209,8 @@
         let rows: Vec<Row> = sent.cloned().collect();
         let fits = rows.iter().map(Row::bytes).sum::<usize>() <= MAX_UPDATE_BYTES;
         let before = if fits { kept } else { Some(self.revision) };
-        let later = millis(current.saturating_duration_since(asked));
-        let sooner = millis(asked.saturating_duration_since(current));
+        let later = millis(current.saturating_duration_since(requested_at));
+        let sooner = millis(requested_at.saturating_duration_since(current));
         let signed = |span: u64| i64::try_from(span).unwrap_or(i64::MAX);
         Some(TableUpdate {
             before,
@@ -246,15 +246,15 @@
     /// soon as there is something newer, or once the table is known to have contained nothing newer
     /// after the request.
     async fn update(&self, after: Option<RowRevision>) -> Option<TableUpdate> {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let mut state = self.state.subscribe();
         let has_update = |state: &TableState| {
             let current = state.current;
-            current.is_some_and(|current| current >= asked || Some(state.revision) > after)
+            current.is_some_and(|current| current >= requested_at || Some(state.revision) > after)
         };
         // After a timeout, the requesting process judges the age of the update by itself.
         let _ = timeout(UPDATE_TIMEOUT, state.wait_for(has_update)).await;
-        state.borrow().update(after, asked)
+        state.borrow().update(after, requested_at)
     }
 }
 
@@ -284,9 +284,14 @@
     after: Option<RowRevision>,
 ) {
     let table = relay.peers.tables.get(&table);
-    let news = table.update(after).await;
+    let update = table.update(after).await;
     // If the link is lost, the other process reads the table itself.
-    let _ = sender.send(Frame::News { ticket, news }).await;
+    let _ = sender
+        .send(Frame::News {
+            ticket,
+            news: update,
+        })
+        .await;
 }
 
 /// A request that awaits its response on a link.
