--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -190,7 +190,7 @@
         let version = configuration.version;
         *current = Some(Arc::new(configuration));
         drop(current);
-        self.peers.announce(version);
+        self.peers.announce_version(version);
         self.note_adopted(version);
         true
     }
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -69,7 +69,8 @@
     published: Arc<Table>,
     /// Whether no request has been sent yet.
     is_first_request: bool,
-    /// Age of the contents at the start of the process, before which its clock cannot represent times.
+    /// Time by which the contents are older than the start of the process, since its clock cannot
+    /// represent earlier moments.
     extra_age: Duration,
     /// Whether the next request is answered without waiting for changes.
     pub(crate) skip_wait: bool,
@@ -151,18 +152,18 @@
     pub(crate) async fn next<D: Downstream>(&mut self, relay: &Arc<Relay<D>>) -> Changes {
         loop {
             let pauses = relay.pause.count();
-            // A request from before a pause may have been lost with its connection, or waits for seconds
-            // if nothing has changed. The next request is answered at once.
+            // A request from before a pause may have been lost with its connection, and would wait for
+            // seconds if nothing has changed. The next request is answered at once.
             let withheld = self.withheld;
-            let answer = tokio::select! {
-                answer = self.request_changes(relay, pauses) => answer,
+            let response = tokio::select! {
+                response = self.request_changes(relay, pauses) => response,
                 () = relay.pause.wait_for_pause_after(pauses) => continue,
                 () = wait_withheld_timeout(relay, withheld) => {
                     self.read_withheld(relay);
                     continue;
                 }
             };
-            match answer {
+            match response {
                 Ok(changes) => {
                     relay.telemetry.table_answer(self.upstream.is_some());
                     relay.pause.record_answer_after_pause(self.pauses, pauses);
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -91,7 +91,7 @@
     own: Member,
     others: Map<MemberId, Member>,
     suspects: Map<MemberId, (u64, Instant)>,
-    left: Map<MemberId, u64>,
+    departed: Map<MemberId, u64>,
     /// Row that an earlier start of this process has written.
     previous_row: Option<Member>,
     /// Time on the table service's clock when the processes were first listed.
@@ -113,7 +113,7 @@
             own,
             others: Map::default(),
             suspects: Map::default(),
-            left: Map::default(),
+            departed: Map::default(),
             previous_row: None,
             listed_clock: None,
             listed: false,
@@ -153,7 +153,7 @@
     /// Records that a process has announced to stop; it does no more work for others until it has
     /// restarted.
     pub fn mark_left(&mut self, id: MemberId, incarnation: u64) {
-        self.left.insert(id, incarnation);
+        self.departed.insert(id, incarnation);
     }
 
     /// Records that all rows of the table have been stored.
@@ -286,7 +286,7 @@
         if member.id == self.own.id {
             return self.leaving;
         }
-        self.left.get(&member.id) == Some(&member.incarnation)
+        self.departed.get(&member.id) == Some(&member.incarnation)
     }
 
     /// The process that owns a piece of work.
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -219,7 +219,7 @@
     }
 
     /// Announces to all linked processes which configuration is in force here.
-    pub fn announce(&self, version: Version) {
+    pub fn announce_version(&self, version: Version) {
         self.broadcast(&Frame::Version(version));
     }
 
@@ -409,12 +409,12 @@
 
 /// An order that awaits its outcome on a link. Dropping it withdraws the order, so that no runner works
 /// for a client that has disconnected.
-struct PendingOrder {
+struct ForwardedOrder {
     link: Arc<PeerLink>,
     ticket: u64,
 }
 
-impl Drop for PendingOrder {
+impl Drop for ForwardedOrder {
     fn drop(&mut self) {
         if lock(&self.link.pending)
             .orders
@@ -502,13 +502,13 @@
         return ForwardOutcome::Unreachable;
     };
     let (ticket, outcome) = link.add_order();
-    let pending = PendingOrder { link, ticket };
+    let forwarded = ForwardedOrder { link, ticket };
     let frame = Frame::Order {
         ticket,
         cell: cell.clone(),
         sheet: Box::new(WireOrder::new(order)),
     };
-    if pending.link.sender.send(frame).await.is_err() {
+    if forwarded.link.sender.send(frame).await.is_err() {
         return ForwardOutcome::Unreachable;
     }
     match outcome.await {
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -60,10 +60,10 @@
 /// An image could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 enum CodecError {
-    #[snafu(display("compressed: {source}"))]
-    Compressed { source: std::io::Error },
-    #[snafu(display("encoded: {source}"))]
-    Encoded { source: postcard::Error },
+    #[snafu(display("compression failed: {source}"))]
+    Compression { source: std::io::Error },
+    #[snafu(display("serialization failed: {source}"))]
+    Serialization { source: postcard::Error },
 }
 
 /// A configuration as it is sent: encoded and compressed.
@@ -84,10 +84,10 @@
     }
 
     fn encode(configuration: &Configuration) -> Result<Self, CodecError> {
-        let encoded = postcard::to_stdvec(configuration).context(EncodedSnafu)?;
+        let encoded = postcard::to_stdvec(configuration).context(SerializationSnafu)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(&encoded).context(CompressedSnafu)?;
-        let bytes = encoder.finish().context(CompressedSnafu)?;
+        encoder.write_all(&encoded).context(CompressionSnafu)?;
+        let bytes = encoder.finish().context(CompressionSnafu)?;
         Ok(Self::new(configuration.version, bytes.into()))
     }
 
@@ -95,8 +95,10 @@
         let mut encoded = Vec::new();
         let decoder = DeflateDecoder::new(&self.bytes[..]);
         let mut bounded = decoder.take(MAX_CONFIGURATION_BYTES);
-        bounded.read_to_end(&mut encoded).context(CompressedSnafu)?;
-        postcard::from_bytes(&encoded).context(EncodedSnafu)
+        bounded
+            .read_to_end(&mut encoded)
+            .context(CompressionSnafu)?;
+        postcard::from_bytes(&encoded).context(SerializationSnafu)
     }
 
     fn part(&self, offset: u64) -> Part {
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -51,7 +51,7 @@
             Some(FeedReply::Restored) => Err(Miss::Restored),
             Some(FeedReply::Unavailable(time)) => {
                 sleep(time).await;
-                let reason = "away".to_owned();
+                let reason = "unavailable".to_owned();
                 let error = Error::Unavailable {
                     reason,
                     retry_after: None,
--- a/crates/relay/tests/overlay_links.rs
+++ b/crates/relay/tests/overlay_links.rs
@@ -89,8 +89,8 @@
     let (relay, _) = linked_relay(0).await;
     let (sender, mut receiver) = link::open(&relay).await;
     let empty = peer::StateDigest::default();
-    let beat = |beat| Frame::Beat {
-        beat,
+    let heartbeat = |digest| Frame::Beat {
+        beat: digest,
         answers: false,
     };
     relay.merge_suspicion(&suspicion(), "test");
@@ -98,7 +98,7 @@
         // The first frame may be the announcement itself; each heartbeat with a different digest repeats
         // it.
         for _ in 0..2 {
-            sender.send(beat(empty)).await.expect("linked");
+            sender.send(heartbeat(empty)).await.expect("linked");
             loop {
                 let frame = receiver.recv().await.expect("linked").expect("open");
                 if matches!(frame, Frame::Suspicion(suspicion) if suspicion.content == CONTENT) {
--- a/crates/relay/tests/tables_shared.rs
+++ b/crates/relay/tests/tables_shared.rs
@@ -166,11 +166,11 @@
     let requester = Requester::new(replies).await;
     sleep(Duration::from_secs(2)).await;
     let relay = unconfigured_member(Fake::default(), member(39));
-    relay.peers.members(|known| {
-        *known = members(39, 40);
-        let upstream = known.upstream().expect("one of forty");
+    relay.peers.members(|list| {
+        *list = members(39, 40);
+        let upstream = list.upstream().expect("one of forty");
         let address = requester.address;
-        known.put(
+        list.put(
             Member {
                 address,
                 ..upstream
@@ -190,8 +190,8 @@
     };
     timeout(TIMEOUT, listed).await.expect("a list");
     following.abort();
-    let known = ["r-old", "r-new"].map(|id| relay.runner(id).is_some());
-    assert_eq!(known, [false, true]);
+    let is_known = ["r-old", "r-new"].map(|id| relay.runner(id).is_some());
+    assert_eq!(is_known, [false, true]);
 }
 
 /// The upstream process and all its replacements are gone. This process must read the table itself
@@ -199,8 +199,8 @@
 #[tokio::test(start_paused = true)]
 async fn upstreams_unreachable() {
     let relay = unconfigured_member(Fake::default(), member(39));
-    relay.peers.members(|known| *known = members(39, 40));
-    assert!(relay.peers.members(|known| known.upstream()).is_some());
+    relay.peers.members(|list| *list = members(39, 40));
+    assert!(relay.peers.members(|list| list.upstream()).is_some());
     let no_changes = (0..4).map(|_| FeedReply::NoChanges);
     let replies = [FeedReply::At(5, vec![("r-1", entry("plain"))])];
     let replies = replies
@@ -269,20 +269,20 @@
         ..member(0)
     };
     let is_reader = |own: &usize| {
-        let mut known = match own {
+        let mut list = match own {
             0 => Members::new(weak.clone()),
             own => Members::new(member(*own)),
         };
         for number in 2..40 {
-            known.put(member(number), number as u64 + 1);
+            list.put(member(number), number as u64 + 1);
         }
-        known.put(weak.clone(), 1);
+        list.put(weak.clone(), 1);
         // Process 1 has rewritten its row.
-        known.put(member(1), 99);
+        list.put(member(1), 99);
         let revision = if *own == 1 { 99 } else { *own as u64 + 1 };
-        known.mark_registered(Duration::ZERO, revision);
-        known.mark_listed();
-        known.upstream().is_none()
+        list.mark_registered(Duration::ZERO, revision);
+        list.mark_listed();
+        list.upstream().is_none()
     };
     let readers = (0..40).filter(is_reader);
     assert_eq!(readers.collect::<Vec<_>>(), [2, 3]);
@@ -291,22 +291,22 @@
 /// Guards against calls to the table service by all processes below one that has no updates.
 #[tokio::test(start_paused = true)]
 async fn stale_upstream_replaced() {
-    let mut known = members(39, 40);
-    let upstream = known.upstream().expect("one of forty");
-    known.tree.mark_stale(&upstream.id);
-    let next = known.upstream().expect("another one");
+    let mut list = members(39, 40);
+    let upstream = list.upstream().expect("one of forty");
+    list.tree.mark_stale(&upstream.id);
+    let next = list.upstream().expect("another one");
     assert_ne!(next.id, upstream.id);
     sleep(Duration::from_secs(4)).await;
-    assert_eq!(known.upstream(), Some(upstream));
+    assert_eq!(list.upstream(), Some(upstream));
 }
 
 /// The upstream process has to stop. The others must switch to the next one at once, not only when
 /// requests fail.
 #[test]
 fn stopping_upstream_replaced() {
-    let mut known = members(39, 40);
-    let upstream = known.upstream().expect("one of forty");
-    known.mark_left(upstream.id.clone(), upstream.incarnation);
-    let next = known.upstream();
+    let mut list = members(39, 40);
+    let upstream = list.upstream().expect("one of forty");
+    list.mark_left(upstream.id.clone(), upstream.incarnation);
+    let next = list.upstream();
     assert!(next.is_none_or(|next| next.id != upstream.id));
 }
