--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -434,7 +434,7 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled`].
+/// [`StageError`].
 pub async fn execute_order<D: Downstream>(
     relay: &Arc<Relay<D>>,
     cell: &Cell,
