--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,11 +1,11 @@
 //! The agent's calls and what happens to them.
 
-use crate::answer::{self, End, Fault};
-use crate::fence::{Guard, Order};
+use crate::answer::{self, AnswerError, RunOutcome};
+use crate::fence::{EngineOrder, FencedEngine};
 use crate::job::{self, Job};
-use crate::output::Output;
+use crate::output::AnswerBuffer;
 use crate::runner::Runner;
-use crate::state::{Bounds, Found, LinkId, State, Turn};
+use crate::state::{Config, Dispatch, LinkId, RecallResult, State};
 use crate::telemetry::Telemetry;
 use bytes::Bytes;
 use futures::future::join_all;
@@ -22,19 +22,19 @@
 
 /// Longest wait for a grant. An entry that is alive but does not answer would otherwise hold a
 /// slot of the runner for ever.
-const GRANT: Duration = Duration::from_secs(5);
+const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a repeatable call runs on after its link was lost, in case the entry comes back.
-const RECALL: Duration = Duration::from_secs(5);
+const RECALL_GRACE_PERIOD: Duration = Duration::from_secs(5);
 /// Time for the runner to end a cancelled call by itself before its connection is cut.
-const CANCEL: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a leaving agent waits for entries whose link was lost to fetch answers that cannot be
 /// had again. Without it a payout that ended just before the leave would end as *unknown*.
-const FETCH: Duration = Duration::from_secs(10);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks at what is still to be fetched.
-const FETCH_POLL: Duration = Duration::from_millis(20);
+const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// HTTP status for an order that finds too many before it, or an agent that leaves.
-const BUSY: u16 = 503;
+const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// What all tasks of an agent share.
 #[derive(Debug)]
@@ -48,10 +48,10 @@
     /// Calls at the runner and answers on their way to entries.
     pub(crate) work: TaskTracker,
     /// Way to the task that carries out orders; closed when the agent leaves.
-    orders: Mutex<Option<mpsc::Sender<Order>>>,
+    orders: Mutex<Option<mpsc::Sender<EngineOrder>>>,
     /// Way to ask the engine what it holds.
-    guard: Guard<store::Client>,
-    links: AtomicU64,
+    engine: FencedEngine<store::Client>,
+    next_link: AtomicU64,
 }
 
 impl Core {
@@ -59,20 +59,20 @@
         runner: Runner,
         telemetry: Telemetry,
         incarnation: Incarnation,
-        bounds: Bounds,
-        orders: mpsc::Sender<Order>,
-        guard: Guard<store::Client>,
+        config: Config,
+        orders: mpsc::Sender<EngineOrder>,
+        engine: FencedEngine<store::Client>,
     ) -> Self {
         Self {
-            guard,
+            engine,
             orders: Mutex::new(Some(orders)),
             runner,
             telemetry,
             incarnation,
             closing: CancellationToken::new(),
-            state: Mutex::new(State::new(bounds)),
+            state: Mutex::new(State::new(config)),
             work: TaskTracker::new(),
-            links: AtomicU64::new(0),
+            next_link: AtomicU64::new(0),
         }
     }
 
@@ -82,12 +82,12 @@
     }
 
     /// Takes in a new link.
-    pub(crate) async fn join(&self, sender: &Sender) -> LinkId {
-        let link = self.links.fetch_add(1, Ordering::Relaxed);
+    pub(crate) async fn add_link(&self, sender: &Sender) -> LinkId {
+        let link = self.next_link.fetch_add(1, Ordering::Relaxed);
         let leaving = {
             let mut state = self.state();
             state.links.insert(link, sender.clone());
-            state.leaving()
+            state.is_leaving()
         };
         self.telemetry.links.inc();
         if leaving {
@@ -97,43 +97,43 @@
     }
 
     /// Drops what a lost link held. Running calls go on: those that may not be repeated to their
-    /// end, the others until [`RECALL`] is over.
-    pub(crate) fn lost(self: &Arc<Self>, link: LinkId) {
+    /// end, the others until [`RECALL_GRACE_PERIOD`] is over.
+    pub(crate) fn remove_link(self: &Arc<Self>, link: LinkId) {
         let mut state = self.state();
-        let mut orphans = Vec::new();
-        for call in state.orphans(link) {
+        let mut calls = Vec::new();
+        for call in state.remove_link(link) {
             let dropped = state.withdraw(call, Event::LinkLost, Refusal::Revoked);
-            if dropped.is_none() && state.running(call).is_some_and(|(_, cut)| cut) {
-                orphans.push(call);
+            if dropped.is_none() && state.running(call).is_some_and(|(_, may_abort)| may_abort) {
+                calls.push(call);
             }
         }
-        self.proceed(state);
+        self.dispatch(state);
         self.telemetry.links.dec();
-        if !orphans.is_empty() {
-            tokio::spawn(self.clone().abandon(link, orphans));
+        if !calls.is_empty() {
+            tokio::spawn(self.clone().stop_orphans(link, calls));
         }
     }
 
-    async fn abandon(self: Arc<Self>, link: LinkId, orphans: Vec<CallId>) {
-        sleep(RECALL).await;
-        for call in orphans {
-            if self.state().belongs(call, link) {
+    async fn stop_orphans(self: Arc<Self>, link: LinkId, calls: Vec<CallId>) {
+        sleep(RECALL_GRACE_PERIOD).await;
+        for call in calls {
+            if self.state().belongs_to_link(call, link) {
                 self.stop(call);
             }
         }
     }
 
     /// Starts what has got a slot and shows the load.
-    fn proceed(self: &Arc<Self>, mut state: MutexGuard<'_, State>) -> Load {
-        let turns = state.turns();
+    fn dispatch(self: &Arc<Self>, mut state: MutexGuard<'_, State>) -> Load {
+        let dispatches = state.assign_slots();
         let load = state.load();
         drop(state);
         self.telemetry.queued.set(i64::from(load.queued));
         self.telemetry.running.set(i64::from(load.running));
-        for turn in turns {
-            match turn {
-                Turn::Ask(job) => drop(tokio::spawn(self.clone().ask(job))),
-                Turn::Start(job) => self.start(job),
+        for dispatch in dispatches {
+            match dispatch {
+                Dispatch::RequestGrant(job) => drop(tokio::spawn(self.clone().request_grant(job))),
+                Dispatch::Start(job) => self.start(job),
             }
         }
         load
@@ -143,12 +143,12 @@
         self.work.spawn(job::run(self.clone(), job));
     }
 
-    async fn ask(self: Arc<Self>, job: Arc<Job>) {
+    async fn request_grant(self: Arc<Self>, job: Arc<Job>) {
         let call = job.call;
         job.output.send(Frame::Ask { call }).await;
         // The job holds the link, which a leaving agent could not close while this waits.
         drop(job);
-        sleep(GRANT).await;
+        sleep(GRANT_TIMEOUT).await;
         self.revoke(call).await;
     }
 
@@ -165,9 +165,9 @@
         let job = Arc::new(Job {
             call,
             work,
-            offered: Instant::now(),
-            output: Arc::new(Output::new(call, first, sender.clone())),
-            cut: CancellationToken::new(),
+            offered_at: Instant::now(),
+            output: Arc::new(AnswerBuffer::new(call, first, sender.clone())),
+            abort: CancellationToken::new(),
         });
         if let Err((reason, retry_after)) = self.admit(link, &job) {
             self.refuse(&job.output, call, reason, retry_after).await;
@@ -176,20 +176,26 @@
 
     fn admit(self: &Arc<Self>, link: LinkId, job: &Arc<Job>) -> Result<(), (Refusal, Duration)> {
         let mut state = self.state();
-        if state.knows(job.call) {
+        if state.contains(job.call) {
             self.telemetry.duplicates.inc();
             return Ok(());
         }
-        state.offer(link, job).map_err(|reason| match reason {
+        state.enqueue(link, job).map_err(|reason| match reason {
             Refusal::Full => (reason, state.retry_after()),
             _ => (reason, Duration::ZERO),
         })?;
-        self.proceed(state);
+        self.dispatch(state);
         Ok(())
     }
 
-    async fn refuse(&self, output: &Output, call: CallId, reason: Refusal, retry_after: Duration) {
-        self.telemetry.refused(reason);
+    async fn refuse(
+        &self,
+        output: &AnswerBuffer,
+        call: CallId,
+        reason: Refusal,
+        retry_after: Duration,
+    ) {
+        self.telemetry.count_refusal(reason);
         let load = self.state().load();
         let refuse = Frame::Refuse {
             call,
@@ -215,7 +221,7 @@
         if state.withdraw(call, Event::Deny, Refusal::Denied).is_none() {
             self.telemetry.strays.inc();
         }
-        self.proceed(state);
+        self.dispatch(state);
     }
 
     /// Hands a call back unless it has started.
@@ -223,7 +229,7 @@
         let output = {
             let mut state = self.state();
             let output = state.withdraw(call, Event::Revoke, Refusal::Revoked);
-            self.proceed(state);
+            self.dispatch(state);
             output
         };
         if let Some(output) = output {
@@ -234,7 +240,7 @@
 
     /// Hands a call back, or asks the runner to stop it.
     pub(crate) async fn cancel(self: &Arc<Self>, call: CallId) {
-        self.state().taken(call);
+        self.state().mark_not_needed(call);
         self.revoke(call).await;
         self.stop(call);
     }
@@ -242,17 +248,17 @@
     /// Asks the runner to stop a call. One that may not be repeated is never cut off: whether it
     /// took effect must still be learnt from its answer.
     fn stop(self: &Arc<Self>, call: CallId) {
-        let Some((job, may_cut)) = self.state().running(call) else {
+        let Some((job, may_abort)) = self.state().running(call) else {
             return;
         };
         let core = self.clone();
         tokio::spawn(async move {
             // A runner that does not even answer this is cut off below, if it may be.
-            let cancel = timeout(CANCEL, core.runner.cancel(call));
+            let cancel = timeout(CANCEL_TIMEOUT, core.runner.cancel(call));
             let _ = tokio::join!(cancel, async {
-                if may_cut {
-                    sleep(CANCEL).await;
-                    job.cut.cancel();
+                if may_abort {
+                    sleep(CANCEL_TIMEOUT).await;
+                    job.abort.cancel();
                 }
             });
         });
@@ -267,19 +273,19 @@
         from: Sequence,
     ) {
         self.telemetry.recalls.inc();
-        let (found, load) = {
+        let (result, load) = {
             let mut state = self.state();
-            let found = state.recall(call, link);
-            (found, self.proceed(state))
+            let result = state.recall(call, link);
+            (result, self.dispatch(state))
         };
-        match found {
-            Found::Answer(output) => {
+        match result {
+            RecallResult::Answer(output) => {
                 let sender = sender.clone();
-                let again = async move { output.recall(from, sender, load).await };
-                self.work.spawn(again);
+                let resend = async move { output.resend(from, sender, load).await };
+                self.work.spawn(resend);
             }
-            Found::Nothing(reason) => {
-                let output = Output::new(call, from, sender.clone());
+            RecallResult::Refused(reason) => {
+                let output = AnswerBuffer::new(call, from, sender.clone());
                 self.refuse(&output, call, reason, Duration::ZERO).await;
             }
         }
@@ -289,27 +295,37 @@
     pub(crate) async fn finish(
         self: &Arc<Self>,
         job: &Job,
-        end: Result<End, Fault>,
+        outcome: Result<RunOutcome, AnswerError>,
         time: Duration,
     ) {
-        let started = !matches!(end, Ok(End::NotRun { .. }));
-        let extra = match &end {
-            Ok(End::Failed { body, .. }) => body.len(),
+        let started = !matches!(outcome, Ok(RunOutcome::NotRun { .. }));
+        let error_bytes = match &outcome {
+            Ok(RunOutcome::Failed { body, .. }) => body.len(),
             _ => 0,
         };
         let load = {
             let mut state = self.state();
-            state.finish(job.call, started, job.output.kept() + extra, time);
-            self.proceed(state)
+            state.finish(
+                job.call,
+                started,
+                job.output.kept_bytes() + error_bytes,
+                time,
+            );
+            self.dispatch(state)
         };
-        self.telemetry.ended(&end);
-        let end = answer::frame(job, end, load);
-        job.output.end(end).await;
+        self.telemetry.count_outcome(&outcome);
+        let end = answer::end_frame(job, outcome, load);
+        job.output.finish(end).await;
     }
 
     /// Passes an order on to the task that carries them out.
-    pub(crate) async fn order(&self, fence: protocol::FencingToken, body: Bytes, sender: &Sender) {
-        let order = Order {
+    pub(crate) async fn enqueue_order(
+        &self,
+        fence: protocol::FencingToken,
+        body: Bytes,
+        sender: &Sender,
+    ) {
+        let order = EngineOrder {
             fence,
             body,
             link: sender.clone(),
@@ -317,45 +333,45 @@
         let queue = self.orders().clone();
         let queued = queue.is_some_and(|queue| queue.try_send(order).is_ok());
         if !queued {
-            let status = BUSY;
+            let status = SERVICE_UNAVAILABLE;
             let body = Bytes::new();
             let _ = sender.send(Frame::OrderDone { status, body }).await;
         }
     }
 
     /// Tells an entry what the engine holds.
-    pub(crate) fn query(
+    pub(crate) fn answer_query(
         &self,
         number: u64,
         fence: Option<protocol::FencingToken>,
         wanted: Vec<String>,
         sender: &Sender,
     ) {
-        self.guard.engine.want(wanted);
-        let (guard, sender) = (self.guard.clone(), sender.clone());
+        self.engine.state.record_wanted(wanted);
+        let (engine, sender) = (self.engine.clone(), sender.clone());
         tokio::spawn(async move {
-            let models = guard.ask(fence).await;
+            let models = engine.models(fence).await;
             // An entry whose link is gone asks again over the next one.
             let _ = sender.send(Frame::Models { number, models }).await;
         });
     }
 
-    fn orders(&self) -> MutexGuard<'_, Option<mpsc::Sender<Order>>> {
+    fn orders(&self) -> MutexGuard<'_, Option<mpsc::Sender<EngineOrder>>> {
         self.orders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Forgets ended answers in time, also while no call ends.
-    pub(crate) async fn sweep(self: Arc<Self>) {
+    pub(crate) async fn evict_periodically(self: Arc<Self>) {
         loop {
             sleep(Duration::from_secs(1)).await;
-            self.state().evict();
+            self.state().evict_expired();
         }
     }
 
     /// Waits until entries have fetched all answers that cannot be had again.
-    async fn wait_for_recalls(&self) {
-        while self.state().awaits_recall() {
-            sleep(FETCH_POLL).await;
+    async fn wait_for_fetches(&self) {
+        while self.state().has_undelivered_answer() {
+            sleep(FETCH_POLL_INTERVAL).await;
         }
     }
 
@@ -366,25 +382,28 @@
     }
 
     /// Tells all entries, hands back what has not started, and waits for what runs.
-    pub(crate) async fn leave(&self) {
-        let (back, links) = {
+    pub(crate) async fn shut_down(&self) {
+        let (withdrawn, links) = {
             let mut state = self.state();
-            (state.leave(), state.links.values().cloned().collect())
+            (
+                state.begin_leaving(),
+                state.links.values().cloned().collect(),
+            )
         };
         let links: Vec<Sender> = links;
         join_all(links.iter().map(|link| link.send(self.leave_frame()))).await;
-        let refusals = back
+        let refusals = withdrawn
             .iter()
             .map(|(call, output)| self.refuse(output, *call, Refusal::Leaving, Duration::ZERO));
         join_all(refusals).await;
         self.orders().take();
         self.work.close();
         self.work.wait().await;
-        let _ = timeout(FETCH, self.wait_for_recalls()).await;
+        let _ = timeout(FETCH_TIMEOUT, self.wait_for_fetches()).await;
         self.work.wait().await;
         let links: Vec<Sender> = self.state().links.values().cloned().collect();
         join_all(links.iter().map(Sender::flush)).await;
-        self.state().close();
+        self.state().clear();
         self.closing.cancel();
     }
 }
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -20,7 +20,7 @@
     /// Bytes of the buffer that hold no line end.
     searched: usize,
     event: Event,
-    filled: bool,
+    has_fields: bool,
 }
 
 impl Parser {
@@ -36,18 +36,18 @@
 
     /// The next whole event. One that is cut off before its blank line never appears.
     pub(crate) fn next(&mut self) -> Option<Event> {
-        while let Some(line) = self.line() {
+        while let Some(line) = self.next_line() {
             if !line.is_empty() {
-                self.field(&line);
-            } else if self.filled {
-                self.filled = false;
+                self.parse_field(&line);
+            } else if self.has_fields {
+                self.has_fields = false;
                 return Some(std::mem::take(&mut self.event));
             }
         }
         None
     }
 
-    fn line(&mut self) -> Option<Bytes> {
+    fn next_line(&mut self) -> Option<Bytes> {
         let fresh = &self.buffer[self.searched..];
         let Some(end) = fresh.iter().position(|&byte| byte == b'\n') else {
             self.searched = self.buffer.len();
@@ -64,22 +64,22 @@
         Some(line.slice(..end))
     }
 
-    fn field(&mut self, line: &Bytes) {
+    fn parse_field(&mut self, line: &Bytes) {
         let colon = line.iter().position(|&byte| byte == b':');
         let name = &line[..colon.unwrap_or(line.len())];
-        let value = value(line, colon);
+        let value = field_value(line, colon);
         match name {
-            b"id" => self.event.id = number(&value),
+            b"id" => self.event.id = parse_id(&value),
             b"event" => self.event.done = value == "done",
             b"data" if self.event.data.is_empty() => self.event.data = value,
             b"data" => self.event.data = [&self.event.data[..], &value].join(&b'\n').into(),
             _ => return,
         }
-        self.filled = true;
+        self.has_fields = true;
     }
 }
 
-fn value(line: &Bytes, colon: Option<usize>) -> Bytes {
+fn field_value(line: &Bytes, colon: Option<usize>) -> Bytes {
     let Some(colon) = colon else {
         return Bytes::new();
     };
@@ -91,6 +91,6 @@
     line.slice(start..)
 }
 
-fn number(text: &[u8]) -> Option<u32> {
+fn parse_id(text: &[u8]) -> Option<u32> {
     std::str::from_utf8(text).ok()?.parse().ok()
 }
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -1,8 +1,8 @@
 //! One call while the agent has its work.
 
-use crate::answer::{self, End, Fault};
+use crate::answer::{self, AnswerError, RunOutcome};
 use crate::core::Core;
-use crate::output::Output;
+use crate::output::AnswerBuffer;
 use protocol::CallId;
 use std::pin::pin;
 use std::sync::Arc;
@@ -12,64 +12,67 @@
 use wire::{Frame, Work};
 
 /// When an entry may come back to a runner that could not be connected.
-const UNREACHABLE: Duration = Duration::from_secs(1);
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Longest time that a runner may take for a call beyond its deadline. One that hangs would otherwise
 /// hold its slot, and the caller its connection, for ever.
-const OVERTIME: Duration = Duration::from_secs(3_600);
+const MAX_OVERTIME: Duration = Duration::from_secs(3_600);
 
 /// A call with its work.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: CallId,
     pub(crate) work: Box<Work>,
-    pub(crate) offered: Instant,
-    pub(crate) output: Arc<Output>,
+    pub(crate) offered_at: Instant,
+    pub(crate) output: Arc<AnswerBuffer>,
     /// Cuts the call off at the runner; never set for a call that may not be repeated.
-    pub(crate) cut: CancellationToken,
+    pub(crate) abort: CancellationToken,
 }
 
 /// Sends a call's work to the runner, passes the answer on and gives the slot back.
 pub(crate) async fn run(core: Arc<Core>, job: Arc<Job>) {
     core.telemetry
-        .waited(&job.work.stage, job.offered.elapsed());
+        .observe_wait(&job.work.stage, job.offered_at.elapsed());
     let sent = Instant::now();
-    let bound = job.work.remaining.min(OVERTIME) + OVERTIME;
-    let end = tokio::select! {
-        end = drive(&core, &job, sent) => end,
-        () = job.cut.cancelled() => Err(Fault::Cancelled),
-        () = sleep(bound) => Err(Fault::Endless { bound }),
+    let time_limit = job.work.remaining.min(MAX_OVERTIME) + MAX_OVERTIME;
+    let outcome = tokio::select! {
+        outcome = execute(&core, &job, sent) => outcome,
+        () = job.abort.cancelled() => Err(AnswerError::Cancelled),
+        () = sleep(time_limit) => Err(AnswerError::TimedOut { time_limit }),
     };
-    core.telemetry.busy(&job.work.stage, sent.elapsed());
-    core.finish(&job, end, sent.elapsed()).await;
+    core.telemetry
+        .observe_runner_time(&job.work.stage, sent.elapsed());
+    core.finish(&job, outcome, sent.elapsed()).await;
 }
 
-async fn drive(core: &Core, job: &Job, sent: Instant) -> Result<End, Fault> {
-    let (response, mut taken) = core.runner.run(job.call, &job.work);
+async fn execute(core: &Core, job: &Job, sent: Instant) -> Result<RunOutcome, AnswerError> {
+    let (response, mut handed_over) = core.runner.run(job.call, &job.work);
     let mut response = pin!(response);
     let mut started = None;
     let response = loop {
         tokio::select! {
             biased;
-            told = &mut taken, if started.is_none() => {
-                started = Some(told.is_ok());
-                if told.is_ok() {
-                    start(core, job).await;
+            result = &mut handed_over, if started.is_none() => {
+                started = Some(result.is_ok());
+                if result.is_ok() {
+                    report_start(core, job).await;
                 }
             }
             response = &mut response => break response,
         }
     };
     match response {
-        Ok(response) => answer::read(core, job, response, sent).await,
-        Err(_) if !started.unwrap_or_else(|| taken.try_recv().is_ok()) => Ok(End::NotRun {
-            retry_after: UNREACHABLE,
-        }),
-        Err(source) => Err(Fault::Broken { source }),
+        Ok(response) => answer::forward(core, job, response, sent).await,
+        Err(_) if !started.unwrap_or_else(|| handed_over.try_recv().is_ok()) => {
+            Ok(RunOutcome::NotRun {
+                retry_after: UNREACHABLE_RETRY_AFTER,
+            })
+        }
+        Err(source) => Err(AnswerError::ConnectionFailed { source }),
     }
 }
 
-async fn start(core: &Core, job: &Job) {
+async fn report_start(core: &Core, job: &Job) {
     core.telemetry.starts.inc();
     job.output.send(Frame::Start { call: job.call }).await;
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -9,9 +9,9 @@
 mod core;
 mod event;
 mod fence;
+mod history;
 mod job;
 mod link;
-mod memory;
 mod models;
 mod output;
 mod queue;
@@ -20,11 +20,11 @@
 mod telemetry;
 
 use crate::core::Core;
-use crate::fence::Guard;
-use crate::models::Engine;
-use crate::queue::Order;
+use crate::fence::FencedEngine;
+use crate::models::EngineState;
+use crate::queue::QueueOrder;
 use crate::runner::Runner;
-use crate::state::Bounds;
+use crate::state::Config;
 use crate::telemetry::Telemetry;
 use metric::Registry;
 use setting::Policy;
@@ -39,7 +39,7 @@
 use wire::{Key, Listener};
 
 /// Orders that wait for their turn at the engine.
-const ORDERS: usize = 64;
+const ORDER_QUEUE_CAPACITY: usize = 64;
 
 /// Why an agent could not start.
 #[derive(Debug, Snafu)]
@@ -97,19 +97,19 @@
     let mut registry = Registry::default();
     let telemetry = Telemetry::new(&mut registry);
     let runner = Runner::new(settings.runner);
-    let (orders, ordered) = mpsc::channel(ORDERS);
-    let guard = Guard {
-        table: platform(&settings),
+    let (orders, order_receiver) = mpsc::channel(ORDER_QUEUE_CAPACITY);
+    let engine = FencedEngine {
+        table: store_client(&settings),
         runner: runner.clone(),
-        engine: Engine::default(),
+        state: EngineState::default(),
     };
-    let fence = guard.clone().serve(ordered);
-    let bounds = bounds(&settings);
-    let core = Core::new(runner, telemetry, incarnation(), bounds, orders, guard);
+    let order_task = engine.clone().serve(order_receiver);
+    let config = config(&settings);
+    let core = Core::new(runner, telemetry, incarnation(), config, orders, engine);
     let core = Arc::new(core);
-    core.work.spawn(fence);
+    core.work.spawn(order_task);
     let key = Key::new(settings.key.as_bytes());
-    let publisher = publisher(&settings, &key)?;
+    let publisher = bind_publisher(&settings, &key)?;
     let address = settings.listen;
     let listener = Listener::bind(address, key)
         .await
@@ -122,7 +122,7 @@
 
     let links = TaskTracker::new();
     let accepting = tokio::spawn(accept(core.clone(), listener, links.clone(), log.clone()));
-    let sweeping = tokio::spawn(core.clone().sweep());
+    let sweeping = tokio::spawn(core.clone().evict_periodically());
     info!(log, "serving"; "listen" => %listen, "runner" => %settings.runner);
     ready(Ready {
         listen,
@@ -135,7 +135,7 @@
     if let Some(publisher) = &publisher {
         publish_leaving(publisher, &settings.id, core.incarnation);
     }
-    core.leave().await;
+    core.shut_down().await;
     accepting.abort();
     sweeping.abort();
     links.close();
@@ -144,12 +144,12 @@
     Ok(())
 }
 
-fn platform(settings: &setting::Agent) -> store::Client {
-    let places = &settings.platform;
-    store::Client::new(places.table, places.objects, places.vms)
+fn store_client(settings: &setting::Agent) -> store::Client {
+    let addresses = &settings.platform;
+    store::Client::new(addresses.table, addresses.objects, addresses.vms)
 }
 
-fn publisher(settings: &setting::Agent, key: &Key) -> Result<Option<Publisher>, Error> {
+fn bind_publisher(settings: &setting::Agent, key: &Key) -> Result<Option<Publisher>, Error> {
     settings
         .news
         .map(|address| Publisher::bind(address, key.clone()).context(NewsSnafu { address }))
@@ -178,15 +178,15 @@
     }
 }
 
-fn bounds(settings: &setting::Agent) -> Bounds {
-    let (order, queue) = match settings.policy {
-        Policy::Shipped => (Order::Slack, settings.queue as usize),
-        Policy::Naive => (Order::Arrival, usize::MAX),
+fn config(settings: &setting::Agent) -> Config {
+    let (order, max_queued) = match settings.policy {
+        Policy::Shipped => (QueueOrder::Slack, settings.queue as usize),
+        Policy::Naive => (QueueOrder::Fifo, usize::MAX),
     };
-    Bounds {
+    Config {
         service: settings.service.clone(),
         concurrency: settings.concurrency.max(1),
-        queue,
+        max_queued,
         order,
     }
 }
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -9,19 +9,19 @@
 
 /// Serves one link until it is lost or the agent closes it.
 pub(crate) async fn serve(core: Arc<Core>, sender: Sender, mut receiver: Receiver) {
-    let link = core.join(&sender).await;
+    let link = core.add_link(&sender).await;
     loop {
         let received = tokio::select! {
             received = receiver.recv() => received,
             () = core.closing.cancelled() => break,
         };
         match received {
-            Ok(Some(frame)) => handle(&core, link, &sender, frame).await,
+            Ok(Some(frame)) => handle_frame(&core, link, &sender, frame).await,
             Ok(None) | Err(_) => break,
         }
     }
     drop(sender);
-    core.lost(link);
+    core.remove_link(link);
     // Closing a socket with unread frames resets the connection, and the entry could lose the
     // ends of answers that were already sent. So the entry closes first.
     if core.closing.is_cancelled() {
@@ -32,7 +32,7 @@
     }
 }
 
-async fn handle(core: &Arc<Core>, link: LinkId, sender: &Sender, frame: Frame) {
+async fn handle_frame(core: &Arc<Core>, link: LinkId, sender: &Sender, frame: Frame) {
     match frame {
         Frame::Offer { call, work } => core.offer(link, sender, call, work).await,
         Frame::Grant { call } => core.grant(call),
@@ -40,12 +40,12 @@
         Frame::Revoke { call } => core.revoke(call).await,
         Frame::Cancel { call } => core.cancel(call).await,
         Frame::Recall { call, from } => core.recall(link, sender, call, from).await,
-        Frame::Order { fence, body } => core.order(fence, body, sender).await,
+        Frame::Order { fence, body } => core.enqueue_order(fence, body, sender).await,
         Frame::Query {
             number,
             fence,
             wanted,
-        } => core.query(number, fence, wanted, sender),
+        } => core.answer_query(number, fence, wanted, sender),
         _ => drop(core.telemetry.strays.inc()),
     }
 }
--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -12,7 +12,7 @@
 use wire::Models;
 
 /// Longest wait for the engine's answer. An engine that hangs would otherwise gather questions.
-const PATIENCE: Duration = Duration::from_secs(2);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which a model counts as wanted after an entry has said so. Entries ask every second.
 const WANTED_TTL: Duration = Duration::from_secs(5);
 /// Most models that count as wanted at a time.
@@ -20,20 +20,20 @@
 
 /// Answer of `GET /v1/models`, as far as it matters here.
 #[derive(Deserialize)]
-struct Loaded {
+struct ModelList {
     models: Vec<String>,
 }
 
 /// An order's body, as far as it matters here.
 #[derive(Clone, Debug, Deserialize)]
-struct Order {
+struct OrderBody {
     order: String,
     model: Option<String>,
 }
 
-impl Order {
+impl OrderBody {
     /// The model that the order is about, if it is of this kind.
-    fn about(&self, kind: &str) -> Option<&str> {
+    fn model_if(&self, kind: &str) -> Option<&str> {
         self.model.as_deref().filter(|_| self.order == kind)
     }
 }
@@ -43,17 +43,17 @@
 /// Both are under one lock: a question of a new lease holder raises the number and then looks at
 /// the order, so that no order of an earlier holder can slip in between unseen.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Engine(Arc<Mutex<State>>);
+pub(crate) struct EngineState(Arc<Mutex<Inner>>);
 
 #[derive(Debug, Default)]
-struct State {
+struct Inner {
     fence: Fence,
-    order: Option<Order>,
+    order: Option<OrderBody>,
     /// Models that callers lack, with the time at which an entry last said so.
     wanted: BTreeMap<String, Instant>,
 }
 
-impl Engine {
+impl EngineState {
     /// Takes in the current number as read from the table.
     pub(crate) fn learn(&self, current: protocol::FencingToken) {
         self.lock().fence.learn(current);
@@ -61,9 +61,9 @@
 
     /// Judges an order, which is under way from then on if it may pass; no body only raises the
     /// number.
-    pub(crate) fn admit(&self, number: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
+    pub(crate) fn admit(&self, token: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
         let mut state = self.lock();
-        let verdict = state.fence.admit(number);
+        let verdict = state.fence.admit(token);
         if verdict == Verdict::Pass
             && let Some(order) = order
         {
@@ -73,13 +73,13 @@
     }
 
     /// Notes that the engine has answered the order.
-    pub(crate) fn end(&self) {
+    pub(crate) fn finish_order(&self) {
         self.lock().order.take();
     }
 
     /// Takes in models that callers of an entry lack. Only the lease holder gives orders, and the
     /// callers of another entry may be the only ones who ask for a model.
-    pub(crate) fn want(&self, models: impl IntoIterator<Item = String>) {
+    pub(crate) fn record_wanted(&self, models: impl IntoIterator<Item = String>) {
         let now = Instant::now();
         let mut state = self.lock();
         state.wanted.retain(|_, at| *at + WANTED_TTL > now);
@@ -96,11 +96,11 @@
         state.wanted.keys().cloned().collect()
     }
 
-    fn order(&self) -> Option<Order> {
+    fn current_order(&self) -> Option<OrderBody> {
         self.lock().order.clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -110,13 +110,13 @@
 /// The order under way is looked at before the engine is asked: a load that ends in between is
 /// told as under way or as done, but never as if it had not been ordered, and a model that is
 /// being given up is not told as held.
-pub(crate) async fn ask(runner: &Runner, engine: &Engine) -> Option<Models> {
-    let order = engine.order();
-    let mut warm = timeout(PATIENCE, loaded(runner)).await.ok()??;
-    let about = |kind| order.as_ref().and_then(|order| order.about(kind));
-    let leaving = about("unload");
-    warm.retain(|model| leaving != Some(model.as_str()));
-    let loading = about("load").map(str::to_owned);
+pub(crate) async fn query(runner: &Runner, engine: &EngineState) -> Option<Models> {
+    let order = engine.current_order();
+    let mut warm = timeout(QUERY_TIMEOUT, fetch_loaded(runner)).await.ok()??;
+    let model_if = |kind| order.as_ref().and_then(|order| order.model_if(kind));
+    let unloading = model_if("unload");
+    warm.retain(|model| unloading != Some(model.as_str()));
+    let loading = model_if("load").map(str::to_owned);
     let wanted = engine.wanted();
     Some(Models {
         warm,
@@ -125,12 +125,12 @@
     })
 }
 
-async fn loaded(runner: &Runner) -> Option<Vec<String>> {
+async fn fetch_loaded(runner: &Runner) -> Option<Vec<String>> {
     let response = runner.models().await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let body = answer::whole(response.into_body()).await.ok()?;
-    let loaded: Loaded = serde_json::from_slice(&body).ok()?;
-    Some(loaded.models)
+    let body = answer::read_body(response.into_body()).await.ok()?;
+    let list: ModelList = serde_json::from_slice(&body).ok()?;
+    Some(list.models)
 }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -9,22 +9,22 @@
 
 /// Bytes of one answer that are kept while it runs; older chunks go first, since the entry most
 /// likely has them.
-const KEPT: usize = 4 << 20;
+const MAX_KEPT_BYTES: usize = 4 << 20;
 
 /// Answer of one call.
 #[derive(Debug)]
-pub(crate) struct Output {
+pub(crate) struct AnswerBuffer {
     call: CallId,
-    kept: AtomicUsize,
+    kept_bytes: AtomicUsize,
     /// Whether the end has been handed to a link that stood.
     delivered: AtomicBool,
     /// Whether the entry has said that it needs nothing more.
-    taken: AtomicBool,
-    parts: Mutex<Parts>,
+    not_needed: AtomicBool,
+    state: Mutex<BufferState>,
 }
 
 #[derive(Debug)]
-struct Parts {
+struct BufferState {
     link: Option<Sender>,
     /// Number of the oldest kept chunk.
     first: Sequence,
@@ -33,7 +33,7 @@
     end: Option<Frame>,
 }
 
-impl Parts {
+impl BufferState {
     /// Sends a frame if the link still stands. A link that is gone is forgotten; the entry
     /// brings a new one with its recall.
     async fn send(&mut self, frame: Frame) {
@@ -49,7 +49,7 @@
     }
 
     fn trim(&mut self) {
-        while self.bytes > KEPT
+        while self.bytes > MAX_KEPT_BYTES
             && let Some(oldest) = self.chunks.pop_front()
         {
             self.bytes -= oldest.len();
@@ -58,10 +58,10 @@
     }
 }
 
-impl Output {
+impl AnswerBuffer {
     /// An answer that goes out on `link` and whose first chunk bears the number `first`.
     pub(crate) fn new(call: CallId, first: Sequence, link: Sender) -> Self {
-        let parts = Parts {
+        let state = BufferState {
             link: Some(link),
             first,
             chunks: VecDeque::new(),
@@ -70,26 +70,26 @@
         };
         Self {
             call,
-            kept: AtomicUsize::new(0),
+            kept_bytes: AtomicUsize::new(0),
             delivered: AtomicBool::new(false),
-            taken: AtomicBool::new(false),
-            parts: Mutex::new(parts),
+            not_needed: AtomicBool::new(false),
+            state: Mutex::new(state),
         }
     }
 
     /// Bytes that are kept now.
-    pub(crate) fn kept(&self) -> usize {
-        self.kept.load(Ordering::Relaxed)
+    pub(crate) fn kept_bytes(&self) -> usize {
+        self.kept_bytes.load(Ordering::Relaxed)
     }
 
     /// Whether the end has been handed to a link that stood, or is not wanted.
-    pub(crate) fn delivered(&self) -> bool {
-        self.taken.load(Ordering::Relaxed) || self.delivered.load(Ordering::Relaxed)
+    pub(crate) fn is_delivered(&self) -> bool {
+        self.not_needed.load(Ordering::Relaxed) || self.delivered.load(Ordering::Relaxed)
     }
 
     /// The entry has the whole answer, or wants none.
-    pub(crate) fn mark_taken(&self) {
-        self.taken.store(true, Ordering::Relaxed);
+    pub(crate) fn mark_not_needed(&self) {
+        self.not_needed.store(true, Ordering::Relaxed);
     }
 
     /// The link is lost, and with it perhaps what was handed to it last.
@@ -99,19 +99,19 @@
 
     /// Sends a frame that is not part of the answer.
     pub(crate) async fn send(&self, frame: Frame) {
-        self.parts.lock().await.send(frame).await;
+        self.state.lock().await.send(frame).await;
     }
 
     /// Keeps and sends the next chunk; waits while the link is congested.
-    pub(crate) async fn chunk(&self, data: Bytes) {
-        let mut parts = self.parts.lock().await;
-        let sequence = parts.next();
-        parts.bytes += data.len();
-        parts.chunks.push_back(data.clone());
-        parts.trim();
-        self.kept.store(parts.bytes, Ordering::Relaxed);
+    pub(crate) async fn push_chunk(&self, data: Bytes) {
+        let mut state = self.state.lock().await;
+        let sequence = state.next();
+        state.bytes += data.len();
+        state.chunks.push_back(data.clone());
+        state.trim();
+        self.kept_bytes.store(state.bytes, Ordering::Relaxed);
         let call = self.call;
-        parts
+        state
             .send(Frame::Chunk {
                 call,
                 sequence,
@@ -121,40 +121,40 @@
     }
 
     /// Keeps and sends the end.
-    pub(crate) async fn end(&self, end: Frame) {
-        let mut parts = self.parts.lock().await;
-        parts.end = Some(end.clone());
-        parts.send(end).await;
+    pub(crate) async fn finish(&self, end: Frame) {
+        let mut state = self.state.lock().await;
+        state.end = Some(end.clone());
+        state.send(end).await;
         self.delivered
-            .store(parts.link.is_some(), Ordering::Relaxed);
+            .store(state.link.is_some(), Ordering::Relaxed);
     }
 
     /// Sends what there is from chunk `from` on over a new link, which the rest will take too.
-    pub(crate) async fn recall(&self, from: Sequence, link: Sender, load: Load) {
-        let mut parts = self.parts.lock().await;
-        parts.link = Some(link);
-        if from < parts.first {
-            return parts.send(self.too_old(from, load)).await;
+    pub(crate) async fn resend(&self, from: Sequence, link: Sender, load: Load) {
+        let mut state = self.state.lock().await;
+        state.link = Some(link);
+        if from < state.first {
+            return state.send(self.chunk_evicted_frame(from, load)).await;
         }
-        let skipped = (from - parts.first) as usize;
-        let again: Vec<_> = parts.chunks.iter().skip(skipped).cloned().collect();
+        let skipped = (from - state.first) as usize;
+        let chunks: Vec<_> = state.chunks.iter().skip(skipped).cloned().collect();
         let call = self.call;
-        for (sequence, data) in (from..).zip(again) {
+        for (sequence, data) in (from..).zip(chunks) {
             let chunk = Frame::Chunk {
                 call,
                 sequence,
                 data,
             };
-            parts.send(chunk).await;
+            state.send(chunk).await;
         }
-        if let Some(end) = parts.end.clone() {
-            parts.send(end).await;
+        if let Some(end) = state.end.clone() {
+            state.send(end).await;
             self.delivered
-                .store(parts.link.is_some(), Ordering::Relaxed);
+                .store(state.link.is_some(), Ordering::Relaxed);
         }
     }
 
-    fn too_old(&self, from: Sequence, load: Load) -> Frame {
+    fn chunk_evicted_frame(&self, from: Sequence, load: Load) -> Frame {
         Frame::Break {
             call: self.call,
             reason: format!("chunk {from} is no longer kept"),
--- a/crates/agent/src/queue.rs
+++ b/crates/agent/src/queue.rs
@@ -7,97 +7,97 @@
 
 /// One pop in this many takes the oldest deadline even if it has passed, so that late work is
 /// delivered late rather than never while the runner stays busy.
-const LATE_TURN: u64 = 8;
+const LATE_WORK_INTERVAL: u64 = 8;
 
 /// Position of a held call: higher priorities first, then earlier deadlines, then older offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct QueueKey {
     /// 255 less the priority.
     rank: u8,
-    due: Instant,
+    deadline: Instant,
     serial: u64,
 }
 
 /// How the queue is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Order {
+pub(crate) enum QueueOrder {
     /// By priority and deadline.
     Slack,
     /// First in, first out: the baseline.
-    Arrival,
+    Fifo,
 }
 
 /// Calls that wait for a slot.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    order: Order,
-    start: Instant,
-    held: BTreeMap<Place, CallId>,
+    order: QueueOrder,
+    epoch: Instant,
+    calls: BTreeMap<QueueKey, CallId>,
     pushed: u64,
     popped: u64,
 }
 
 impl Queue {
-    pub(crate) fn new(order: Order) -> Self {
+    pub(crate) fn new(order: QueueOrder) -> Self {
         Self {
             order,
-            start: Instant::now(),
-            held: BTreeMap::new(),
+            epoch: Instant::now(),
+            calls: BTreeMap::new(),
             pushed: 0,
             popped: 0,
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.held.len()
+        self.calls.len()
     }
 
     /// Adds a call whose deadline is `remaining` away.
-    pub(crate) fn push(&mut self, call: CallId, priority: u8, remaining: Duration) -> Place {
+    pub(crate) fn push(&mut self, call: CallId, priority: u8, remaining: Duration) -> QueueKey {
         self.pushed += 1;
-        let (rank, due) = match self.order {
-            Order::Slack => (u8::MAX - priority, deadline(remaining)),
-            Order::Arrival => (0, self.start),
+        let (rank, deadline) = match self.order {
+            QueueOrder::Slack => (u8::MAX - priority, deadline_after(remaining)),
+            QueueOrder::Fifo => (0, self.epoch),
         };
-        let place = Place {
+        let key = QueueKey {
             rank,
-            due,
+            deadline,
             serial: self.pushed,
         };
-        self.held.insert(place, call);
-        place
+        self.calls.insert(key, call);
+        key
     }
 
-    pub(crate) fn remove(&mut self, place: Place) {
-        self.held.remove(&place);
+    pub(crate) fn remove(&mut self, key: QueueKey) {
+        self.calls.remove(&key);
     }
 
     /// Takes the next call. Work that is past its deadline yields to work of its priority that
-    /// can still make it, but for every [`LATE_TURN`]th time.
+    /// can still make it, but for every [`LATE_WORK_INTERVAL`]th time.
     pub(crate) fn pop(&mut self) -> Option<CallId> {
         self.popped += 1;
-        let (&first, _) = self.held.first_key_value()?;
-        let place = if self.popped % LATE_TURN == 0 {
+        let (&first, _) = self.calls.first_key_value()?;
+        let key = if self.popped % LATE_WORK_INTERVAL == 0 {
             first
         } else {
-            self.in_time(first).unwrap_or(first)
+            self.first_in_time(first).unwrap_or(first)
         };
-        self.held.remove(&place)
+        self.calls.remove(&key)
     }
 
-    fn in_time(&self, first: Place) -> Option<Place> {
-        let now = Place {
-            due: Instant::now(),
+    fn first_in_time(&self, first: QueueKey) -> Option<QueueKey> {
+        let now = QueueKey {
+            deadline: Instant::now(),
             serial: 0,
             ..first
         };
-        let (&place, _) = self.held.range(now..).next()?;
-        (place.rank == first.rank).then_some(place)
+        let (&key, _) = self.calls.range(now..).next()?;
+        (key.rank == first.rank).then_some(key)
     }
 }
 
 /// A deadline beyond what the clock can express counts as a day away.
-fn deadline(remaining: Duration) -> Instant {
+fn deadline_after(remaining: Duration) -> Instant {
     const DAY: Duration = Duration::from_secs(86_400);
     Instant::now() + remaining.min(DAY)
 }
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -26,46 +26,46 @@
 const X_RESUME: HeaderName = HeaderName::from_static("x-resume");
 const X_PREFIX: HeaderName = HeaderName::from_static("x-prefix");
 const X_MODEL: HeaderName = HeaderName::from_static("x-model");
-const JSON: HeaderValue = HeaderValue::from_static("application/json");
-const EVENTS: HeaderValue = HeaderValue::from_static("text/event-stream");
+const APPLICATION_JSON: HeaderValue = HeaderValue::from_static("application/json");
+const EVENT_STREAM: HeaderValue = HeaderValue::from_static("text/event-stream");
 
 /// Connections that are idle for longer are closed by the agent. A runner that closes an idle
 /// connection at the moment a call is sent on it would cost that call a refusal.
-const IDLE: Duration = Duration::from_secs(10);
-const CONNECT: Duration = Duration::from_secs(2);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Body of a request; tells when it is handed over to the connection.
 #[derive(Debug)]
-pub(crate) struct Input {
+pub(crate) struct InputBody {
     data: Option<Bytes>,
-    taken: Option<oneshot::Sender<()>>,
+    handed_over: Option<oneshot::Sender<()>>,
 }
 
-impl Input {
+impl InputBody {
     /// A body and the word that the connection has taken it.
     ///
     /// Without that word no whole request can have reached the runner. An empty body is never
     /// asked for, so it counts as taken from the start.
     pub(crate) fn new(data: Bytes) -> (Self, oneshot::Receiver<()>) {
-        let (taken, receiver) = oneshot::channel();
+        let (handed_over, receiver) = oneshot::channel();
         let mut input = Self {
             data: Some(data),
-            taken: Some(taken),
+            handed_over: Some(handed_over),
         };
         if input.is_end_stream() {
-            input.tell();
+            input.notify();
         }
         (input, receiver)
     }
 
-    fn tell(&mut self) {
-        if let Some(taken) = self.taken.take() {
-            let _ = taken.send(());
+    fn notify(&mut self) {
+        if let Some(handed_over) = self.handed_over.take() {
+            let _ = handed_over.send(());
         }
     }
 }
 
-impl Body for Input {
+impl Body for InputBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -73,7 +73,7 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.tell();
+        self.notify();
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
@@ -89,7 +89,7 @@
 /// The runner beside the agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
-    client: Client<HttpConnector, Input>,
+    client: Client<HttpConnector, InputBody>,
     address: SocketAddr,
 }
 
@@ -97,10 +97,10 @@
     pub(crate) fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Self { client, address }
@@ -115,63 +115,63 @@
         impl Future<Output = Result<Response<Incoming>, Error>> + Send + use<>,
         oneshot::Receiver<()>,
     ) {
-        let (input, taken) = Input::new(work.input.clone());
+        let (input, handed_over) = InputBody::new(work.input.clone());
         let mut request = self.request("/v1/run", input);
         let headers = request.headers_mut();
-        headers.insert(X_CALL, text(call.to_string()));
-        headers.insert(X_WORKSPACE, text(work.workspace.as_str()));
+        headers.insert(X_CALL, header_value(call.to_string()));
+        headers.insert(X_WORKSPACE, header_value(work.workspace.as_str()));
         headers.insert(X_PRIORITY, u16::from(work.priority).into());
         if work.stream {
-            headers.insert(ACCEPT, EVENTS);
+            headers.insert(ACCEPT, EVENT_STREAM);
             headers.insert(X_RESUME, work.resume.into());
         }
         if !work.prefix.is_empty() {
-            headers.insert(X_PREFIX, text(blocks(&work.prefix)));
+            headers.insert(X_PREFIX, header_value(format_blocks(&work.prefix)));
         }
         if let Some(model) = &work.model {
-            headers.insert(X_MODEL, text(model));
+            headers.insert(X_MODEL, header_value(model));
         }
-        (self.client.request(request), taken)
+        (self.client.request(request), handed_over)
     }
 
     /// Asks the runner to stop a call; whether it does is up to the runner.
     pub(crate) async fn cancel(&self, call: CallId) {
-        let (input, _) = Input::new(Bytes::new());
+        let (input, _) = InputBody::new(Bytes::new());
         let request = self.request(&format!("/v1/cancel/{call}"), input);
         let _ = self.client.request(request).await;
     }
 
     /// Passes an order on to the engine.
-    pub(crate) async fn order(&self, body: Bytes) -> Result<Response<Incoming>, Error> {
-        let (input, _) = Input::new(body);
+    pub(crate) async fn send_order(&self, body: Bytes) -> Result<Response<Incoming>, Error> {
+        let (input, _) = InputBody::new(body);
         self.client.request(self.request("/v1/orders", input)).await
     }
 
     /// Asks the engine what it has loaded.
     pub(crate) async fn models(&self) -> Result<Response<Incoming>, Error> {
-        let (input, _) = Input::new(Bytes::new());
+        let (input, _) = InputBody::new(Bytes::new());
         let mut request = self.request("/v1/models", input);
         *request.method_mut() = Method::GET;
         self.client.request(request).await
     }
 
-    fn request(&self, path: &str, input: Input) -> Request<Input> {
+    fn request(&self, path: &str, input: InputBody) -> Request<InputBody> {
         let mut request = Request::new(input);
         *request.method_mut() = Method::POST;
         let uri = format!("http://{}{path}", self.address);
         // An address and a fixed path always make a URI.
         *request.uri_mut() = uri.parse().unwrap_or_default();
-        request.headers_mut().insert(CONTENT_TYPE, JSON);
+        request.headers_mut().insert(CONTENT_TYPE, APPLICATION_JSON);
         request
     }
 }
 
 /// A name that no header can bear is left out instead of failing the call.
-fn text(value: impl AsRef<str>) -> HeaderValue {
+fn header_value(value: impl AsRef<str>) -> HeaderValue {
     HeaderValue::from_bytes(value.as_ref().as_bytes()).unwrap_or(HeaderValue::from_static(""))
 }
 
-fn blocks(prefix: &[u64]) -> String {
+fn format_blocks(prefix: &[u64]) -> String {
     let mut text = String::with_capacity(prefix.len() * 17);
     prefix.iter().for_each(|block| {
         let comma = if text.is_empty() { "" } else { "," };
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,9 +1,9 @@
 //! What the agent knows of its calls; no I/O, so that a lock over it is held for a short time.
 
+use crate::history::CallHistory;
 use crate::job::Job;
-use crate::memory::Memory;
-use crate::output::Output;
-use crate::queue::{Order, Place, Queue};
+use crate::output::AnswerBuffer;
+use crate::queue::{Queue, QueueKey, QueueOrder};
 use protocol::CallId;
 use protocol::gate::{Action, Event, Gate, State as GateState};
 use record::Map;
@@ -15,90 +15,90 @@
 pub(crate) type LinkId = u64;
 
 /// Bounds of the time after which an entry may come back to a full agent.
-const RETRY_MIN: Duration = Duration::from_millis(50);
-const RETRY_MAX: Duration = Duration::from_secs(10);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// Weight of the past in the mean time at the runner, against one for the latest call.
-const MEMORY_OF_MEAN: u32 = 7;
+const MEAN_HISTORY_WEIGHT: u32 = 7;
 
 /// One call that is held, asks, runs, or has ended and is kept for a recall.
 #[derive(Debug)]
-pub(crate) struct Tracked {
+pub(crate) struct TrackedCall {
     gate: Gate,
     link: LinkId,
-    place: Place,
+    queue_key: QueueKey,
     repeatable: bool,
     job: Option<Arc<Job>>,
-    pub(crate) output: Arc<Output>,
+    pub(crate) output: Arc<AnswerBuffer>,
 }
 
 /// A call that has been given a slot.
 #[derive(Debug)]
-pub(crate) enum Turn {
+pub(crate) enum Dispatch {
     /// Ask its entry for a grant.
-    Ask(Arc<Job>),
+    RequestGrant(Arc<Job>),
     /// Send it to the runner.
     Start(Arc<Job>),
 }
 
 /// What a recall finds.
 #[derive(Debug)]
-pub(crate) enum Found {
+pub(crate) enum RecallResult {
     /// The call has started; this is its answer.
-    Answer(Arc<Output>),
+    Answer(Arc<AnswerBuffer>),
     /// There is no answer.
-    Nothing(Refusal),
+    Refused(Refusal),
 }
 
 /// Bounds from the settings.
 #[derive(Clone, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct Config {
     pub(crate) service: String,
     pub(crate) concurrency: u32,
-    pub(crate) queue: usize,
-    pub(crate) order: Order,
+    pub(crate) max_queued: usize,
+    pub(crate) order: QueueOrder,
 }
 
 /// Calls of an agent.
 #[derive(Debug)]
 pub(crate) struct State {
-    bounds: Bounds,
-    calls: Map<CallId, Tracked>,
+    config: Config,
+    calls: Map<CallId, TrackedCall>,
     queue: Queue,
     /// Slots in use by calls that ask or run.
-    taken: u32,
-    mean: Duration,
+    slots_in_use: u32,
+    mean_runner_time: Duration,
     leaving: bool,
-    memory: Memory,
+    history: CallHistory,
     pub(crate) links: Map<LinkId, Sender>,
 }
 
 impl State {
-    pub(crate) fn new(bounds: Bounds) -> Self {
+    pub(crate) fn new(config: Config) -> Self {
         Self {
-            queue: Queue::new(bounds.order),
-            bounds,
+            queue: Queue::new(config.order),
+            config,
             calls: Map::default(),
-            taken: 0,
-            mean: Duration::ZERO,
+            slots_in_use: 0,
+            mean_runner_time: Duration::ZERO,
             leaving: false,
-            memory: Memory::default(),
+            history: CallHistory::default(),
             links: Map::default(),
         }
     }
 
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    pub(crate) fn knows(&self, call: CallId) -> bool {
+    pub(crate) fn contains(&self, call: CallId) -> bool {
         self.calls.contains_key(&call)
     }
 
     pub(crate) fn load(&self) -> Load {
         Load {
             queued: self.queue.len().try_into().unwrap_or(u32::MAX),
-            running: self.taken,
-            limit: self.bounds.concurrency,
+            running: self.slots_in_use,
+            limit: self.config.concurrency,
             ..Load::default()
         }
     }
@@ -106,22 +106,22 @@
     /// Time after which a slot for one more call is likely.
     pub(crate) fn retry_after(&self) -> Duration {
         let ahead = self.load().queued.saturating_add(1);
-        let wait = self.mean.saturating_mul(ahead) / self.bounds.concurrency.max(1);
-        wait.clamp(RETRY_MIN, RETRY_MAX)
+        let wait = self.mean_runner_time.saturating_mul(ahead) / self.config.concurrency.max(1);
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Takes a call into the queue, or says why not; it then never starts.
-    pub(crate) fn offer(&mut self, link: LinkId, job: &Arc<Job>) -> Result<(), Refusal> {
-        if let Some(why) = self.refusal(job) {
-            self.memory.bar(job.call, why);
-            return Err(why);
+    pub(crate) fn enqueue(&mut self, link: LinkId, job: &Arc<Job>) -> Result<(), Refusal> {
+        if let Some(reason) = self.refusal_reason(job) {
+            self.history.forbid(job.call, reason);
+            return Err(reason);
         }
         let work = &job.work;
-        let place = self.queue.push(job.call, work.priority, work.remaining);
-        let tracked = Tracked {
+        let queue_key = self.queue.push(job.call, work.priority, work.remaining);
+        let tracked = TrackedCall {
             gate: Gate::new(!work.repeatable),
             link,
-            place,
+            queue_key,
             repeatable: work.repeatable,
             output: job.output.clone(),
             job: Some(job.clone()),
@@ -130,19 +130,20 @@
         Ok(())
     }
 
-    fn refusal(&self, job: &Job) -> Option<Refusal> {
-        let full = self.taken >= self.bounds.concurrency && self.queue.len() >= self.bounds.queue;
-        let barred = self.memory.barred(job.call);
-        barred
+    fn refusal_reason(&self, job: &Job) -> Option<Refusal> {
+        let full = self.slots_in_use >= self.config.concurrency
+            && self.queue.len() >= self.config.max_queued;
+        let forbidden = self.history.forbidden(job.call);
+        forbidden
             .or(self.leaving.then_some(Refusal::Leaving))
-            .or((job.work.service != self.bounds.service).then_some(Refusal::Misdirected))
+            .or((job.work.service != self.config.service).then_some(Refusal::Misdirected))
             .or(full.then_some(Refusal::Full))
     }
 
     /// Gives free slots to held calls.
-    pub(crate) fn turns(&mut self) -> Vec<Turn> {
-        let mut turns = Vec::new();
-        while self.taken < self.bounds.concurrency
+    pub(crate) fn assign_slots(&mut self) -> Vec<Dispatch> {
+        let mut dispatches = Vec::new();
+        while self.slots_in_use < self.config.concurrency
             && let Some(call) = self.queue.pop()
         {
             let Some(tracked) = self.calls.get_mut(&call) else {
@@ -152,13 +153,13 @@
                 continue;
             };
             match tracked.gate.on(Event::SlotFree) {
-                Action::Ask => turns.push(Turn::Ask(job)),
-                Action::Start => turns.push(Turn::Start(job)),
+                Action::Ask => dispatches.push(Dispatch::RequestGrant(job)),
+                Action::Start => dispatches.push(Dispatch::Start(job)),
                 _ => continue,
             }
-            self.taken += 1;
+            self.slots_in_use += 1;
         }
-        turns
+        dispatches
     }
 
     /// The entry lets a call start; nothing comes of it unless the call is asking.
@@ -175,18 +176,18 @@
         &mut self,
         call: CallId,
         event: Event,
-        why: Refusal,
-    ) -> Option<Arc<Output>> {
+        reason: Refusal,
+    ) -> Option<Arc<AnswerBuffer>> {
         let tracked = self.calls.get_mut(&call)?;
         let before = tracked.gate.state();
         if !matches!(tracked.gate.on(event), Action::Refuse | Action::Release) {
             return None;
         }
         match before {
-            GateState::Queued => self.queue.remove(tracked.place),
-            _ => self.taken -= 1,
+            GateState::Queued => self.queue.remove(tracked.queue_key),
+            _ => self.slots_in_use -= 1,
         }
-        self.memory.bar(call, why);
+        self.history.forbid(call, reason);
         self.calls.remove(&call).map(|tracked| tracked.output)
     }
 
@@ -199,94 +200,96 @@
     }
 
     /// A call that still belongs to a link.
-    pub(crate) fn belongs(&self, call: CallId, link: LinkId) -> bool {
+    pub(crate) fn belongs_to_link(&self, call: CallId, link: LinkId) -> bool {
         self.calls
             .get(&call)
             .is_some_and(|tracked| tracked.link == link)
     }
 
     /// All calls of a lost link; what it was told last may not have arrived.
-    pub(crate) fn orphans(&mut self, link: LinkId) -> Vec<CallId> {
+    pub(crate) fn remove_link(&mut self, link: LinkId) -> Vec<CallId> {
         self.links.remove(&link);
-        let own = self
+        let calls = self
             .calls
             .iter()
             .filter(|(_, tracked)| tracked.link == link);
-        own.map(|(call, tracked)| {
-            tracked.output.mark_undelivered();
-            *call
-        })
-        .collect()
+        calls
+            .map(|(call, tracked)| {
+                tracked.output.mark_undelivered();
+                *call
+            })
+            .collect()
     }
 
     /// Moves a started call's answer to a new link. A call that has not started is dropped: its
     /// question or its grant may have been lost with the old link.
-    pub(crate) fn recall(&mut self, call: CallId, link: LinkId) -> Found {
-        let why = Refusal::Revoked;
-        if self.withdraw(call, Event::Revoke, why).is_some() {
-            return Found::Nothing(why);
+    pub(crate) fn recall(&mut self, call: CallId, link: LinkId) -> RecallResult {
+        let reason = Refusal::Revoked;
+        if self.withdraw(call, Event::Revoke, reason).is_some() {
+            return RecallResult::Refused(reason);
         }
         if let Some(tracked) = self.calls.get_mut(&call) {
             tracked.link = link;
-            return Found::Answer(tracked.output.clone());
+            return RecallResult::Answer(tracked.output.clone());
         }
-        let why = self.memory.barred(call).unwrap_or(Refusal::Forgotten);
-        self.memory.bar(call, why);
-        Found::Nothing(why)
+        let reason = self.history.forbidden(call).unwrap_or(Refusal::Forgotten);
+        self.history.forbid(call, reason);
+        RecallResult::Refused(reason)
     }
 
     /// Gives a call's slot back and keeps its answer of `bytes`, if it has started.
     pub(crate) fn finish(&mut self, call: CallId, started: bool, bytes: usize, time: Duration) {
-        self.taken -= 1;
-        self.mean = (self.mean * MEMORY_OF_MEAN + time) / (MEMORY_OF_MEAN + 1);
+        self.slots_in_use -= 1;
+        self.mean_runner_time =
+            (self.mean_runner_time * MEAN_HISTORY_WEIGHT + time) / (MEAN_HISTORY_WEIGHT + 1);
         let Some(tracked) = self.calls.get_mut(&call) else {
             return;
         };
         tracked.gate.on(Event::Finished);
         tracked.job = None;
         if started {
-            self.memory.keep(call, tracked.repeatable, bytes);
+            self.history.retain(call, tracked.repeatable, bytes);
         } else {
             self.calls.remove(&call);
-            self.memory.bar(call, Refusal::Unreachable);
+            self.history.forbid(call, Refusal::Unreachable);
         }
-        self.evict();
+        self.evict_expired();
     }
 
     /// Forgets ended answers whose time is over.
-    pub(crate) fn evict(&mut self) {
-        while let Some(call) = self.memory.evict() {
+    pub(crate) fn evict_expired(&mut self) {
+        while let Some(call) = self.history.evict() {
             self.calls.remove(&call);
         }
     }
 
     /// Takes no new calls from now on and gives those back that have not started.
-    pub(crate) fn leave(&mut self) -> Vec<(CallId, Arc<Output>)> {
+    pub(crate) fn begin_leaving(&mut self) -> Vec<(CallId, Arc<AnswerBuffer>)> {
         self.leaving = true;
         let calls: Vec<_> = self.calls.keys().copied().collect();
-        let back = |call| {
+        let withdraw = |call| {
             self.withdraw(call, Event::Leave, Refusal::Leaving)
                 .map(|output| (call, output))
         };
-        calls.into_iter().filter_map(back).collect()
+        calls.into_iter().filter_map(withdraw).collect()
     }
 
     /// Whether an answer that cannot be had again still waits for its entry to come back.
-    pub(crate) fn awaits_recall(&self) -> bool {
+    pub(crate) fn has_undelivered_answer(&self) -> bool {
         self.calls
             .values()
-            .any(|tracked| !tracked.repeatable && !tracked.output.delivered())
+            .any(|tracked| !tracked.repeatable && !tracked.output.is_delivered())
     }
 
     /// The call's entry needs nothing more of it.
-    pub(crate) fn taken(&self, call: CallId) {
+    pub(crate) fn mark_not_needed(&self, call: CallId) {
         if let Some(tracked) = self.calls.get(&call) {
-            tracked.output.mark_taken();
+            tracked.output.mark_not_needed();
         }
     }
 
     /// Lets go of every link.
-    pub(crate) fn close(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.links.clear();
         self.calls.clear();
     }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,6 +1,6 @@
 //! Counters, gauges and histograms of an agent.
 
-use crate::answer::{End, Fault};
+use crate::answer::{AnswerError, RunOutcome};
 use metric::Bound;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -12,26 +12,26 @@
 use wire::Refusal;
 
 /// Stages that get a label of their own.
-const STAGES: usize = 64;
+const MAX_STAGE_LABELS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Reason {
+struct RefusalLabels {
     reason: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
-    end: Outcome,
+struct OutcomeLabels {
+    end: OutcomeLabel,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Stage {
+struct StageLabels {
     stage: String,
 }
 
 /// How a call that was sent to the runner ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-enum Outcome {
+enum OutcomeLabel {
     /// Whole answer.
     Done,
     /// The runner answered with an error.
@@ -54,20 +54,20 @@
     pub(crate) queued: Gauge,
     pub(crate) running: Gauge,
     pub(crate) links: Gauge,
-    refusals: Family<Reason, Counter>,
-    ends: Family<Ended, Counter>,
-    wait: Family<Stage, Histogram>,
-    busy: Family<Stage, Histogram>,
+    refusals: Family<RefusalLabels, Counter>,
+    ends: Family<OutcomeLabels, Counter>,
+    wait: Family<StageLabels, Histogram>,
+    busy: Family<StageLabels, Histogram>,
     stages: Bound,
 }
 
-fn latency() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_25, 2.0, 18))
 }
 
 impl Telemetry {
     pub(crate) fn new(registry: &mut Registry) -> Self {
-        let own = Self {
+        let telemetry = Self {
             offers: Counter::default(),
             starts: Counter::default(),
             duplicates: Counter::default(),
@@ -79,12 +79,12 @@
             links: Gauge::default(),
             refusals: Family::default(),
             ends: Family::default(),
-            wait: Family::new_with_constructor(latency),
-            busy: Family::new_with_constructor(latency),
-            stages: Bound::new(STAGES),
+            wait: Family::new_with_constructor(latency_histogram),
+            busy: Family::new_with_constructor(latency_histogram),
+            stages: Bound::new(MAX_STAGE_LABELS),
         };
-        own.register(registry.sub_registry_with_prefix("linnetdrift_agent"));
-        own
+        telemetry.register(registry.sub_registry_with_prefix("linnetdrift_agent"));
+        telemetry
     }
 
     fn register(&self, registry: &mut Registry) {
@@ -131,7 +131,7 @@
         registry.register_with_unit("runner_time", "Time at the runner", Unit::Seconds, busy);
     }
 
-    pub(crate) fn refused(&self, reason: Refusal) {
+    pub(crate) fn count_refusal(&self, reason: Refusal) {
         let reason = match reason {
             Refusal::Full => "full",
             Refusal::Leaving => "leaving",
@@ -141,34 +141,34 @@
             Refusal::Misdirected => "misdirected",
             Refusal::Forgotten => "forgotten",
         };
-        self.refusals.get_or_create(&Reason { reason }).inc();
+        self.refusals.get_or_create(&RefusalLabels { reason }).inc();
     }
 
-    pub(crate) fn ended(&self, end: &Result<End, Fault>) {
+    pub(crate) fn count_outcome(&self, end: &Result<RunOutcome, AnswerError>) {
         let end = match end {
-            Ok(End::Whole { .. }) => Outcome::Done,
-            Ok(End::Failed { .. }) => Outcome::Fail,
-            Ok(End::NotRun { .. }) => Outcome::NotRun,
-            Err(_) => Outcome::Break,
+            Ok(RunOutcome::Complete { .. }) => OutcomeLabel::Done,
+            Ok(RunOutcome::Failed { .. }) => OutcomeLabel::Fail,
+            Ok(RunOutcome::NotRun { .. }) => OutcomeLabel::NotRun,
+            Err(_) => OutcomeLabel::Break,
         };
-        self.ends.get_or_create(&Ended { end }).inc();
-        if end == Outcome::NotRun {
-            self.refused(Refusal::Unreachable);
+        self.ends.get_or_create(&OutcomeLabels { end }).inc();
+        if end == OutcomeLabel::NotRun {
+            self.count_refusal(Refusal::Unreachable);
         }
     }
 
-    pub(crate) fn waited(&self, stage: &str, time: Duration) {
+    pub(crate) fn observe_wait(&self, stage: &str, time: Duration) {
         self.observe(&self.wait, stage, time);
     }
 
-    pub(crate) fn busy(&self, stage: &str, time: Duration) {
+    pub(crate) fn observe_runner_time(&self, stage: &str, time: Duration) {
         self.observe(&self.busy, stage, time);
     }
 
-    fn observe(&self, family: &Family<Stage, Histogram>, stage: &str, time: Duration) {
+    fn observe(&self, family: &Family<StageLabels, Histogram>, stage: &str, time: Duration) {
         let stage = self.stages.label(stage).to_owned();
         family
-            .get_or_create(&Stage { stage })
+            .get_or_create(&StageLabels { stage })
             .observe(time.as_secs_f64());
     }
 }
