--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a runner's answer.
+//! Reads, validates and forwards a runner's answer.
 
 use crate::core::Core;
 use crate::event::Parser;
@@ -18,15 +18,14 @@
 use wire::link::MAX_FRAME;
 use wire::{Frame, Load, Refusal};
 
-/// Longest answer or event in bytes; leaves room for the rest of the frame.
+/// Maximum length of an answer or event; leaves room for the rest of the frame.
 const MAX_ANSWER_BYTES: usize = MAX_FRAME - 1024;
-/// Answers below this many bytes are copied out of the connection's read buffer.
+/// Answers shorter than this are copied out of the connection's read buffer.
 const COPY_THRESHOLD_BYTES: usize = 32 << 10;
-/// How long the rest of a stream is read after its end mark, so that the connection can be used
-/// again.
+/// How long the rest of a stream is read after its end mark, so that the connection can be reused.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an answer cannot be passed on as the call's own whole answer.
+/// Why the runner's answer is not the complete answer of the call.
 #[derive(Debug, Snafu)]
 pub(crate) enum AnswerError {
     /// The connection failed after the work was sent.
@@ -40,19 +39,19 @@
     /// The body ended early or is longer than a frame can be.
     #[snafu(display("answer cut short or too long: {reason}"))]
     BodyFailed { reason: String },
-    /// The answer is for another call.
+    /// The answer belongs to another call.
     #[snafu(display("answer bears call {found:?}"))]
     WrongCall { found: String },
-    /// The answer's end cannot be told from a broken connection.
+    /// The answer's end could not be distinguished from a lost connection.
     #[snafu(display("answer declares no length"))]
     LengthUnknown,
     /// One event is too long for a frame.
     #[snafu(display("event longer than {MAX_ANSWER_BYTES} bytes"))]
     TooLong,
-    /// A stream was asked for and something else came.
+    /// A stream was requested, but the answer is not one.
     #[snafu(display("answer is not an event stream"))]
     NotEventStream,
-    /// An event bears no number.
+    /// An event has no number.
     #[snafu(display("event without number where {expected} was due"))]
     MissingEventId { expected: Sequence },
     /// Events are missing.
@@ -61,7 +60,7 @@
     /// The stream ended without its end mark.
     #[snafu(display("stream ended without end mark after event {next}"))]
     Truncated { next: Sequence },
-    /// The end mark declares another number of chunks than came.
+    /// The end mark declares a different number of chunks than were received.
     #[snafu(display("end mark {declared:?} after {received} chunks"))]
     CountMismatch {
         declared: String,
@@ -70,7 +69,7 @@
     /// The call was cancelled while it ran.
     #[snafu(display("cancelled"))]
     Cancelled,
-    /// The runner took the call and never ended it.
+    /// The runner accepted the call and did not end it in time.
     #[snafu(display("no whole answer within {time_limit:?}"))]
     TimedOut { time_limit: Duration },
 }
@@ -78,7 +77,7 @@
 /// How a call that was sent to the runner ended.
 #[derive(Debug)]
 pub(crate) enum RunOutcome {
-    /// All chunks have been passed on.
+    /// All chunks have been forwarded.
     Complete {
         chunks: Sequence,
         length: u64,
@@ -91,7 +90,7 @@
     NotRun { retry_after: Duration },
 }
 
-/// The frame that tells an entry how its call ended.
+/// Builds the frame that tells an entry how its call ended.
 pub(crate) fn end_frame(job: &Job, outcome: Result<RunOutcome, AnswerError>, load: Load) -> Frame {
     let call = job.call;
     match outcome {
@@ -137,7 +136,7 @@
     chunks: Sequence,
 }
 
-/// Passes the answer on chunk by chunk and gives its end.
+/// Forwards the answer chunk by chunk and returns its outcome.
 pub(crate) async fn forward(
     core: &Core,
     job: &Job,
@@ -181,8 +180,9 @@
     })
 }
 
-/// A runner that mixes up its answers gives one caller's text to another. An error answer that
-/// names no call may come from the HTTP layer before the runner and gives nothing away.
+/// Checks that the answer names the call: a runner that mixes up its answers would disclose one
+/// caller's text to another. An error answer without a call is accepted; it may come from the HTTP
+/// layer in front of the runner and discloses nothing.
 fn check_call(headers: &HeaderMap, status: StatusCode, call: CallId) -> Result<(), AnswerError> {
     let found = headers.get(X_CALL).map(|value| value.as_bytes());
     let unnamed = found.is_none() && !status.is_success();
@@ -202,7 +202,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Reads a body to its declared end.
+/// Reads a body up to its declared end.
 pub(crate) async fn read_body(body: Incoming) -> Result<Bytes, AnswerError> {
     let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     collected
@@ -215,8 +215,9 @@
         })
 }
 
-/// A short answer shares its memory with the connection's read buffer. Kept for a recall, each
-/// would hold a whole buffer, and a few thousand kept answers fill the agent's VM.
+/// Copies a short answer, which shares its memory with the connection's read buffer. Each answer
+/// kept for a recall would otherwise retain an entire buffer, and a few thousand of them would
+/// exhaust the memory of the agent's VM.
 fn copy_if_short(body: Bytes) -> Bytes {
     if body.len() < COPY_THRESHOLD_BYTES {
         return Bytes::copy_from_slice(&body);
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,4 +1,4 @@
-//! The agent's calls and what happens to them.
+//! Life cycle of the agent's calls: offer, grant, run, recall, cancel and shutdown.
 
 use crate::answer::{self, AnswerError, RunOutcome};
 use crate::fence::{EngineOrder, FencedEngine};
@@ -20,36 +20,37 @@
 use tokio_util::task::TaskTracker;
 use wire::{Frame, Load, Refusal, Sender, Work};
 
-/// Longest wait for a grant. An entry that is alive but does not answer would otherwise hold a
-/// slot of the runner for ever.
+/// Longest wait for a grant. Without it, an entry that is alive but does not answer would occupy a
+/// slot of the runner indefinitely.
 const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a repeatable call runs on after its link was lost, in case the entry comes back.
+/// How long a repeatable call keeps running after its link was lost, in case the entry reconnects.
 const RECALL_GRACE_PERIOD: Duration = Duration::from_secs(5);
-/// Time for the runner to end a cancelled call by itself before its connection is cut.
+/// Time for the runner to end a cancelled call by itself before its connection is closed.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a leaving agent waits for entries whose link was lost to fetch answers that cannot be
-/// had again. Without it a payout that ended just before the leave would end as *unknown*.
+/// How long an agent that shuts down waits for entries whose link was lost to fetch the answers of
+/// unrepeatable calls. Without this wait, a payout that ended just before the shutdown would be
+/// reported as *unknown*.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks at what is still to be fetched.
+/// Interval between checks for answers that are still to be fetched.
 const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// HTTP status for an order that finds too many before it, or an agent that leaves.
+/// HTTP status for an order that finds the queue full or the agent shutting down.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What all tasks of an agent share.
+/// State that all tasks of an agent share.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) runner: Runner,
     pub(crate) telemetry: Telemetry,
     pub(crate) incarnation: Incarnation,
-    /// Set once all work is over and links are to be closed.
+    /// Cancelled once all work is finished and the links are to be closed.
     pub(crate) closing: CancellationToken,
     state: Mutex<State>,
-    /// Calls at the runner and answers on their way to entries.
+    /// Tracks the calls at the runner and the answers that are being sent to entries.
     pub(crate) work: TaskTracker,
-    /// Way to the task that carries out orders; closed when the agent leaves.
+    /// Queue of the task that executes orders; `None` once the agent shuts down.
     orders: Mutex<Option<mpsc::Sender<EngineOrder>>>,
-    /// Way to ask the engine what it holds.
+    /// Reports which models the engine has loaded.
     engine: FencedEngine<store::Client>,
     next_link: AtomicU64,
 }
@@ -76,12 +77,13 @@
         }
     }
 
-    /// A panic in another task leaves the state usable: each change under the lock is whole.
+    /// Ignores lock poisoning: each change under the lock is complete, so that a panic in another
+    /// task leaves the state usable.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in a new link.
+    /// Registers a new link and tells its entry if the agent is shutting down.
     pub(crate) async fn add_link(&self, sender: &Sender) -> LinkId {
         let link = self.next_link.fetch_add(1, Ordering::Relaxed);
         let leaving = {
@@ -96,8 +98,8 @@
         link
     }
 
-    /// Drops what a lost link held. Running calls go on: those that may not be repeated to their
-    /// end, the others until [`RECALL_GRACE_PERIOD`] is over.
+    /// Drops the calls of a lost link that have not started. Running calls continue: unrepeatable
+    /// ones until they end, repeatable ones until [`RECALL_GRACE_PERIOD`] has passed.
     pub(crate) fn remove_link(self: &Arc<Self>, link: LinkId) {
         let mut state = self.state();
         let mut calls = Vec::new();
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Starts what has got a slot and shows the load.
+    /// Gives free slots to queued calls, starts them, and returns the load.
     fn dispatch(self: &Arc<Self>, mut state: MutexGuard<'_, State>) -> Load {
         let dispatches = state.assign_slots();
         let load = state.load();
@@ -146,13 +148,13 @@
     async fn request_grant(self: Arc<Self>, job: Arc<Job>) {
         let call = job.call;
         job.output.send(Frame::Ask { call }).await;
-        // The job holds the link, which a leaving agent could not close while this waits.
+        // The job holds the link, which a shutting down agent could not close during this wait.
         drop(job);
         sleep(GRANT_TIMEOUT).await;
         self.revoke(call).await;
     }
 
-    /// Takes an offered call in or refuses it.
+    /// Queues or refuses an offered call.
     pub(crate) async fn offer(
         self: &Arc<Self>,
         link: LinkId,
@@ -206,7 +208,7 @@
         output.send(refuse).await;
     }
 
-    /// The entry lets a call start.
+    /// Starts a call whose grant has arrived.
     pub(crate) fn grant(self: &Arc<Self>, call: CallId) {
         let granted = self.state().grant(call);
         match granted {
@@ -215,7 +217,7 @@
         }
     }
 
-    /// The entry forbids a call to start.
+    /// Drops a call whose grant the entry has denied.
     pub(crate) fn deny(self: &Arc<Self>, call: CallId) {
         let mut state = self.state();
         if state.withdraw(call, Event::Deny, Refusal::Denied).is_none() {
@@ -224,7 +226,7 @@
         self.dispatch(state);
     }
 
-    /// Hands a call back unless it has started.
+    /// Refuses a call unless it has started.
     pub(crate) async fn revoke(self: &Arc<Self>, call: CallId) {
         let output = {
             let mut state = self.state();
@@ -238,22 +240,22 @@
         }
     }
 
-    /// Hands a call back, or asks the runner to stop it.
+    /// Refuses a call that has not started, or asks the runner to stop it.
     pub(crate) async fn cancel(self: &Arc<Self>, call: CallId) {
         self.state().mark_not_needed(call);
         self.revoke(call).await;
         self.stop(call);
     }
 
-    /// Asks the runner to stop a call. One that may not be repeated is never cut off: whether it
-    /// took effect must still be learnt from its answer.
+    /// Asks the runner to stop a call. An unrepeatable call is never aborted, since only its answer
+    /// tells whether it took effect.
     fn stop(self: &Arc<Self>, call: CallId) {
         let Some((job, may_abort)) = self.state().running(call) else {
             return;
         };
         let core = self.clone();
         tokio::spawn(async move {
-            // A runner that does not even answer this is cut off below, if it may be.
+            // If the runner does not respond to this, the call is aborted below, if it may be.
             let cancel = timeout(CANCEL_TIMEOUT, core.runner.cancel(call));
             let _ = tokio::join!(cancel, async {
                 if may_abort {
@@ -264,7 +266,7 @@
         });
     }
 
-    /// Sends a call's answer again over a new link.
+    /// Resends a call's answer over a new link.
     pub(crate) async fn recall(
         self: &Arc<Self>,
         link: LinkId,
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Gives a call's slot back and tells its entry how it ended.
+    /// Releases a call's slot and tells its entry how the call ended.
     pub(crate) async fn finish(
         self: &Arc<Self>,
         job: &Job,
@@ -318,7 +320,7 @@
         job.output.finish(end).await;
     }
 
-    /// Passes an order on to the task that carries them out.
+    /// Passes an order to the task that executes orders.
     pub(crate) async fn enqueue_order(
         &self,
         fence: protocol::FencingToken,
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Tells an entry what the engine holds.
+    /// Tells an entry which models the engine has loaded.
     pub(crate) fn answer_query(
         &self,
         number: u64,
@@ -351,7 +353,7 @@
         let (engine, sender) = (self.engine.clone(), sender.clone());
         tokio::spawn(async move {
             let models = engine.models(fence).await;
-            // An entry whose link is gone asks again over the next one.
+            // An entry whose link was lost repeats its query over the next one.
             let _ = sender.send(Frame::Models { number, models }).await;
         });
     }
@@ -360,7 +362,7 @@
         self.orders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets ended answers in time, also while no call ends.
+    /// Evicts expired answers, also while no call ends.
     pub(crate) async fn evict_periodically(self: Arc<Self>) {
         loop {
             sleep(Duration::from_secs(1)).await;
@@ -368,7 +370,7 @@
         }
     }
 
-    /// Waits until entries have fetched all answers that cannot be had again.
+    /// Waits until entries have fetched the answers of all unrepeatable calls.
     async fn wait_for_fetches(&self) {
         while self.state().has_undelivered_answer() {
             sleep(FETCH_POLL_INTERVAL).await;
@@ -381,7 +383,7 @@
         }
     }
 
-    /// Tells all entries, hands back what has not started, and waits for what runs.
+    /// Notifies all entries, refuses the calls that have not started, and waits for running calls.
     pub(crate) async fn shut_down(&self) {
         let (withdrawn, links) = {
             let mut state = self.state();
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of a runner's stream.
+//! Parser for the server-sent events of a runner's stream.
 
 use bytes::{Bytes, BytesMut};
 
@@ -9,32 +9,32 @@
     pub(crate) id: Option<u32>,
     /// Whether this is the end mark.
     pub(crate) done: bool,
-    /// Content; shares memory with what was read.
+    /// Content; shares memory with the parser's buffer.
     pub(crate) data: Bytes,
 }
 
-/// Splits what is read into events.
+/// Incremental parser that splits a byte stream into events.
 #[derive(Debug, Default)]
 pub(crate) struct Parser {
     buffer: BytesMut,
-    /// Bytes of the buffer that hold no line end.
+    /// Length of the buffer's prefix that is known to contain no line end.
     searched: usize,
     event: Event,
     has_fields: bool,
 }
 
 impl Parser {
-    /// Takes in what was read.
+    /// Appends bytes of the stream.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of the event that has begun.
+    /// Size in bytes of the incomplete event.
     pub(crate) fn pending(&self) -> usize {
         self.buffer.len() + self.event.data.len()
     }
 
-    /// The next whole event. One that is cut off before its blank line never appears.
+    /// Returns the next complete event. An event that ends before its blank line is never returned.
     pub(crate) fn next(&mut self) -> Option<Event> {
         while let Some(line) = self.next_line() {
             if !line.is_empty() {
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -1,9 +1,9 @@
-//! Orders to the engine, under a fencing number.
+//! Fencing of orders to the engine.
 //!
-//! Some engines carry out every order, also that of a lease holder which was paused while another
-//! took over. Its old order would undo the new holder's work, so the agent is the fence before
-//! them: it lets no order pass that bears a lower number than it has seen, and none at all before
-//! it has read the current number after a start.
+//! Some engines execute every order, even one from a lease holder that was paused while another
+//! took over. Such an order would undo the new holder's work, so the agent checks fencing tokens for
+//! the engine: it rejects every order with a lower token than it has seen, and all orders until it
+//! has read the current token after a start.
 
 use crate::answer;
 use crate::models::{self, EngineState};
@@ -18,13 +18,14 @@
 use tokio::time::timeout;
 use wire::{Frame, Models, Sender};
 
-/// Table of the lease row.
+/// Table that has the lease.
 const LEASE_TABLE: &str = "lease";
-/// Key of the lease under which orders are given.
+/// Key of the lease whose holder may send orders.
 const LEASE_KEY: &str = "placement";
 
-/// Longest time that an engine may take for an order; a load may wait for the weight store. One that
-/// hangs would otherwise keep back all later orders, and its model would look as if it were loaded soon.
+/// Longest time that an engine may take for an order; a load may wait for the weight store. Without
+/// this limit, an order that hangs would block all later orders, and its model would be reported as
+/// loading indefinitely.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// An order from an entry.
@@ -32,17 +33,17 @@
 pub(crate) struct EngineOrder {
     pub(crate) fence: protocol::FencingToken,
     pub(crate) body: Bytes,
-    /// Where the answer goes.
+    /// Link over which the reply is sent.
     pub(crate) link: Sender,
 }
 
-/// The part of the lease row that matters here.
+/// The part of the lease row that is used here.
 #[derive(Deserialize)]
 struct Lease {
     fence: protocol::FencingToken,
 }
 
-/// What becomes of an order.
+/// Reply to an order.
 #[derive(Debug)]
 struct OrderReply {
     status: StatusCode,
@@ -56,7 +57,7 @@
     }
 }
 
-/// The engine, its fence and the table that knows the current number.
+/// The engine, its fencing state, and the table that has the current fencing token.
 #[derive(Clone, Debug)]
 pub(crate) struct FencedEngine<T> {
     pub(crate) table: T,
@@ -65,10 +66,10 @@
 }
 
 impl<T: Table> FencedEngine<T> {
-    /// Carries out orders one after the other until all senders are gone.
+    /// Executes orders one at a time until all senders are dropped.
     ///
-    /// Two orders at once could overtake each other on their way to the engine, and the older one
-    /// would win there.
+    /// Concurrent orders could be reordered on their way to the engine, which would then keep the
+    /// effect of the older one.
     pub(crate) async fn serve(self, mut orders: mpsc::Receiver<EngineOrder>) {
         while let Some(EngineOrder { fence, body, link }) = orders.recv().await {
             let answer = match self.admit(fence, Some(&body)).await {
@@ -81,13 +82,14 @@
             };
             let status = answer.status.as_u16();
             let body = answer.body;
-            // An entry whose link is gone asks the engine what it has loaded.
+            // An entry whose link was lost learns from a query what the engine has loaded.
             let _ = link.send(Frame::OrderDone { status, body }).await;
         }
     }
 
-    /// What the engine holds. To a lease holder it is told only once no order of an earlier one
-    /// can pass any more: the holder would plan with what such an order then takes away.
+    /// Returns the models that the engine has. A lease holder gets them only once orders of earlier
+    /// holders are rejected: such an order could otherwise unload models that the holder's plan
+    /// relies on.
     pub(crate) async fn models(&self, fence: Option<protocol::FencingToken>) -> Option<Models> {
         if let Some(fence) = fence {
             self.admit(fence, None).await.ok()?;
@@ -95,7 +97,7 @@
         models::query(&self.runner, &self.state).await
     }
 
-    /// Judges an order, with the current number from the table if none is known yet.
+    /// Checks an order's token; reads the current token from the table if none is known yet.
     async fn admit(
         &self,
         token: protocol::FencingToken,
@@ -117,8 +119,8 @@
     }
 }
 
-/// The number in force. A holder writes its row before it gives orders, so without a row there is
-/// nobody to take orders from.
+/// Reads the current fencing token. A holder writes its row before it sends orders, so without a row
+/// nobody may send orders.
 async fn current_token(table: &impl Table) -> Result<protocol::FencingToken, OrderReply> {
     let row = table
         .read(LEASE_TABLE, LEASE_KEY)
@@ -135,7 +137,7 @@
     OrderReply::error(StatusCode::SERVICE_UNAVAILABLE, &reason)
 }
 
-/// Sends an order to the engine. Without a whole answer the order may have taken effect.
+/// Sends an order to the engine. If the answer is incomplete, the order may still have taken effect.
 async fn forward(runner: &Runner, body: Bytes) -> OrderReply {
     let answer = timeout(ORDER_TIMEOUT, send_order(runner, body)).await;
     answer.unwrap_or_else(|_| {
--- a/crates/agent/src/history.rs
+++ b/crates/agent/src/history.rs
@@ -1,4 +1,4 @@
-//! What the agent remembers of calls that are over.
+//! Ended calls: answers that are retained for a recall, and calls that must never start.
 
 use protocol::CallId;
 use record::Map;
@@ -7,19 +7,19 @@
 use tokio::time::Instant;
 use wire::Refusal;
 
-/// Bytes of ended answers that are kept for recall, with [`ANSWER_OVERHEAD_BYTES`] for each.
+/// Limit for the ended answers that are kept for a recall, including [`ANSWER_OVERHEAD_BYTES`] each.
 const MAX_RETAINED_BYTES: usize = 6 << 20;
-/// Assumed cost in bytes of keeping one ended call beside its chunks.
+/// Assumed memory cost of an ended call in addition to its chunks.
 const ANSWER_OVERHEAD_BYTES: usize = 1024;
-/// How long an answer that may not be repeated is kept.
+/// How long the answer of an unrepeatable call is kept.
 const UNREPEATABLE_RETENTION: Duration = Duration::from_secs(60);
-/// How long an answer that can be had again is kept; covers the detection of a lost link and the
-/// next connection.
+/// How long the answer of a repeatable call is kept. This covers the detection of a lost link and
+/// the next connection.
 const REPEATABLE_RETENTION: Duration = Duration::from_secs(15);
-/// Calls that are remembered as never to be started.
+/// Maximum number of calls that are remembered as forbidden to start.
 const MAX_FORBIDDEN_CALLS: usize = 16_384;
 
-/// An ended answer in the order of ends.
+/// An ended answer that is kept for a recall.
 #[derive(Clone, Copy, Debug)]
 struct RetainedAnswer {
     call: CallId,
@@ -27,7 +27,7 @@
     bytes: usize,
 }
 
-/// Ended answers and calls that must never start.
+/// Ended answers, in the order in which they ended, and calls that must never start.
 #[derive(Debug, Default)]
 pub(crate) struct CallHistory {
     repeatable: VecDeque<RetainedAnswer>,
@@ -38,7 +38,7 @@
 }
 
 impl CallHistory {
-    /// Notes that a call has ended with `bytes` of chunks kept.
+    /// Records that a call has ended with `bytes` of chunks kept.
     pub(crate) fn retain(&mut self, call: CallId, repeatable: bool, bytes: usize) {
         let (answers, retention) = if repeatable {
             (&mut self.repeatable, REPEATABLE_RETENTION)
@@ -55,8 +55,8 @@
         self.bytes += bytes;
     }
 
-    /// The next call whose answer has to go: one whose time is over or, if memory is short, the
-    /// oldest, repeatable ones first.
+    /// Removes and returns the next call whose answer is to be dropped: an expired one or, if the
+    /// limit is exceeded, the oldest, repeatable calls first.
     pub(crate) fn evict(&mut self) -> Option<CallId> {
         let now = Instant::now();
         let full = self.bytes > MAX_RETAINED_BYTES;
@@ -77,10 +77,10 @@
         Some(answer.call)
     }
 
-    /// Remembers that the call must never start from now on.
+    /// Records that the call must never start from now on.
     ///
-    /// An entry that was told so may tell its caller *not run*; an offer that is still under way
-    /// on an older link would make that a lie.
+    /// An entry that was told so may report *not run* to its caller. Starting the call for an offer
+    /// that is still in transit on an older link would make that report false.
     pub(crate) fn forbid(&mut self, call: CallId, reason: Refusal) {
         if self.forbidden.contains_key(&call) {
             return;
@@ -94,7 +94,7 @@
         self.forbidden_order.push_back(call);
     }
 
-    /// Why the call must never start, if it must not.
+    /// Returns the reason why the call must never start, if it must not.
     pub(crate) fn forbidden(&self, call: CallId) -> Option<Refusal> {
         self.forbidden.get(&call).copied()
     }
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -1,4 +1,4 @@
-//! One call while the agent has its work.
+//! Execution of one call at the runner.
 
 use crate::answer::{self, AnswerError, RunOutcome};
 use crate::core::Core;
@@ -11,25 +11,25 @@
 use tokio_util::sync::CancellationToken;
 use wire::{Frame, Work};
 
-/// When an entry may come back to a runner that could not be connected.
+/// When an entry may retry after the agent could not connect to the runner.
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest time that a runner may take for a call beyond its deadline. One that hangs would otherwise
-/// hold its slot, and the caller its connection, for ever.
+/// Longest time that a runner may take for a call beyond its deadline. Without it, a call that hangs
+/// would occupy its slot, and keep the caller's connection open, indefinitely.
 const MAX_OVERTIME: Duration = Duration::from_secs(3_600);
 
-/// A call with its work.
+/// An offered call.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: CallId,
     pub(crate) work: Box<Work>,
     pub(crate) offered_at: Instant,
     pub(crate) output: Arc<AnswerBuffer>,
-    /// Cuts the call off at the runner; never set for a call that may not be repeated.
+    /// Aborts the call at the runner; never cancelled for an unrepeatable call.
     pub(crate) abort: CancellationToken,
 }
 
-/// Sends a call's work to the runner, passes the answer on and gives the slot back.
+/// Sends a call to the runner, forwards the answer and releases the slot.
 pub(crate) async fn run(core: Arc<Core>, job: Arc<Job>) {
     core.telemetry
         .observe_wait(&job.work.stage, job.offered_at.elapsed());
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,9 @@
-//! The small process beside one runner: the last hop of every call.
+//! Sidecar process of one runner, which is the last hop of every call.
 //!
-//! It holds offered calls, starts them within the runner's limit and only under a grant where one
-//! is needed, checks that each answer is whole and the call's own, and keeps it for entries whose
-//! link was lost. See [`protocol::gate`] for the rules and `docs/PLATFORM.md` for the runner's
-//! side.
+//! The agent queues offered calls and starts them within the runner's concurrency limit; a call that
+//! needs a grant starts only once it has one. It checks that each answer is complete and belongs to
+//! the call, and keeps the answer for entries whose link was lost. See [`protocol::gate`] for the
+//! rules and `docs/PLATFORM.md` for the interface of the runner.
 
 mod answer;
 mod core;
@@ -38,7 +38,7 @@
 use wire::news::{News, Publisher};
 use wire::{Key, Listener};
 
-/// Orders that wait for their turn at the engine.
+/// Maximum number of orders that wait for the engine.
 const ORDER_QUEUE_CAPACITY: usize = 64;
 
 /// Why an agent could not start.
@@ -70,24 +70,24 @@
     },
 }
 
-/// Addresses of an agent that serves.
+/// Addresses of a running agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
-    /// Where entries connect.
+    /// Address to which entries connect.
     pub listen: SocketAddr,
-    /// Where the agent publishes news, if it does.
+    /// Address at which the agent publishes news, if it does.
     pub news: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
 }
 
-/// Serves entries until `shutdown` completes, then finishes every running call and returns.
+/// Serves entries until `shutdown` completes, then finishes all running calls and returns.
 ///
 /// `ready` is called once the agent serves.
 ///
 /// # Errors
 ///
-/// [`Error`] if an address cannot be bound; the agent has taken no call then.
+/// Returns an [`Error`] if an address cannot be bound; the agent has accepted no call then.
 pub async fn run(
     settings: setting::Agent,
     log: Logger,
@@ -156,8 +156,8 @@
         .transpose()
 }
 
-/// Entries without a link yet hear of the leave by news; a loss costs them time until the list of
-/// VMs says so.
+/// Notifies entries that have no link yet of the shutdown. If this message is lost, they learn of it
+/// later from the list of VMs.
 fn publish_leaving(publisher: &Publisher, id: &str, incarnation: protocol::Incarnation) {
     let vm = id.to_owned();
     let _ = publisher.publish(News::Leaving { vm, incarnation });
@@ -191,7 +191,7 @@
     }
 }
 
-/// Milliseconds since 1970: grows with each restart without anything being kept.
+/// Milliseconds since 1970, which increase with each restart without stored state.
 fn incarnation() -> protocol::Incarnation {
     let age = SystemTime::now().duration_since(UNIX_EPOCH);
     age.map_or(0, |age| age.as_millis().try_into().unwrap_or(u64::MAX))
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,4 +1,4 @@
-//! What the agent does with the frames of one entry.
+//! Handles the frames of one link to an entry.
 
 use crate::core::Core;
 use crate::state::LinkId;
@@ -22,8 +22,8 @@
     }
     drop(sender);
     core.remove_link(link);
-    // Closing a socket with unread frames resets the connection, and the entry could lose the
-    // ends of answers that were already sent. So the entry closes first.
+    // Closing a socket with unread frames resets the connection, and the entry could lose the ends
+    // of answers that were already sent. The agent therefore waits until the entry closes first.
     if core.closing.is_cancelled() {
         let _ = timeout(LIMIT, async {
             while let Ok(Some(_)) = receiver.recv().await {}
--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -1,4 +1,4 @@
-//! What the engine holds, as it says itself, and the order that it is carrying out.
+//! Models that the engine reports as loaded, and the order that it is executing.
 
 use crate::answer;
 use crate::runner::Runner;
@@ -11,20 +11,20 @@
 use tokio::time::{Instant, timeout};
 use wire::Models;
 
-/// Longest wait for the engine's answer. An engine that hangs would otherwise gather questions.
+/// Longest wait for the engine's answer. Without it, queries would pile up at an engine that hangs.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for which a model counts as wanted after an entry has said so. Entries ask every second.
+/// Time for which a model counts as wanted after an entry has named it. Entries query every second.
 const WANTED_TTL: Duration = Duration::from_secs(5);
-/// Most models that count as wanted at a time.
+/// Maximum number of models that count as wanted at a time.
 const MAX_WANTED: usize = 64;
 
-/// Answer of `GET /v1/models`, as far as it matters here.
+/// Answer of `GET /v1/models`, as far as it is used here.
 #[derive(Deserialize)]
 struct ModelList {
     models: Vec<String>,
 }
 
-/// An order's body, as far as it matters here.
+/// Body of an order, as far as it is used here.
 #[derive(Clone, Debug, Deserialize)]
 struct OrderBody {
     order: String,
@@ -32,16 +32,16 @@
 }
 
 impl OrderBody {
-    /// The model that the order is about, if it is of this kind.
+    /// Returns the order's model if the order is of this kind.
     fn model_if(&self, kind: &str) -> Option<&str> {
         self.model.as_deref().filter(|_| self.order == kind)
     }
 }
 
-/// Highest fencing number seen and the order under way; clones share them.
+/// Highest fencing token seen and the order in progress; clones share them.
 ///
-/// Both are under one lock: a question of a new lease holder raises the number and then looks at
-/// the order, so that no order of an earlier holder can slip in between unseen.
+/// Both are under one lock: a query of a new lease holder raises the token and then reads the order
+/// in progress, so that no order of an earlier holder can be admitted unseen in between.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineState(Arc<Mutex<Inner>>);
 
@@ -49,18 +49,18 @@
 struct Inner {
     fence: Fence,
     order: Option<OrderBody>,
-    /// Models that callers lack, with the time at which an entry last said so.
+    /// Models that callers need, with the time at which an entry last named them.
     wanted: BTreeMap<String, Instant>,
 }
 
 impl EngineState {
-    /// Takes in the current number as read from the table.
+    /// Records the current token as read from the table.
     pub(crate) fn learn(&self, current: protocol::FencingToken) {
         self.lock().fence.learn(current);
     }
 
-    /// Judges an order, which is under way from then on if it may pass; no body only raises the
-    /// number.
+    /// Checks a fencing token. An order that passes is in progress from then on; without an order,
+    /// only the token is raised.
     pub(crate) fn admit(&self, token: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
         let mut state = self.lock();
         let verdict = state.fence.admit(token);
@@ -72,13 +72,13 @@
         verdict
     }
 
-    /// Notes that the engine has answered the order.
+    /// Records that the engine has answered the order.
     pub(crate) fn finish_order(&self) {
         self.lock().order.take();
     }
 
-    /// Takes in models that callers of an entry lack. Only the lease holder gives orders, and the
-    /// callers of another entry may be the only ones who ask for a model.
+    /// Records models that callers of an entry need but that are not loaded. Only the lease holder
+    /// sends orders, and it may be only the callers of another entry that request a model.
     pub(crate) fn record_wanted(&self, models: impl IntoIterator<Item = String>) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -105,11 +105,11 @@
     }
 }
 
-/// What the engine holds; `None` if it does not say so.
+/// Returns the models that the engine has; `None` if it does not report them.
 ///
-/// The order under way is looked at before the engine is asked: a load that ends in between is
-/// told as under way or as done, but never as if it had not been ordered, and a model that is
-/// being given up is not told as held.
+/// The order in progress is read before the engine is queried: a load that ends in between is
+/// reported as in progress or as done, but never as if it had not been ordered, and a model that
+/// is being unloaded is not reported as loaded.
 pub(crate) async fn query(runner: &Runner, engine: &EngineState) -> Option<Models> {
     let order = engine.current_order();
     let mut warm = timeout(QUERY_TIMEOUT, fetch_loaded(runner)).await.ok()??;
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -1,4 +1,4 @@
-//! The answer of one call: sent to the entry as it comes and kept for a recall.
+//! Buffer for the answer of one call, which is sent on to the entry at once and kept for a recall.
 
 use bytes::Bytes;
 use protocol::{CallId, Sequence};
@@ -7,8 +7,8 @@
 use tokio::sync::Mutex;
 use wire::{Frame, Load, Sender};
 
-/// Bytes of one answer that are kept while it runs; older chunks go first, since the entry most
-/// likely has them.
+/// Maximum number of bytes of one answer that are kept; the oldest chunks are dropped first, since
+/// the entry most likely has them.
 const MAX_KEPT_BYTES: usize = 4 << 20;
 
 /// Answer of one call.
@@ -16,9 +16,9 @@
 pub(crate) struct AnswerBuffer {
     call: CallId,
     kept_bytes: AtomicUsize,
-    /// Whether the end has been handed to a link that stood.
+    /// Whether the end has been handed to a link that was up.
     delivered: AtomicBool,
-    /// Whether the entry has said that it needs nothing more.
+    /// Whether the entry has reported that it needs nothing more.
     not_needed: AtomicBool,
     state: Mutex<BufferState>,
 }
@@ -34,8 +34,8 @@
 }
 
 impl BufferState {
-    /// Sends a frame if the link still stands. A link that is gone is forgotten; the entry
-    /// brings a new one with its recall.
+    /// Sends a frame if the link is still up. A lost link is dropped; the entry's recall comes with
+    /// a new one.
     async fn send(&mut self, frame: Frame) {
         if let Some(link) = &self.link
             && link.send(frame).await.is_err()
@@ -59,7 +59,7 @@
 }
 
 impl AnswerBuffer {
-    /// An answer that goes out on `link` and whose first chunk bears the number `first`.
+    /// A buffer that sends its answer over `link` and numbers its chunks from `first` on.
     pub(crate) fn new(call: CallId, first: Sequence, link: Sender) -> Self {
         let state = BufferState {
             link: Some(link),
@@ -82,17 +82,17 @@
         self.kept_bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether the end has been handed to a link that stood, or is not wanted.
+    /// Whether the end has been handed to a link that was up, or is not needed.
     pub(crate) fn is_delivered(&self) -> bool {
         self.not_needed.load(Ordering::Relaxed) || self.delivered.load(Ordering::Relaxed)
     }
 
-    /// The entry has the whole answer, or wants none.
+    /// Records that the entry has the complete answer or needs none.
     pub(crate) fn mark_not_needed(&self) {
         self.not_needed.store(true, Ordering::Relaxed);
     }
 
-    /// The link is lost, and with it perhaps what was handed to it last.
+    /// Records that the link is lost, possibly with the frames that were handed to it last.
     pub(crate) fn mark_undelivered(&self) {
         self.delivered.store(false, Ordering::Relaxed);
     }
@@ -129,7 +129,7 @@
             .store(state.link.is_some(), Ordering::Relaxed);
     }
 
-    /// Sends what there is from chunk `from` on over a new link, which the rest will take too.
+    /// Resends the answer from chunk `from` on over a new link, which also carries the rest.
     pub(crate) async fn resend(&self, from: Sequence, link: Sender, load: Load) {
         let mut state = self.state.lock().await;
         state.link = Some(link);
--- a/crates/agent/src/queue.rs
+++ b/crates/agent/src/queue.rs
@@ -1,18 +1,18 @@
-//! Order in which held calls get a slot at the runner.
+//! Order in which queued calls get a slot at the runner.
 
 use protocol::CallId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One pop in this many takes the oldest deadline even if it has passed, so that late work is
-/// delivered late rather than never while the runner stays busy.
+/// One pop in this many takes the earliest deadline even if it has passed, so that late work
+/// completes late, rather than never, while the runner stays busy.
 const LATE_WORK_INTERVAL: u64 = 8;
 
-/// Position of a held call: higher priorities first, then earlier deadlines, then older offers.
+/// Position of a queued call: higher priorities first, then earlier deadlines, then older offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// 255 less the priority.
+    /// 255 minus the priority.
     rank: u8,
     deadline: Instant,
     serial: u64,
@@ -23,11 +23,11 @@
 pub(crate) enum QueueOrder {
     /// By priority and deadline.
     Slack,
-    /// First in, first out: the baseline.
+    /// First in, first out, as a baseline for comparison.
     Fifo,
 }
 
-/// Calls that wait for a slot.
+/// Queue of calls that wait for a slot.
 #[derive(Debug)]
 pub(crate) struct Queue {
     order: QueueOrder,
@@ -72,8 +72,8 @@
         self.calls.remove(&key);
     }
 
-    /// Takes the next call. Work that is past its deadline yields to work of its priority that
-    /// can still make it, but for every [`LATE_WORK_INTERVAL`]th time.
+    /// Takes the next call. A call past its deadline yields to calls of the same priority that can
+    /// still meet theirs, except for every [`LATE_WORK_INTERVAL`]th time.
     pub(crate) fn pop(&mut self) -> Option<CallId> {
         self.popped += 1;
         let (&first, _) = self.calls.first_key_value()?;
@@ -96,7 +96,7 @@
     }
 }
 
-/// A deadline beyond what the clock can express counts as a day away.
+/// Limits the deadline to a day from now, since the clock may not be able to express a later one.
 fn deadline_after(remaining: Duration) -> Instant {
     const DAY: Duration = Duration::from_secs(86_400);
     Instant::now() + remaining.min(DAY)
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -29,12 +29,12 @@
 const APPLICATION_JSON: HeaderValue = HeaderValue::from_static("application/json");
 const EVENT_STREAM: HeaderValue = HeaderValue::from_static("text/event-stream");
 
-/// Connections that are idle for longer are closed by the agent. A runner that closes an idle
-/// connection at the moment a call is sent on it would cost that call a refusal.
+/// Idle time after which the agent closes a connection. If the runner closed an idle connection
+/// while a call is being sent on it, that call would be refused.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Body of a request; tells when it is handed over to the connection.
+/// Body of a request that signals when it has been handed over to the connection.
 #[derive(Debug)]
 pub(crate) struct InputBody {
     data: Option<Bytes>,
@@ -42,10 +42,10 @@
 }
 
 impl InputBody {
-    /// A body and the word that the connection has taken it.
+    /// Returns a body and the receiver of the signal that the connection has taken it.
     ///
-    /// Without that word no whole request can have reached the runner. An empty body is never
-    /// asked for, so it counts as taken from the start.
+    /// Without that signal, no complete request can have reached the runner. The connection never
+    /// polls an empty body, so that it counts as taken from the start.
     pub(crate) fn new(data: Bytes) -> (Self, oneshot::Receiver<()>) {
         let (handed_over, receiver) = oneshot::channel();
         let mut input = Self {
@@ -106,7 +106,7 @@
         Self { client, address }
     }
 
-    /// Sends a call's work; the second part tells when the connection has taken it.
+    /// Sends a call to the runner; the receiver signals when the connection has taken its input.
     pub(crate) fn run(
         &self,
         call: CallId,
@@ -134,20 +134,20 @@
         (self.client.request(request), handed_over)
     }
 
-    /// Asks the runner to stop a call; whether it does is up to the runner.
+    /// Asks the runner to stop a call; the runner may ignore this.
     pub(crate) async fn cancel(&self, call: CallId) {
         let (input, _) = InputBody::new(Bytes::new());
         let request = self.request(&format!("/v1/cancel/{call}"), input);
         let _ = self.client.request(request).await;
     }
 
-    /// Passes an order on to the engine.
+    /// Sends an order to the engine.
     pub(crate) async fn send_order(&self, body: Bytes) -> Result<Response<Incoming>, Error> {
         let (input, _) = InputBody::new(body);
         self.client.request(self.request("/v1/orders", input)).await
     }
 
-    /// Asks the engine what it has loaded.
+    /// Requests the list of loaded models from the engine.
     pub(crate) async fn models(&self) -> Result<Response<Incoming>, Error> {
         let (input, _) = InputBody::new(Bytes::new());
         let mut request = self.request("/v1/models", input);
@@ -159,14 +159,14 @@
         let mut request = Request::new(input);
         *request.method_mut() = Method::POST;
         let uri = format!("http://{}{path}", self.address);
-        // An address and a fixed path always make a URI.
+        // An address and a fixed path always form a valid URI.
         *request.uri_mut() = uri.parse().unwrap_or_default();
         request.headers_mut().insert(CONTENT_TYPE, APPLICATION_JSON);
         request
     }
 }
 
-/// A name that no header can bear is left out instead of failing the call.
+/// Replaces a value that is not valid in a header by an empty one, so that the call does not fail.
 fn header_value(value: impl AsRef<str>) -> HeaderValue {
     HeaderValue::from_bytes(value.as_ref().as_bytes()).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of its calls; no I/O, so that a lock over it is held for a short time.
+//! State of the agent's calls. It does no I/O, so that its lock is held only briefly.
 
 use crate::history::CallHistory;
 use crate::job::Job;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use wire::{Load, Refusal, Sender};
 
-/// Number of a link in the agent's life.
+/// Number of a link, unique within the agent's process.
 pub(crate) type LinkId = u64;
 
-/// Bounds of the time after which an entry may come back to a full agent.
+/// Limits of the time after which an entry may retry at a full agent.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Weight of the past in the mean time at the runner, against one for the latest call.
+/// Weight of earlier calls in the mean time at the runner; the latest call has weight 1.
 const MEAN_HISTORY_WEIGHT: u32 = 7;
 
-/// One call that is held, asks, runs, or has ended and is kept for a recall.
+/// A call that is queued, waits for its grant, runs, or has ended and is kept for a recall.
 #[derive(Debug)]
 pub(crate) struct TrackedCall {
     gate: Gate,
@@ -31,16 +31,16 @@
     pub(crate) output: Arc<AnswerBuffer>,
 }
 
-/// A call that has been given a slot.
+/// Next step of a call that has been given a slot.
 #[derive(Debug)]
 pub(crate) enum Dispatch {
-    /// Ask its entry for a grant.
+    /// Request a grant from its entry.
     RequestGrant(Arc<Job>),
-    /// Send it to the runner.
+    /// Send the call to the runner.
     Start(Arc<Job>),
 }
 
-/// What a recall finds.
+/// Result of a recall.
 #[derive(Debug)]
 pub(crate) enum RecallResult {
     /// The call has started; this is its answer.
@@ -49,7 +49,7 @@
     Refused(Refusal),
 }
 
-/// Bounds from the settings.
+/// Settings of the agent that concern its calls.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
     pub(crate) service: String,
@@ -58,13 +58,13 @@
     pub(crate) order: QueueOrder,
 }
 
-/// Calls of an agent.
+/// Calls and links of an agent.
 #[derive(Debug)]
 pub(crate) struct State {
     config: Config,
     calls: Map<CallId, TrackedCall>,
     queue: Queue,
-    /// Slots in use by calls that ask or run.
+    /// Slots in use by calls that wait for their grant or run.
     slots_in_use: u32,
     mean_runner_time: Duration,
     leaving: bool,
@@ -110,7 +110,7 @@
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Takes a call into the queue, or says why not; it then never starts.
+    /// Queues a call, or returns the reason why it is refused and will never start.
     pub(crate) fn enqueue(&mut self, link: LinkId, job: &Arc<Job>) -> Result<(), Refusal> {
         if let Some(reason) = self.refusal_reason(job) {
             self.history.forbid(job.call, reason);
@@ -140,7 +140,7 @@
             .or(full.then_some(Refusal::Full))
     }
 
-    /// Gives free slots to held calls.
+    /// Gives free slots to queued calls.
     pub(crate) fn assign_slots(&mut self) -> Vec<Dispatch> {
         let mut dispatches = Vec::new();
         while self.slots_in_use < self.config.concurrency
@@ -162,7 +162,7 @@
         dispatches
     }
 
-    /// The entry lets a call start; nothing comes of it unless the call is asking.
+    /// Handles a grant; returns the job to start if the call was waiting for it.
     pub(crate) fn grant(&mut self, call: CallId) -> Option<Arc<Job>> {
         let tracked = self.calls.get_mut(&call)?;
         match tracked.gate.on(Event::Grant) {
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Drops a call that has not started, for good, and gives its answer's way to the entry.
+    /// Drops a call that has not started and forbids its start. Returns the buffer through which its
+    /// entry can be told.
     pub(crate) fn withdraw(
         &mut self,
         call: CallId,
@@ -191,7 +192,7 @@
         self.calls.remove(&call).map(|tracked| tracked.output)
     }
 
-    /// A running call and whether it may be cut off.
+    /// Returns a running call and whether it may be aborted.
     pub(crate) fn running(&self, call: CallId) -> Option<(Arc<Job>, bool)> {
         let tracked = self.calls.get(&call)?;
         let running = tracked.gate.state() == GateState::Running;
@@ -199,14 +200,15 @@
         Some((job, tracked.repeatable))
     }
 
-    /// A call that still belongs to a link.
+    /// Whether a call still belongs to a link.
     pub(crate) fn belongs_to_link(&self, call: CallId, link: LinkId) -> bool {
         self.calls
             .get(&call)
             .is_some_and(|tracked| tracked.link == link)
     }
 
-    /// All calls of a lost link; what it was told last may not have arrived.
+    /// Removes a lost link and returns its calls. Their ends count as undelivered, since the frames
+    /// that were sent last may not have arrived.
     pub(crate) fn remove_link(&mut self, link: LinkId) -> Vec<CallId> {
         self.links.remove(&link);
         let calls = self
@@ -221,8 +223,8 @@
             .collect()
     }
 
-    /// Moves a started call's answer to a new link. A call that has not started is dropped: its
-    /// question or its grant may have been lost with the old link.
+    /// Moves a started call's answer to a new link. A call that has not started is dropped, since
+    /// its grant or the request for it may have been lost with the old link.
     pub(crate) fn recall(&mut self, call: CallId, link: LinkId) -> RecallResult {
         let reason = Refusal::Revoked;
         if self.withdraw(call, Event::Revoke, reason).is_some() {
@@ -237,7 +239,7 @@
         RecallResult::Refused(reason)
     }
 
-    /// Gives a call's slot back and keeps its answer of `bytes`, if it has started.
+    /// Releases a call's slot and, if the call has started, retains its answer of `bytes`.
     pub(crate) fn finish(&mut self, call: CallId, started: bool, bytes: usize, time: Duration) {
         self.slots_in_use -= 1;
         self.mean_runner_time =
@@ -256,14 +258,14 @@
         self.evict_expired();
     }
 
-    /// Forgets ended answers whose time is over.
+    /// Evicts ended answers that have expired or exceed the memory limit.
     pub(crate) fn evict_expired(&mut self) {
         while let Some(call) = self.history.evict() {
             self.calls.remove(&call);
         }
     }
 
-    /// Takes no new calls from now on and gives those back that have not started.
+    /// Refuses new calls from now on, and withdraws and returns those that have not started.
     pub(crate) fn begin_leaving(&mut self) -> Vec<(CallId, Arc<AnswerBuffer>)> {
         self.leaving = true;
         let calls: Vec<_> = self.calls.keys().copied().collect();
@@ -274,21 +276,21 @@
         calls.into_iter().filter_map(withdraw).collect()
     }
 
-    /// Whether an answer that cannot be had again still waits for its entry to come back.
+    /// Whether the answer of an unrepeatable call is still to be delivered to its entry.
     pub(crate) fn has_undelivered_answer(&self) -> bool {
         self.calls
             .values()
             .any(|tracked| !tracked.repeatable && !tracked.output.is_delivered())
     }
 
-    /// The call's entry needs nothing more of it.
+    /// Marks a call whose entry needs nothing more of it.
     pub(crate) fn mark_not_needed(&self, call: CallId) {
         if let Some(tracked) = self.calls.get(&call) {
             tracked.output.mark_not_needed();
         }
     }
 
-    /// Lets go of every link.
+    /// Drops all links and calls.
     pub(crate) fn clear(&mut self) {
         self.links.clear();
         self.calls.clear();
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of an agent.
+//! Metrics of an agent: counters, gauges and histograms.
 
 use crate::answer::{AnswerError, RunOutcome};
 use metric::Bound;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use wire::Refusal;
 
-/// Stages that get a label of their own.
+/// Maximum number of stages that get a label of their own.
 const MAX_STAGE_LABELS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -32,13 +32,13 @@
 /// How a call that was sent to the runner ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 enum OutcomeLabel {
-    /// Whole answer.
+    /// The answer was complete.
     Done,
     /// The runner answered with an error.
     Fail,
-    /// The answer was lost, cut short or another's.
+    /// The answer was lost, incomplete, or belonged to another call.
     Break,
-    /// The runner did not start it.
+    /// The runner did not start the call.
     NotRun,
 }
 
