--- a/crates/agent/examples/cost.rs
+++ b/crates/agent/examples/cost.rs
@@ -1,7 +1,8 @@
-//! Measures what an agent adds to a call and prints a line of JSON.
+//! Measures the latency that an agent adds to a call and prints a line of JSON.
 //!
-//! Runner, agent and entry's end share this process, so that its memory is an upper bound of the
-//! agent's. `direct` calls the runner over HTTP, `agent` goes through a link and an agent.
+//! The runner, the agent and the entry's side of the link share this process, so that its memory is
+//! an upper bound of the agent's. `direct` in the output is for calls to the runner over HTTP,
+//! `agent` for calls over a link and through an agent.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 #[path = "../tests/common/mod.rs"]
@@ -15,7 +16,7 @@
 use std::time::{Duration, Instant};
 use wire::Frame;
 
-const WARM_UP: usize = 2_000;
+const WARM_UP_CALLS: usize = 2_000;
 const CALLS: usize = 20_000;
 
 fn main() {
@@ -30,23 +31,23 @@
 async fn measure() {
     let runner = Runner::start().await;
     let agent = Agent::start(settings(runner.address)).await;
-    let direct = direct(&runner).await;
-    let through = through(&agent).await;
+    let direct = call_directly(&runner).await;
+    let through_agent = call_through_agent(&agent).await;
     println!(
         r#"{{"calls":{CALLS},"direct":{},"agent":{},"resident_peak_kb":{}}}"#,
-        times(direct),
-        times(through),
-        resident()
+        percentiles(direct),
+        percentiles(through_agent),
+        peak_resident_kb()
     );
-    agent.leave().await.unwrap().unwrap();
+    agent.shut_down().await.unwrap().unwrap();
 }
 
-async fn direct(runner: &Runner) -> Vec<Duration> {
+async fn call_directly(runner: &Runner) -> Vec<Duration> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new()).build(connector);
-    let mut taken = Vec::with_capacity(WARM_UP + CALLS);
-    for request in 0..(WARM_UP + CALLS) as u128 {
+    let mut durations = Vec::with_capacity(WARM_UP_CALLS + CALLS);
+    for request in 0..(WARM_UP_CALLS + CALLS) as u128 {
         let start = Instant::now();
         let call = hyper::Request::post(format!("http://{}/v1/run", runner.address))
             .header("x-call", call(request).to_string())
@@ -54,32 +55,32 @@
             .unwrap();
         let answer = client.request(call).await.unwrap();
         answer.into_body().collect().await.unwrap();
-        taken.push(start.elapsed());
+        durations.push(start.elapsed());
     }
-    taken
+    durations
 }
 
-async fn through(agent: &Agent) -> Vec<Duration> {
+async fn call_through_agent(agent: &Agent) -> Vec<Duration> {
     let (sender, mut receiver) = agent.link().await;
-    let mut taken = Vec::with_capacity(WARM_UP + CALLS);
-    for request in 0..(WARM_UP + CALLS) as u128 {
+    let mut durations = Vec::with_capacity(WARM_UP_CALLS + CALLS);
+    for request in 0..(WARM_UP_CALLS + CALLS) as u128 {
         let start = Instant::now();
         sender.send(offer(request, true, "json")).await.unwrap();
         while !matches!(receiver.recv().await.unwrap().unwrap(), Frame::Done { .. }) {}
-        taken.push(start.elapsed());
+        durations.push(start.elapsed());
     }
-    taken
+    durations
 }
 
-fn times(mut taken: Vec<Duration>) -> String {
-    taken.drain(..WARM_UP);
-    taken.sort_unstable();
-    let at = |share: usize| taken[taken.len() * share / 100].as_secs_f64() * 1e6;
+fn percentiles(mut durations: Vec<Duration>) -> String {
+    durations.drain(..WARM_UP_CALLS);
+    durations.sort_unstable();
+    let at = |percent: usize| durations[durations.len() * percent / 100].as_secs_f64() * 1e6;
     format!(r#"{{"p50_us":{:.1},"p99_us":{:.1}}}"#, at(50), at(99))
 }
 
-/// Largest resident memory so far in KB.
-fn resident() -> u64 {
+/// Returns the peak resident memory of this process so far.
+fn peak_resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let number = line.unwrap().split_whitespace().next().unwrap();
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -1,9 +1,9 @@
 //! Fencing of orders to the engine.
 //!
 //! Some engines execute every order, even one from a lease holder that was paused while another
-//! took over. Such an order would undo the new holder's work, so the agent checks fencing tokens for
-//! the engine: it rejects every order with a lower token than it has seen, and all orders until it
-//! has read the current token after a start.
+//! took over. Such an order would undo the new holder's work, so the agent checks fencing tokens
+//! for the engine: it rejects every order with a lower token than it has seen, and all orders until
+//! it has read the current token after a start.
 
 use crate::answer;
 use crate::models::{self, EngineState};
@@ -119,8 +119,8 @@
     }
 }
 
-/// Reads the current fencing token. A holder writes its row before it sends orders, so without a row
-/// nobody may send orders.
+/// Reads the current fencing token. A holder writes its row before it sends orders, so without a
+/// row nobody may send orders.
 async fn current_token(table: &impl Table) -> Result<protocol::FencingToken, OrderReply> {
     let row = table
         .read(LEASE_TABLE, LEASE_KEY)
@@ -137,7 +137,8 @@
     OrderReply::error(StatusCode::SERVICE_UNAVAILABLE, &reason)
 }
 
-/// Sends an order to the engine. If the answer is incomplete, the order may still have taken effect.
+/// Sends an order to the engine. If the answer is incomplete, the order may still have taken
+/// effect.
 async fn forward(runner: &Runner, body: Bytes) -> OrderReply {
     let answer = timeout(ORDER_TIMEOUT, send_order(runner, body)).await;
     answer.unwrap_or_else(|_| {
--- a/crates/agent/src/history.rs
+++ b/crates/agent/src/history.rs
@@ -7,7 +7,8 @@
 use tokio::time::Instant;
 use wire::Refusal;
 
-/// Limit for the ended answers that are kept for a recall, including [`ANSWER_OVERHEAD_BYTES`] each.
+/// Limit for the ended answers that are kept for a recall, including [`ANSWER_OVERHEAD_BYTES`]
+/// each.
 const MAX_RETAINED_BYTES: usize = 6 << 20;
 /// Assumed memory cost of an ended call in addition to its chunks.
 const ANSWER_OVERHEAD_BYTES: usize = 1024;
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -14,8 +14,8 @@
 /// When an entry may retry after the agent could not connect to the runner.
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest time that a runner may take for a call beyond its deadline. Without it, a call that hangs
-/// would occupy its slot, and keep the caller's connection open, indefinitely.
+/// Longest time that a runner may take for a call beyond its deadline. Without it, a call that
+/// hangs would occupy its slot, and keep the caller's connection open, indefinitely.
 const MAX_OVERTIME: Duration = Duration::from_secs(3_600);
 
 /// An offered call.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,9 @@
 //! Sidecar process of one runner, which is the last hop of every call.
 //!
-//! The agent queues offered calls and starts them within the runner's concurrency limit; a call that
-//! needs a grant starts only once it has one. It checks that each answer is complete and belongs to
-//! the call, and keeps the answer for entries whose link was lost. See [`protocol::gate`] for the
-//! rules and `docs/PLATFORM.md` for the interface of the runner.
+//! The agent queues offered calls and starts them within the runner's concurrency limit; a call
+//! that needs a grant starts only once it has one. It checks that each answer is complete and
+//! belongs to the call, and keeps the answer for entries whose link was lost. See
+//! [`protocol::gate`] for the rules and `docs/PLATFORM.md` for the interface of the runner.
 
 mod answer;
 mod core;
@@ -156,8 +156,8 @@
         .transpose()
 }
 
-/// Notifies entries that have no link yet of the shutdown. If this message is lost, they learn of it
-/// later from the list of VMs.
+/// Notifies entries that have no link yet of the shutdown. If this message is lost, they learn of
+/// it later from the list of VMs.
 fn publish_leaving(publisher: &Publisher, id: &str, incarnation: protocol::Incarnation) {
     let vm = id.to_owned();
     let _ = publisher.publish(News::Leaving { vm, incarnation });
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -7,8 +7,8 @@
 use tokio::sync::Mutex;
 use wire::{Frame, Load, Sender};
 
-/// Maximum number of bytes of one answer that are kept; the oldest chunks are dropped first, since
-/// the entry most likely has them.
+/// Maximum number of bytes of one answer that are kept while its call runs; the oldest chunks are
+/// dropped first, since the entry most likely has them.
 const MAX_KEPT_BYTES: usize = 4 << 20;
 
 /// Answer of one call.
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Drops a call that has not started and forbids its start. Returns the buffer through which its
-    /// entry can be told.
+    /// Drops a call that has not started and forbids its start. Returns the buffer through which
+    /// its entry can be told.
     pub(crate) fn withdraw(
         &mut self,
         call: CallId,
--- a/crates/agent/tests/whole_answer.rs
+++ b/crates/agent/tests/answer_integrity.rs
@@ -1,14 +1,14 @@
-//! Every call gets its own whole answer, or the word that it has none.
+//! Every call gets its own complete answer, or an error if there is none.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::{call, next, offer, small};
+use common::{call, next_frame, offer, start_agent};
 use wire::{Frame, Refusal};
 
 #[tokio::test]
 async fn json_in_one_chunk() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "json")).await.unwrap();
     let start = receiver.recv().await.unwrap().unwrap();
     assert_eq!(start, Frame::Start { call: call(1) });
@@ -18,13 +18,13 @@
         sequence: 0,
         data,
     };
-    assert_eq!(next(&mut receiver).await, chunk);
+    assert_eq!(next_frame(&mut receiver).await, chunk);
     let Frame::Done {
         chunks,
         length,
         load,
         ..
-    } = next(&mut receiver).await
+    } = next_frame(&mut receiver).await
     else {
         panic!("no end mark");
     };
@@ -32,11 +32,11 @@
     assert_eq!(runner.count(), 1);
 }
 
-/// A runner resends an event after a hiccup. The caller would read a suggestion twice; the
-/// duplicate must be dropped and the count at the end still match.
+/// A runner sends an event twice. The caller would read its content twice; the duplicate must be
+/// dropped, and the count in the end mark must still match.
 #[tokio::test]
 async fn stream_without_duplicates() {
-    let (_runner, _agent, (sender, mut receiver)) = small().await;
+    let (_runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender
         .send(offer(1, true, "stream repeated"))
         .await
@@ -48,9 +48,9 @@
             sequence,
             data,
         };
-        assert_eq!(next(&mut receiver).await, chunk);
+        assert_eq!(next_frame(&mut receiver).await, chunk);
     }
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(
         matches!(
             end,
@@ -64,11 +64,11 @@
     );
 }
 
-/// A runner mixes up two answers, breaks off in the middle of one, or ends a stream without its
-/// mark, with events missing or with a wrong count. A caller would get another's text or half of
-/// its own; the entry must be told that the answer is lost.
+/// A runner mixes up two answers, disconnects in the middle of one, or ends a stream without an end
+/// mark, with missing events or with a wrong count. A caller would get another caller's text or
+/// only a part of its own; the agent must report to the entry that the answer is lost.
 #[tokio::test]
-async fn faulty_answers() {
+async fn invalid_answers_reported() {
     let inputs = [
         "crossed",
         "cut",
@@ -76,11 +76,11 @@
         "stream gap",
         "stream miscounted",
     ];
-    let (_runner, _agent, (sender, mut receiver)) = small().await;
+    let (_runner, _agent, (sender, mut receiver)) = start_agent().await;
     for (request, input) in (0..).zip(inputs) {
         sender.send(offer(request, true, input)).await.unwrap();
         let end = loop {
-            match next(&mut receiver).await {
+            match next_frame(&mut receiver).await {
                 Frame::Chunk { .. } if input.starts_with("stream") => {}
                 end => break end,
             }
@@ -90,20 +90,20 @@
 }
 
 #[tokio::test]
-async fn error_of_runner() {
-    let (_runner, _agent, (sender, mut receiver)) = small().await;
+async fn runner_error_forwarded() {
+    let (_runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "error")).await.unwrap();
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(matches!(end, Frame::Fail { status: 422, .. }), "{end:?}");
 }
 
-/// The runner says that it did not start the call, or nobody listens at its address. Nothing has
-/// run, and the entry must learn that it can safely try elsewhere.
+/// The runner reports that it did not start the call, or no process listens at its address. Nothing
+/// has run, and the agent must report to the entry that it can safely retry elsewhere.
 #[tokio::test]
 async fn not_run() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "not run")).await.unwrap();
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(
         matches!(
             end,
@@ -116,14 +116,14 @@
     );
     assert_eq!(runner.count(), 0);
 
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+    let closed_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let agent = common::Agent::start(common::settings(nobody)).await;
+    let agent = common::Agent::start(common::settings(closed_address)).await;
     let (sender, mut receiver) = agent.link().await;
     sender.send(offer(2, true, "json")).await.unwrap();
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(
         matches!(
             end,
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -1,14 +1,15 @@
-//! A real agent between a wire link and a small runner that does what a call's input says.
+//! Runs an agent between a wire link and a small runner whose behavior the input of each call
+//! selects.
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use futures::channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
 use http_body_util::{BodyExt, Full, StreamBody};
-use hyper::body::{Frame as Part, Incoming};
+use hyper::body::{Frame as BodyFrame, Incoming};
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use std::io::Error as Cut;
+use std::io::Error as IoError;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,54 +20,54 @@
 use wire::{Frame, Key, Receiver, Sender, Work};
 
 pub(crate) type CallId = protocol::CallId;
-type Body = StreamBody<UnboundedReceiver<Result<Part<Bytes>, Cut>>>;
+type Body = StreamBody<UnboundedReceiver<Result<BodyFrame<Bytes>, IoError>>>;
 
 pub(crate) const KEY: &str = "key of the tests";
 
-/// The runner's own record: what it ran, and what it was asked to stop or order.
+/// A test runner that records the calls it ran, the cancellations and the orders.
 #[derive(Clone)]
 pub(crate) struct Runner {
     pub(crate) address: SocketAddr,
-    pub(crate) ran: Arc<Mutex<Vec<String>>>,
+    pub(crate) executed: Arc<Mutex<Vec<String>>>,
     pub(crate) cancelled: Arc<Mutex<Vec<String>>>,
     pub(crate) orders: Arc<Mutex<Vec<String>>>,
     /// Models that calls named.
     pub(crate) models: Arc<Mutex<Vec<String>>>,
-    /// Lets one held answer go on.
-    pub(crate) hold: Arc<Semaphore>,
+    /// Each permit lets one delayed answer continue.
+    pub(crate) release: Arc<Semaphore>,
 }
 
 impl Runner {
     pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let own = Self {
+        let server = Self {
             address: listener.local_addr().unwrap(),
-            ran: Arc::default(),
+            executed: Arc::default(),
             cancelled: Arc::default(),
             orders: Arc::default(),
             models: Arc::default(),
-            hold: Arc::new(Semaphore::new(0)),
+            release: Arc::new(Semaphore::new(0)),
         };
-        let runner = own.clone();
+        let runner = server.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 stream.set_nodelay(true).unwrap();
                 let runner = runner.clone();
-                let service = service_fn(move |request| runner.clone().answer(request));
+                let service = service_fn(move |request| runner.clone().respond(request));
                 tokio::spawn(
                     hyper::server::conn::http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service),
                 );
             }
         });
-        own
+        server
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.ran.lock().unwrap().len()
+        self.executed.lock().unwrap().len()
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(self, request: Request<Incoming>) -> Result<Response<Body>, IoError> {
         let path = request.uri().path().to_owned();
         let call = request.headers().get("x-call").cloned();
         let model = request.headers().get("x-model");
@@ -84,14 +85,14 @@
             let held = input.contains("held");
             self.orders.lock().unwrap().push(input);
             if held {
-                self.hold.acquire().await.unwrap().forget();
+                self.release.acquire().await.unwrap().forget();
             }
             return Ok(response);
         }
         if path == "/v1/models" {
             let body =
                 Bytes::from_static(b"{\"models\":[\"draft\"],\"role\":\"both\",\"fence\":0}");
-            parts.unbounded_send(Ok(Part::data(body))).unwrap();
+            parts.unbounded_send(Ok(BodyFrame::data(body))).unwrap();
             return Ok(response);
         }
         let call = call.unwrap();
@@ -106,7 +107,7 @@
             response.headers_mut().insert("x-not-run", 1.into());
             return Ok(response);
         }
-        self.ran
+        self.executed
             .lock()
             .unwrap()
             .push(call.to_str().unwrap().to_owned());
@@ -119,25 +120,29 @@
             "cut" => drop(response.headers_mut().insert("content-length", 100.into())),
             _ => {}
         }
-        tokio::spawn(self.write(input, parts));
+        tokio::spawn(self.write_body(input, parts));
         Ok(response)
     }
 
-    /// Writes the body that the input asks for.
-    async fn write(self, input: String, parts: UnboundedSender<Result<Part<Bytes>, Cut>>) {
+    /// Writes the body that the input selects.
+    async fn write_body(
+        self,
+        input: String,
+        parts: UnboundedSender<Result<BodyFrame<Bytes>, IoError>>,
+    ) {
         let send = |text: &str| {
-            let part = Part::data(Bytes::copy_from_slice(text.as_bytes()));
+            let part = BodyFrame::data(Bytes::copy_from_slice(text.as_bytes()));
             let _ = parts.unbounded_send(Ok(part));
         };
         if input.contains("held") {
             if input.starts_with("stream") {
                 send("id: 0\ndata: \"0\"\n\n");
             }
-            self.hold.acquire().await.unwrap().forget();
+            self.release.acquire().await.unwrap().forget();
         }
         if input == "cut" {
             send("{\"half\":");
-            let _ = parts.unbounded_send(Err(Cut::other("cut")));
+            let _ = parts.unbounded_send(Err(IoError::other("cut")));
         }
         let event = |id: u32| send(&format!("id: {id}\ndata: \"{id}\"\n\n"));
         let (events, mark): (&[u32], Option<u32>) = match input.as_str() {
@@ -156,8 +161,8 @@
     }
 }
 
-/// A table service that holds at most the lease with this fencing number.
-pub(crate) async fn table(fence: Option<u64>) -> SocketAddr {
+/// Starts a table service that has only the lease with this fencing token, or no row at all.
+pub(crate) async fn lease_table(fence: Option<u64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -172,7 +177,7 @@
                 if fence.is_none() {
                     *response.status_mut() = hyper::StatusCode::NOT_FOUND;
                 }
-                Ok::<_, Cut>(response)
+                Ok::<_, IoError>(response)
             });
             tokio::spawn(
                 hyper::server::conn::http1::Builder::new()
@@ -191,15 +196,15 @@
 }
 
 pub(crate) fn settings(runner: SocketAddr) -> setting::Agent {
-    let any = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     setting::Agent {
         id: "target-1".into(),
         place: setting::Place {
             region: "ee-north".into(),
             domain: "a".into(),
         },
-        listen: any,
-        metrics: any,
+        listen: any_port,
+        metrics: any_port,
         platform: setting::Platform {
             table: "127.0.0.1:9".parse().unwrap(),
             objects: "127.0.0.1:9".parse().unwrap(),
@@ -218,7 +223,7 @@
 
 impl Agent {
     pub(crate) async fn start(settings: setting::Agent) -> Self {
-        let (ready, is_ready) = oneshot::channel();
+        let (ready, ready_receiver) = oneshot::channel();
         let (stop, stopped) = oneshot::channel::<()>();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let running = agent::run(
@@ -228,7 +233,7 @@
             async move { drop(stopped.await) },
         );
         let task = tokio::spawn(running);
-        let ready = is_ready.await.unwrap();
+        let ready = ready_receiver.await.unwrap();
         Self { ready, stop, task }
     }
 
@@ -239,7 +244,7 @@
     }
 
     /// Waits until one of the agent's metrics has this value.
-    pub(crate) async fn shows(&self, metric: &str, value: u64) {
+    pub(crate) async fn wait_for_metric(&self, metric: &str, value: u64) {
         let line = format!("\nlinnetdrift_agent_{metric} {value}\n");
         loop {
             let mut stream = TcpStream::connect(self.ready.metrics).await.unwrap();
@@ -253,15 +258,16 @@
         }
     }
 
-    /// Begins the graceful stop; the task ends with it.
-    pub(crate) fn leave(self) -> JoinHandle<Result<(), agent::Error>> {
+    /// Begins the graceful shutdown; the returned task ends when it is complete.
+    pub(crate) fn shut_down(self) -> JoinHandle<Result<(), agent::Error>> {
         self.stop.send(()).unwrap();
         self.task
     }
 }
 
-/// An agent with one slot and one place in its queue, its runner, and a link to it.
-pub(crate) async fn small() -> (Runner, Agent, (Sender, Receiver)) {
+/// Starts a runner, and an agent with one slot and a queue for one call; returns them and a link to
+/// the agent.
+pub(crate) async fn start_agent() -> (Runner, Agent, (Sender, Receiver)) {
     let runner = Runner::start().await;
     let agent = Agent::start(settings(runner.address)).await;
     let link = agent.link().await;
@@ -298,8 +304,8 @@
     }
 }
 
-/// The next frame that matters to the test; `Start` only tells of progress.
-pub(crate) async fn next(receiver: &mut Receiver) -> Frame {
+/// Receives the next frame other than `Start`, which only reports progress.
+pub(crate) async fn next_frame(receiver: &mut Receiver) -> Frame {
     loop {
         let frame = receiver.recv().await.unwrap().unwrap();
         if !matches!(frame, Frame::Start { .. }) {
@@ -308,9 +314,9 @@
     }
 }
 
-/// Waits until a condition holds that the test has no message for.
-pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+/// Polls until the condition holds; for conditions that no frame reports.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
--- a/crates/agent/tests/graceful_stop.rs
+++ b/crates/agent/tests/graceful_stop.rs
@@ -1,41 +1,44 @@
-//! A planned stop cuts off nothing.
+//! A graceful shutdown interrupts no running call.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::{call, next, offer, small};
+use common::{call, next_frame, offer, start_agent};
 use wire::{Frame, Refusal};
 
-/// The platform takes the VM away while a critique streams, another call waits, and an entry that
-/// has not heard yet offers a third. The stream must end whole, the others must be handed back in
-/// truth, and only then may the process go.
+/// The platform reclaims the VM while an answer streams, another call is queued, and an entry that
+/// does not know of the shutdown yet offers a third. The stream must be completed, the other calls
+/// must be refused without having run, and only then may the process exit.
 #[tokio::test]
-async fn stop_under_stream() {
-    let (runner, agent, (sender, mut receiver)) = small().await;
+async fn shutdown_during_stream() {
+    let (runner, agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "stream held")).await.unwrap();
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Chunk { sequence: 0, .. }
     ));
     sender.send(offer(2, true, "json")).await.unwrap();
     sender.send(offer(3, true, "json")).await.unwrap();
-    // The third finds the queue full, which shows that the second is held.
+    // The third call finds the queue full, which shows that the second is queued.
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Refuse {
             reason: Refusal::Full,
             ..
         }
     ));
-    let stopped = agent.leave();
-    assert!(matches!(next(&mut receiver).await, Frame::Leave { .. }));
-    let back = next(&mut receiver).await;
+    let stopped = agent.shut_down();
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Leave { .. }
+    ));
+    let refused = next_frame(&mut receiver).await;
     assert!(
-        matches!(back, Frame::Refuse { call: second, reason: Refusal::Leaving, .. } if second == call(2))
+        matches!(refused, Frame::Refuse { call: second, reason: Refusal::Leaving, .. } if second == call(2))
     );
     sender.send(offer(4, true, "json")).await.unwrap();
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Refuse {
             reason: Refusal::Leaving,
             ..
@@ -43,13 +46,13 @@
     ));
     assert!(!stopped.is_finished());
 
-    runner.hold.add_permits(1);
+    runner.release.add_permits(1);
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Chunk { sequence: 1, .. }
     ));
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Done { chunks: 2, .. }
     ));
     assert_eq!(receiver.recv().await.unwrap(), None);
@@ -58,19 +61,26 @@
     assert_eq!(runner.count(), 1);
 }
 
-/// A payout ends while its link is lost, and the platform takes the VM away at that moment. The
-/// agent must stay until the entry has come back for the answer, or the freelancer is left unsure.
+/// A payout ends while its link is down, and the platform reclaims the VM at that moment. The agent
+/// must keep running until the entry has reconnected and fetched the answer; otherwise the outcome
+/// of the payout remains unknown to the freelancer.
 #[tokio::test]
-async fn stop_with_answer_to_fetch() {
-    let (runner, agent, (sender, mut receiver)) = small().await;
+async fn shutdown_waits_for_recall() {
+    let (runner, agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "stream held")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
-    assert!(matches!(next(&mut receiver).await, Frame::Chunk { .. }));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Chunk { .. }
+    ));
     drop((sender, receiver));
-    agent.shows("links", 0).await;
-    let (listen, stopped) = (agent.ready.listen, agent.leave());
-    runner.hold.add_permits(1);
+    agent.wait_for_metric("links", 0).await;
+    let (listen, stopped) = (agent.ready.listen, agent.shut_down());
+    runner.release.add_permits(1);
 
     let key = wire::Key::new(common::KEY);
     let (sender, mut receiver) = wire::connect(listen, &key).await.unwrap();
@@ -81,7 +91,10 @@
     sender.send(recall).await.unwrap();
     let mut ended = false;
     while !ended {
-        ended = matches!(next(&mut receiver).await, Frame::Done { chunks: 2, .. });
+        ended = matches!(
+            next_frame(&mut receiver).await,
+            Frame::Done { chunks: 2, .. }
+        );
     }
     assert_eq!(receiver.recv().await.unwrap(), None);
     drop((sender, receiver));
--- a/crates/agent/tests/link_loss.rs
+++ b/crates/agent/tests/link_loss.rs
@@ -1,21 +1,25 @@
-//! A lost link loses no answer, and a peer without the key gets no work done.
+//! No answer is lost with a link, and a peer without the key cannot run calls.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::{call, next, offer, small, until};
+use common::{call, next_frame, offer, start_agent, wait_until};
 use wire::{Error, Frame, Key, Refusal};
 
-/// The link breaks while a payout runs. The runner finishes it, and the entry that comes back must
-/// get the answer from the first chunk it lacks, or the freelancer never learns of the payout.
+/// The link fails while a payout runs. The runner finishes the payout, and the entry that
+/// reconnects must get the answer from the first chunk that it has not received; otherwise the
+/// freelancer never learns of the payout.
 #[tokio::test]
 async fn recall_of_running_call() {
-    let (runner, agent, (sender, mut receiver)) = small().await;
+    let (runner, agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "stream held")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Chunk { sequence: 0, .. }
     ));
     drop((sender, receiver));
@@ -28,23 +32,23 @@
         })
         .await
         .unwrap();
-    runner.hold.add_permits(1);
+    runner.release.add_permits(1);
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Chunk { sequence: 1, .. }
     ));
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(matches!(end, Frame::Done { chunks: 2, .. }), "{end:?}");
     assert_eq!(runner.count(), 1);
 }
 
-/// The link breaks after the runner has answered, with the end still under way. The kept answer is
-/// sent again whole.
+/// The link fails after the runner has answered, while the end is still in transit. The agent must
+/// resend the complete answer.
 #[tokio::test]
 async fn recall_of_ended_call() {
-    let (runner, agent, (sender, mut receiver)) = small().await;
+    let (runner, agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "stream")).await.unwrap();
-    while !matches!(next(&mut receiver).await, Frame::Done { .. }) {}
+    while !matches!(next_frame(&mut receiver).await, Frame::Done { .. }) {}
     drop((sender, receiver));
 
     let (sender, mut receiver) = agent.link().await;
@@ -55,15 +59,15 @@
         })
         .await
         .unwrap();
-    for due in 0..2 {
-        let chunk = next(&mut receiver).await;
+    for expected in 0..2 {
+        let chunk = next_frame(&mut receiver).await;
         assert!(
-            matches!(chunk, Frame::Chunk { sequence, .. } if sequence == due),
+            matches!(chunk, Frame::Chunk { sequence, .. } if sequence == expected),
             "{chunk:?}"
         );
     }
     assert!(matches!(
-        next(&mut receiver).await,
+        next_frame(&mut receiver).await,
         Frame::Done {
             chunks: 2,
             length: 6,
@@ -73,11 +77,11 @@
     assert_eq!(runner.count(), 1);
 }
 
-/// An entry asks for a call that this agent has never seen. The agent says that it has no memory
-/// of it, and must not start it when the delayed offer arrives after that.
+/// An entry recalls a call that this agent has never seen. The agent must report it as unknown, and
+/// must not start it when the delayed offer arrives later.
 #[tokio::test]
 async fn recall_of_unknown_call() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender
         .send(Frame::Recall {
             call: call(1),
@@ -87,7 +91,7 @@
         .unwrap();
     sender.send(offer(1, true, "json")).await.unwrap();
     for _ in 0..2 {
-        let refused = next(&mut receiver).await;
+        let refused = next_frame(&mut receiver).await;
         assert!(matches!(
             refused,
             Frame::Refuse {
@@ -99,16 +103,19 @@
     assert_eq!(runner.count(), 0);
 }
 
-/// The link breaks while calls wait for their slot or their grant. Nobody can grant them any more:
-/// they must be dropped, and a recall must hear that they did not and will not run.
+/// The link fails while calls wait for a slot or a grant. They can no longer be granted, so they
+/// must be dropped, and a recall must report that they have not run and never will.
 #[tokio::test]
-async fn held_calls_dropped() {
-    let (runner, agent, (sender, mut receiver)) = small().await;
+async fn queued_calls_dropped() {
+    let (runner, agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "json")).await.unwrap();
     sender.send(offer(2, true, "json")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     drop((sender, receiver));
-    agent.shows("links", 0).await;
+    agent.wait_for_metric("links", 0).await;
 
     let (sender, mut receiver) = agent.link().await;
     for request in [2, 1] {
@@ -121,21 +128,28 @@
     sender.send(offer(3, true, "json")).await.unwrap();
     let mut refused = 0;
     while refused < 2 {
-        if let Frame::Refuse { reason, .. } = next(&mut receiver).await {
+        if let Frame::Refuse { reason, .. } = next_frame(&mut receiver).await {
             assert_eq!(reason, Refusal::Revoked);
             refused += 1;
         }
     }
-    until(|| runner.count() > 0).await;
+    wait_until(|| runner.count() > 0).await;
     let third = call(3).to_string();
-    assert!(runner.ran.lock().unwrap().iter().all(|ran| *ran == third));
+    assert!(
+        runner
+            .executed
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|id| *id == third)
+    );
 }
 
-/// An entry of another deployment connects with its own key. It must learn so, and nothing may
-/// reach the runner.
+/// An entry of another deployment connects with its own key. It must be rejected as unauthorized,
+/// and nothing may reach the runner.
 #[tokio::test]
 async fn wrong_key() {
-    let (runner, agent, _link) = small().await;
+    let (runner, agent, _link) = start_agent().await;
     let refused = wire::connect::<wire::Frame>(agent.ready.listen, &Key::new("other")).await;
     assert!(matches!(refused.unwrap_err(), Error::Unauthorized));
     assert_eq!(runner.count(), 0);
--- a/crates/agent/tests/start_permit.rs
+++ b/crates/agent/tests/start_grant.rs
@@ -1,9 +1,9 @@
-//! What may not be repeated starts under a grant only, and a refusal is true.
+//! An unrepeatable call starts only with a grant, and a refused call never runs.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod common;
 
-use common::{call, next, offer, small, until};
+use common::{call, next_frame, offer, start_agent, wait_until};
 use wire::{Frame, Refusal};
 
 fn refusal(frame: &Frame) -> Refusal {
@@ -14,60 +14,81 @@
 }
 
 #[tokio::test]
-async fn runs_under_grant() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+async fn starts_only_with_grant() {
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "json")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     assert_eq!(runner.count(), 0);
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
-    // A second grant, duplicated on its way, must not print a second label.
+    // A grant that is duplicated in transit must not run the call a second time.
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
-    assert!(matches!(next(&mut receiver).await, Frame::Chunk { .. }));
-    assert!(matches!(next(&mut receiver).await, Frame::Done { .. }));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Chunk { .. }
+    ));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Done { .. }
+    ));
     assert_eq!(runner.count(), 1);
 }
 
-/// The entry has given up and told its caller *not run*. The agent still holds the offer and gets
-/// a slot later; it must ask, take the denial, and never start, or a label is printed that the
-/// caller prints again.
+/// The entry has given up and reported *not run* to its caller, while the offer is still queued at
+/// the agent. When a slot is free, the agent must request a grant, accept the denial, and never
+/// start the call; otherwise a label is printed that the caller prints again.
 #[tokio::test]
 async fn denied_never_starts() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "json")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     sender.send(Frame::Deny { call: call(1) }).await.unwrap();
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
     sender.send(offer(1, false, "json")).await.unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Denied);
+    assert_eq!(refusal(&next_frame(&mut receiver).await), Refusal::Denied);
     sender.send(offer(2, true, "json")).await.unwrap();
-    assert!(matches!(next(&mut receiver).await, Frame::Chunk { .. }));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Chunk { .. }
+    ));
     assert_eq!(runner.count(), 1);
 }
 
-/// The entry takes a call back while the agent waits for the grant, and its grant was already on
-/// the way. The caller is told *not run*, so the late grant must come to nothing.
+/// The entry revokes a call while the agent waits for the grant, and the grant is already in
+/// transit. The caller is told *not run*, so the late grant must have no effect.
 #[tokio::test]
 async fn revoked_before_grant() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, false, "json")).await.unwrap();
-    assert_eq!(next(&mut receiver).await, Frame::Ask { call: call(1) });
+    assert_eq!(
+        next_frame(&mut receiver).await,
+        Frame::Ask { call: call(1) }
+    );
     sender.send(Frame::Revoke { call: call(1) }).await.unwrap();
     sender.send(Frame::Grant { call: call(1) }).await.unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Revoked);
+    assert_eq!(refusal(&next_frame(&mut receiver).await), Refusal::Revoked);
     sender.send(offer(2, true, "json")).await.unwrap();
-    assert!(matches!(next(&mut receiver).await, Frame::Chunk { .. }));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Chunk { .. }
+    ));
     assert_eq!(runner.count(), 1);
 }
 
-/// The queue is full, or the call is for another service. The entry tells its caller *not run*
-/// and when to come back; the refused call must never start, even when its offer comes again.
+/// The queue is full, or the call is for another service. The entry tells its caller *not run* and
+/// when to retry; the refused call must never start, even when it is offered again.
 #[tokio::test]
 async fn refused_never_starts() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     for request in 1..=3 {
         sender.send(offer(request, true, "held")).await.unwrap();
     }
-    let refused = next(&mut receiver).await;
+    let refused = next_frame(&mut receiver).await;
     assert_eq!(refusal(&refused), Refusal::Full);
     let Frame::Refuse {
         call: third,
@@ -93,18 +114,21 @@
         .send(Frame::Offer { call: fourth, work })
         .await
         .unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Misdirected);
-    runner.hold.add_permits(3);
+    assert_eq!(
+        refusal(&next_frame(&mut receiver).await),
+        Refusal::Misdirected
+    );
+    runner.release.add_permits(3);
     for _ in 0..4 {
-        next(&mut receiver).await;
+        next_frame(&mut receiver).await;
     }
     sender.send(offer(3, true, "held")).await.unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Full);
+    assert_eq!(refusal(&next_frame(&mut receiver).await), Refusal::Full);
     assert_eq!(runner.count(), 2);
 }
 
-/// Three calls wait while the runner is busy. The one of higher priority goes first, then the one
-/// that has least time left, or a fitter waits behind a batch job.
+/// Three calls wait while the runner is busy. The call of higher priority must start first, then
+/// the one with the least time left; otherwise an urgent call waits behind a batch job.
 #[tokio::test]
 async fn least_slack_first() {
     let runner = common::Runner::start().await;
@@ -119,36 +143,39 @@
         work.priority = priority;
         work.remaining = std::time::Duration::from_secs(seconds);
         sender.send(Frame::Offer { call, work }).await.unwrap();
-        until(|| request > 1 || runner.count() == 1).await;
+        wait_until(|| request > 1 || runner.count() == 1).await;
     }
-    // The refusal of a fifth offer shows that the four have been taken in.
+    // The refusal of a fifth offer shows that the four have been queued.
     sender.send(Frame::Cancel { call: call(9) }).await.unwrap();
     sender.send(offer(5, true, "held")).await.unwrap();
     sender.send(Frame::Revoke { call: call(5) }).await.unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Revoked);
-    runner.hold.add_permits(4);
+    assert_eq!(refusal(&next_frame(&mut receiver).await), Refusal::Revoked);
+    runner.release.add_permits(4);
     let mut ends = Vec::new();
     while ends.len() < 4 {
-        if let Frame::Done { call, .. } = next(&mut receiver).await {
+        if let Frame::Done { call, .. } = next_frame(&mut receiver).await {
             ends.push(call.request);
         }
     }
     assert_eq!(ends, [1, 4, 3, 2]);
 }
 
-/// The caller has gone and the entry cancels. The runner is asked to stop, and a call that has
-/// not started is handed back.
+/// The caller has disconnected and the entry cancels its calls. The runner must be asked to stop
+/// the running call, and the call that has not started must be refused.
 #[tokio::test]
-async fn cancel_at_runner() {
-    let (runner, _agent, (sender, mut receiver)) = small().await;
+async fn cancel_reaches_runner() {
+    let (runner, _agent, (sender, mut receiver)) = start_agent().await;
     sender.send(offer(1, true, "stream held")).await.unwrap();
     sender.send(offer(2, true, "json")).await.unwrap();
-    assert!(matches!(next(&mut receiver).await, Frame::Chunk { .. }));
+    assert!(matches!(
+        next_frame(&mut receiver).await,
+        Frame::Chunk { .. }
+    ));
     sender.send(Frame::Cancel { call: call(2) }).await.unwrap();
-    assert_eq!(refusal(&next(&mut receiver).await), Refusal::Revoked);
+    assert_eq!(refusal(&next_frame(&mut receiver).await), Refusal::Revoked);
     sender.send(Frame::Cancel { call: call(1) }).await.unwrap();
-    until(|| !runner.cancelled.lock().unwrap().is_empty()).await;
+    wait_until(|| !runner.cancelled.lock().unwrap().is_empty()).await;
     assert_eq!(runner.cancelled.lock().unwrap()[0], call(1).to_string());
-    let end = next(&mut receiver).await;
+    let end = next_frame(&mut receiver).await;
     assert!(matches!(end, Frame::Break { .. }), "{end:?}");
 }
