--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -5,11 +5,11 @@
 pub(crate) mod faults;
 pub(crate) mod feed;
 pub(crate) mod link;
-pub(crate) mod narrow;
 pub(crate) mod pair;
 mod parts;
 pub(crate) mod poison;
 pub(crate) mod service;
+pub(crate) mod slow_link;
 pub(crate) mod stage;
 
 use bytes::Bytes;
