--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -122,9 +122,9 @@
             retry_after,
             load,
         },
-        Err(fault) => Frame::Break {
+        Err(error) => Frame::Break {
             call,
-            reason: fault.to_string(),
+            reason: error.to_string(),
             load,
         },
     }
@@ -141,7 +141,7 @@
     core: &Core,
     job: &Job,
     response: Response<Incoming>,
-    sent: Instant,
+    sent_at: Instant,
 ) -> Result<RunOutcome, AnswerError> {
     let (head, body) = response.into_parts();
     check_call(&head.headers, head.status, job.call)?;
@@ -175,7 +175,7 @@
     Ok(RunOutcome::Complete {
         chunks,
         length,
-        busy: busy.unwrap_or_else(|| sent.elapsed()),
+        busy: busy.unwrap_or_else(|| sent_at.elapsed()),
         prefix_hits: parse_header(&head.headers, &X_PREFIX_HITS).unwrap_or(0),
     })
 }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -148,7 +148,8 @@
     async fn request_grant(self: Arc<Self>, job: Arc<Job>) {
         let call = job.call;
         job.output.send(Frame::Ask { call }).await;
-        // The job holds the link, which a shutting down agent could not close during this wait.
+        // The job keeps the link open, and an agent that shuts down could not close it during the
+        // wait below.
         drop(job);
         sleep(GRANT_TIMEOUT).await;
         self.revoke(call).await;
@@ -362,7 +363,7 @@
         self.orders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Evicts expired answers, also while no call ends.
+    /// Evicts expired answers every second; otherwise only the end of a call would evict them.
     pub(crate) async fn evict_periodically(self: Arc<Self>) {
         loop {
             sleep(Duration::from_secs(1)).await;
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 use wire::{Frame, Models, Sender};
 
-/// Table that has the lease.
+/// Table that contains the lease.
 const LEASE_TABLE: &str = "lease";
 /// Key of the lease whose holder may send orders.
 const LEASE_KEY: &str = "placement";
@@ -72,16 +72,16 @@
     /// effect of the older one.
     pub(crate) async fn serve(self, mut orders: mpsc::Receiver<EngineOrder>) {
         while let Some(EngineOrder { fence, body, link }) = orders.recv().await {
-            let answer = match self.admit(fence, Some(&body)).await {
+            let reply = match self.admit(fence, Some(&body)).await {
                 Ok(()) => {
-                    let answer = forward(&self.runner, body).await;
+                    let reply = forward(&self.runner, body).await;
                     self.state.finish_order();
-                    answer
+                    reply
                 }
-                Err(answer) => answer,
+                Err(reply) => reply,
             };
-            let status = answer.status.as_u16();
-            let body = answer.body;
+            let status = reply.status.as_u16();
+            let body = reply.body;
             // An entry whose link was lost learns from a query what the engine has loaded.
             let _ = link.send(Frame::OrderDone { status, body }).await;
         }
@@ -103,12 +103,12 @@
         token: protocol::FencingToken,
         order: Option<&[u8]>,
     ) -> Result<(), OrderReply> {
-        let mut verdict = self.state.admit(token, order);
-        if verdict == Verdict::Unknown {
+        let mut decision = self.state.admit(token, order);
+        if decision == Verdict::Unknown {
             self.state.learn(current_token(&self.table).await?);
-            verdict = self.state.admit(token, order);
+            decision = self.state.admit(token, order);
         }
-        match verdict {
+        match decision {
             Verdict::Pass => Ok(()),
             Verdict::Refuse(highest) => Err(OrderReply::error(
                 StatusCode::PRECONDITION_FAILED,
@@ -140,8 +140,8 @@
 /// Sends an order to the engine. If the answer is incomplete, the order may still have taken
 /// effect.
 async fn forward(runner: &Runner, body: Bytes) -> OrderReply {
-    let answer = timeout(ORDER_TIMEOUT, send_order(runner, body)).await;
-    answer.unwrap_or_else(|_| {
+    let reply = timeout(ORDER_TIMEOUT, send_order(runner, body)).await;
+    reply.unwrap_or_else(|_| {
         let reason = format!("no answer from the engine within {ORDER_TIMEOUT:?}");
         OrderReply::error(StatusCode::GATEWAY_TIMEOUT, &reason)
     })
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -33,19 +33,19 @@
 pub(crate) async fn run(core: Arc<Core>, job: Arc<Job>) {
     core.telemetry
         .observe_wait(&job.work.stage, job.offered_at.elapsed());
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let time_limit = job.work.remaining.min(MAX_OVERTIME) + MAX_OVERTIME;
     let outcome = tokio::select! {
-        outcome = execute(&core, &job, sent) => outcome,
+        outcome = execute(&core, &job, sent_at) => outcome,
         () = job.abort.cancelled() => Err(AnswerError::Cancelled),
         () = sleep(time_limit) => Err(AnswerError::TimedOut { time_limit }),
     };
     core.telemetry
-        .observe_runner_time(&job.work.stage, sent.elapsed());
-    core.finish(&job, outcome, sent.elapsed()).await;
+        .observe_runner_time(&job.work.stage, sent_at.elapsed());
+    core.finish(&job, outcome, sent_at.elapsed()).await;
 }
 
-async fn execute(core: &Core, job: &Job, sent: Instant) -> Result<RunOutcome, AnswerError> {
+async fn execute(core: &Core, job: &Job, sent_at: Instant) -> Result<RunOutcome, AnswerError> {
     let (response, mut handed_over) = core.runner.run(job.call, &job.work);
     let mut response = pin!(response);
     let mut started = None;
@@ -62,7 +62,7 @@
         }
     };
     match response {
-        Ok(response) => answer::forward(core, job, response, sent).await,
+        Ok(response) => answer::forward(core, job, response, sent_at).await,
         Err(_) if !started.unwrap_or_else(|| handed_over.try_recv().is_ok()) => {
             Ok(RunOutcome::NotRun {
                 retry_after: UNREACHABLE_RETRY_AFTER,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -52,7 +52,7 @@
         /// Cause.
         source: wire::Error,
     },
-    /// The address for news could not be bound.
+    /// The address for published notifications could not be bound.
     #[snafu(display("cannot publish news on {address}: {source}"))]
     News {
         /// Address from the settings.
@@ -75,7 +75,7 @@
 pub struct Ready {
     /// Address to which entries connect.
     pub listen: SocketAddr,
-    /// Address at which the agent publishes news, if it does.
+    /// Address at which the agent publishes notifications, if it does.
     pub news: Option<SocketAddr>,
     /// Address at which metrics are served.
     pub metrics: SocketAddr,
@@ -122,7 +122,7 @@
 
     let links = TaskTracker::new();
     let accepting = tokio::spawn(accept(core.clone(), listener, links.clone(), log.clone()));
-    let sweeping = tokio::spawn(core.clone().evict_periodically());
+    let evicting = tokio::spawn(core.clone().evict_periodically());
     info!(log, "serving"; "listen" => %listen, "runner" => %settings.runner);
     ready(Ready {
         listen,
@@ -137,7 +137,7 @@
     }
     core.shut_down().await;
     accepting.abort();
-    sweeping.abort();
+    evicting.abort();
     links.close();
     links.wait().await;
     info!(log, "left");
--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -63,13 +63,13 @@
     /// only the token is raised.
     pub(crate) fn admit(&self, token: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
         let mut state = self.lock();
-        let verdict = state.fence.admit(token);
-        if verdict == Verdict::Pass
+        let decision = state.fence.admit(token);
+        if decision == Verdict::Pass
             && let Some(order) = order
         {
             state.order = serde_json::from_slice(order).ok();
         }
-        verdict
+        decision
     }
 
     /// Records that the engine has answered the order.
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the runner beside the agent.
+//! HTTP client of the agent's runner.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -86,7 +86,7 @@
     }
 }
 
-/// The runner beside the agent.
+/// Client of the agent's runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
     client: Client<HttpConnector, InputBody>,
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -172,7 +172,7 @@
     }
 
     /// Drops a call that has not started and forbids its start. Returns the buffer through which
-    /// its entry can be told.
+    /// its entry can be notified.
     pub(crate) fn withdraw(
         &mut self,
         call: CallId,
@@ -283,7 +283,7 @@
             .any(|tracked| !tracked.repeatable && !tracked.output.is_delivered())
     }
 
-    /// Marks a call whose entry needs nothing more of it.
+    /// Records that the call's entry needs nothing more of it.
     pub(crate) fn mark_not_needed(&self, call: CallId) {
         if let Some(tracked) = self.calls.get(&call) {
             tracked.output.mark_not_needed();
