--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -98,7 +98,7 @@
 
     /// Highest revision heard of.
     pub fn heard_of(&self) -> Revision {
-        self.lock().follower.wanted()
+        self.lock().follower.latest_known()
     }
 
     /// Takes in that another process has seen this revision.
--- a/crates/protocol/src/activation.rs
+++ b/crates/protocol/src/activation.rs
@@ -27,14 +27,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Activation {
     /// Greatest age of a list that is acted on.
-    most: Duration,
+    max_age: Duration,
     /// Time that lies between the last act of one process and the first of the one that takes its
     /// place, at least.
-    apart: Duration,
+    handover_gap: Duration,
     /// Since when the own row has been on the list.
     registered: Option<Duration>,
     /// Whether the own row was known to all that act before the start.
-    settled: bool,
+    known_before: bool,
     /// Moment at which the list held no row that is not known.
     current: Option<Duration>,
 }
@@ -42,12 +42,12 @@
 impl Activation {
     /// One whose row is not on the list yet, and that knows nothing of the list.
     #[must_use]
-    pub fn new(most: Duration, apart: Duration) -> Self {
+    pub fn new(max_age: Duration, handover_gap: Duration) -> Self {
         Self {
-            most,
-            apart,
+            max_age,
+            handover_gap,
             registered: None,
-            settled: false,
+            known_before: false,
             current: None,
         }
     }
@@ -59,7 +59,7 @@
 
     /// The own row says that an earlier start under the same name had waited for long enough.
     pub fn mark_known(&mut self) {
-        self.settled = true;
+        self.known_before = true;
     }
 
     /// All rows are known that were on the list at `current`.
@@ -76,17 +76,17 @@
     /// When the own row is known to all that act; `None` before it is on the list.
     #[must_use]
     pub fn known_from(&self) -> Option<Duration> {
-        if self.settled {
+        if self.known_before {
             return Some(Duration::ZERO);
         }
-        Some(self.registered? + self.most + self.apart)
+        Some(self.registered? + self.max_age + self.handover_gap)
     }
 
     /// Whether the process may act now, if it has a place by the names that it knows.
     #[must_use]
     pub fn may_act(&self, now: Duration) -> bool {
         let known = self.known_from().is_some_and(|moment| moment <= now);
-        let fresh = |current: Duration| now.saturating_sub(current) <= self.most;
+        let fresh = |current: Duration| now.saturating_sub(current) <= self.max_age;
         known && self.current.is_some_and(fresh)
     }
 }
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -152,7 +152,7 @@
             Event::Done { chunks, length } => self.done(chunks, length),
             Event::Fail => self.end(Outcome::Failed),
             Event::RunnerLost => self.end(Outcome::Unknown),
-            Event::Forgotten | Event::LinkLost => self.lost(),
+            Event::Forgotten | Event::LinkLost => self.link_lost(),
             Event::GiveUp => self.give_up(),
         }
     }
@@ -204,7 +204,7 @@
     /// A restarted agent remembers nothing, so its word that it does not know the attempt says
     /// nothing about whether it started it before. Only an attempt that needed a grant and got
     /// none has certainly not run.
-    fn lost(&mut self) -> Actions {
+    fn link_lost(&mut self) -> Actions {
         if self.state == State::Offered && !self.repeatable {
             return self.end(Outcome::NotRun);
         }
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -165,20 +165,20 @@
     /// Takes in an event and says what to do.
     pub fn on(&mut self, event: Event) -> Action {
         match (self.state, event) {
-            (State::Claiming, event) => self.claiming(event),
+            (State::Claiming, event) => self.on_claiming(event),
             (State::Granted, Event::NotRun) => self.close(Progress::Released),
             (State::Granted, Event::Answered) => self.close(Progress::Answered),
-            (State::Closing(progress), event) => self.closing(progress, event),
+            (State::Closing(progress), event) => self.on_closing(progress, event),
             _ => Action::Ignore,
         }
     }
 
-    fn claiming(&mut self, event: Event) -> Action {
+    fn on_claiming(&mut self, event: Event) -> Action {
         match event {
             Event::Written(revision) => self.granted(revision),
             Event::Found(kept) => self.found(kept),
             Event::Unsure => self.read(),
-            Event::Unavailable => self.refuse(),
+            Event::Unavailable => self.on_unavailable(),
             Event::NotRun | Event::Answered | Event::Retry => Action::Ignore,
         }
     }
@@ -193,7 +193,7 @@
         if kept.row.token == self.row.token {
             return self.granted(kept.revision);
         }
-        let told = match kept.row.progress {
+        let verdict = match kept.row.progress {
             Progress::Released => {
                 self.check = Some(kept.revision);
                 return self.write(Progress::Claimed);
@@ -203,7 +203,7 @@
             Progress::Answered => Verdict::Answered(kept.row.request),
         };
         self.state = State::Settled;
-        Action::Resolve(told)
+        Action::Resolve(verdict)
     }
 
     fn granted(&mut self, revision: RowRevision) -> Action {
@@ -216,7 +216,7 @@
     /// The table is down. A write whose answer was lost may have left, or may yet leave, a claim
     /// that nobody runs; without the clean-up every retry of the caller would be told *unknown*
     /// for ever.
-    fn refuse(&mut self) -> Action {
+    fn on_unavailable(&mut self) -> Action {
         self.state = if self.unsure {
             State::Closing(Progress::Released)
         } else {
@@ -230,7 +230,7 @@
         self.write(progress)
     }
 
-    fn closing(&mut self, progress: Progress, event: Event) -> Action {
+    fn on_closing(&mut self, progress: Progress, event: Event) -> Action {
         match event {
             Event::Written(_) => self.settle(),
             Event::Found(kept) => self.found_closing(progress, kept),
--- a/crates/protocol/src/fetch.rs
+++ b/crates/protocol/src/fetch.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Current<S> {
+struct InProgress<S> {
     source: S,
     version: Version,
     digest: Option<u64>,
@@ -69,8 +69,8 @@
 ///
 /// let now = Duration::ZERO;
 /// let mut fetch = Fetch::new(Duration::from_secs(1));
-/// let question = fetch.offer("a", 7, now).expect("nothing is fetched yet");
-/// assert_eq!((question.source, question.offset), ("a", 0));
+/// let request = fetch.offer("a", 7, now).expect("nothing is fetched yet");
+/// assert_eq!((request.source, request.offset), ("a", 0));
 /// // Another source of the same version is kept in reserve.
 /// assert_eq!(fetch.offer("b", 7, now), None);
 /// let part = Part { version: 7, digest: 1, offset: 0, length: 10, total: 10 };
@@ -79,18 +79,18 @@
 #[derive(Debug)]
 pub struct Fetch<S> {
     /// Silence after which another source is asked.
-    patience: Duration,
+    timeout: Duration,
     known: Option<Version>,
     offers: Vec<(S, Version)>,
-    current: Option<Current<S>>,
+    current: Option<InProgress<S>>,
 }
 
 impl<S: Clone + PartialEq> Fetch<S> {
     /// Nothing is known and nothing is fetched.
     #[must_use]
-    pub fn new(patience: Duration) -> Self {
+    pub fn new(timeout: Duration) -> Self {
         Self {
-            patience,
+            timeout,
             known: None,
             offers: Vec::new(),
             current: None,
@@ -140,20 +140,20 @@
         if current.source != *source {
             return None;
         }
-        self.go_on(now)
+        self.switch_source(now)
     }
 
     /// Goes on with another source where the present one has been silent for too long.
     pub fn tick(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let current = self.current.as_ref()?;
-        if now < current.progress + self.patience {
+        if now < current.progress + self.timeout {
             return None;
         }
         let source = current.source.clone();
         if self.offers.len() > 1 {
             self.offers.retain(|(other, _)| *other != source);
         }
-        self.go_on(now)
+        self.switch_source(now)
     }
 
     /// A part has arrived.
@@ -179,10 +179,10 @@
         current.digest = Some(part.digest);
         current.progress = now;
         if part.offset != current.received {
-            return PartAction::Reset(question(current));
+            return PartAction::Reset(request(current));
         }
         current.received += part.length;
-        let next = (current.received < part.total).then(|| question(current));
+        let next = (current.received < part.total).then(|| request(current));
         if next.is_none() {
             self.current = None;
         }
@@ -198,20 +198,20 @@
         self.current = None;
         let newest = self.offers.iter().map(|(_, version)| *version).max()?;
         let (source, version) = self.offers.iter().find(|(_, version)| *version == newest)?;
-        let current = Current {
+        let current = InProgress {
             source: source.clone(),
             version: *version,
             digest: None,
             received: 0,
             progress: now,
         };
-        let question = question(&current);
+        let request = request(&current);
         self.current = Some(current);
-        Some(question)
+        Some(request)
     }
 
     /// Goes on with the next source that has the version, or a newer one.
-    fn go_on(&mut self, now: Duration) -> Option<PartRequest<S>> {
+    fn switch_source(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let wanted = self.current.as_ref()?.version;
         let next = self.offers.iter().find(|(_, version)| *version >= wanted);
         let Some((source, _)) = next.cloned() else {
@@ -220,11 +220,11 @@
         let current = self.current.as_mut()?;
         current.source = source;
         current.progress = now;
-        Some(question(current))
+        Some(request(current))
     }
 }
 
-fn question<S: Clone>(current: &Current<S>) -> PartRequest<S> {
+fn request<S: Clone>(current: &InProgress<S>) -> PartRequest<S> {
     PartRequest {
         source: current.source.clone(),
         version: current.version,
--- a/crates/protocol/src/follower.rs
+++ b/crates/protocol/src/follower.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Follower {
     applied: Revision,
-    wanted: Revision,
+    latest_known: Revision,
     goal: Option<Revision>,
     down: bool,
     ready: bool,
@@ -73,8 +73,8 @@
 
     /// Highest revision heard of.
     #[must_use]
-    pub fn wanted(&self) -> Revision {
-        self.wanted
+    pub fn latest_known(&self) -> Revision {
+        self.latest_known
     }
 
     /// Whether the process may serve.
@@ -92,8 +92,8 @@
         match event {
             Event::Head(revision) => self.head(revision),
             Event::Down => self.down(),
-            Event::Peers(revision) if self.down => self.aim(revision),
-            Event::Peers(revision) | Event::Push(revision) => self.want(revision),
+            Event::Peers(revision) if self.down => self.raise_goal(revision),
+            Event::Peers(revision) | Event::Push(revision) => self.note_revision(revision),
             Event::Entry(revision) => self.entry(revision),
             Event::Snapshot(revision) => self.snapshot(revision),
         }
@@ -101,7 +101,7 @@
 
     fn head(&mut self, revision: Revision) -> Action {
         self.down = false;
-        self.aim(revision)
+        self.raise_goal(revision)
     }
 
     fn down(&mut self) -> Action {
@@ -114,15 +114,15 @@
 
     /// A push alone never makes a process ready, nor do peers while the table answers: both may
     /// name an old revision.
-    fn aim(&mut self, revision: Revision) -> Action {
+    fn raise_goal(&mut self, revision: Revision) -> Action {
         self.goal = self.goal.max(Some(revision));
-        self.settle();
-        self.want(revision)
+        self.update_ready();
+        self.note_revision(revision)
     }
 
-    fn want(&mut self, revision: Revision) -> Action {
-        self.wanted = self.wanted.max(revision);
-        if self.applied < self.wanted {
+    fn note_revision(&mut self, revision: Revision) -> Action {
+        self.latest_known = self.latest_known.max(revision);
+        if self.applied < self.latest_known {
             return Action::Fetch {
                 after: self.applied,
             };
@@ -136,7 +136,7 @@
         if revision == self.applied + 1 {
             return self.apply(revision);
         }
-        self.want(revision)
+        self.note_revision(revision)
     }
 
     /// A snapshot read before the latest entry arrived must not turn the process back.
@@ -149,12 +149,12 @@
 
     fn apply(&mut self, revision: Revision) -> Action {
         self.applied = revision;
-        self.wanted = self.wanted.max(revision);
-        self.settle();
+        self.latest_known = self.latest_known.max(revision);
+        self.update_ready();
         Action::Apply(revision)
     }
 
-    fn settle(&mut self) {
+    fn update_ready(&mut self) {
         self.ready |= self.goal.is_some_and(|goal| self.applied >= goal);
     }
 }
--- a/crates/protocol/src/lease.rs
+++ b/crates/protocol/src/lease.rs
@@ -72,7 +72,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Flight {
+enum Pending {
     Read,
     Write(Row),
 }
@@ -97,18 +97,18 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    me: Holder,
+    own: Holder,
     timing: Timing,
     seen: Option<StoredRow>,
     known: bool,
-    since: Duration,
-    flight: Option<Flight>,
+    unchanged_since: Duration,
+    pending: Option<Pending>,
     /// When the earliest write whose fate is open was sent.
-    sent: Option<Duration>,
+    unsure_since: Option<Duration>,
     /// When the write that made or last renewed the lease was sent.
-    held: Option<Duration>,
-    asked: Option<Duration>,
-    prompt: bool,
+    renewed: Option<Duration>,
+    requested: Option<Duration>,
+    due_now: bool,
     resigning: bool,
 }
 
@@ -117,16 +117,16 @@
     #[must_use]
     pub fn new(token: Token, timing: Timing) -> Self {
         Self {
-            me: Holder(token),
+            own: Holder(token),
             timing,
             seen: None,
             known: false,
-            since: Duration::ZERO,
-            flight: None,
-            sent: None,
-            held: None,
-            asked: None,
-            prompt: true,
+            unchanged_since: Duration::ZERO,
+            pending: None,
+            unsure_since: None,
+            renewed: None,
+            requested: None,
+            due_now: true,
             resigning: false,
         }
     }
@@ -137,35 +137,35 @@
     /// right before each order.
     #[must_use]
     pub fn may_act(&self, now: Duration) -> Option<id::FencingToken> {
-        let until = self.held? + self.timing.duration.saturating_sub(self.timing.margin);
-        (now < until && !self.resigning).then_some(self.mine()?.row.fence)
+        let until = self.renewed? + self.timing.duration.saturating_sub(self.timing.margin);
+        (now < until && !self.resigning).then_some(self.own_row()?.row.fence)
     }
 
     /// Stops acting at once and gives the lease back with the next write.
     pub fn resign(&mut self) {
         self.resigning = true;
-        self.prompt = true;
+        self.due_now = true;
     }
 
     /// Whether the process has resigned and is known not to have the lease.
     #[must_use]
     pub fn is_resigned(&self) -> bool {
-        self.resigning && self.known && self.mine().is_none()
+        self.resigning && self.known && self.own_row().is_none()
     }
 
     /// What to ask of the table now, if anything; at most one question is open at a time.
     pub fn tick(&mut self, now: Duration) -> Option<Action> {
-        if self.flight.is_some() || self.is_resigned() || !self.is_due(now) {
+        if self.pending.is_some() || self.is_resigned() || !self.is_due(now) {
             return None;
         }
-        self.prompt = false;
-        self.asked = Some(now);
-        let Some(row) = self.wish(now) else {
-            self.flight = Some(Flight::Read);
+        self.due_now = false;
+        self.requested = Some(now);
+        let Some(row) = self.next_row(now) else {
+            self.pending = Some(Pending::Read);
             return Some(Action::Read);
         };
-        self.flight = Some(Flight::Write(row));
-        self.sent.get_or_insert(now);
+        self.pending = Some(Pending::Write(row));
+        self.unsure_since.get_or_insert(now);
         Some(Action::Write {
             check: self.seen.map(|kept| kept.revision),
             row,
@@ -174,75 +174,75 @@
 
     /// Takes in what came back from the table.
     pub fn on(&mut self, event: Event, now: Duration) {
-        let Some(flight) = self.flight.take() else {
+        let Some(pending) = self.pending.take() else {
             return;
         };
-        match (flight, event) {
-            (Flight::Write(row), Event::Written(revision)) => {
-                self.written(StoredRow { row, revision }, now);
+        match (pending, event) {
+            (Pending::Write(row), Event::Written(revision)) => {
+                self.on_written(StoredRow { row, revision }, now);
             }
-            (_, Event::Found(kept)) => self.found(kept, now),
-            (Flight::Write(_), Event::Unsure) => self.known = false,
+            (_, Event::Found(kept)) => self.on_found(kept, now),
+            (Pending::Write(_), Event::Unsure) => self.known = false,
             _ => {}
         }
     }
 
-    fn mine(&self) -> Option<StoredRow> {
-        self.seen.filter(|kept| kept.row.holder == Some(self.me))
+    fn own_row(&self) -> Option<StoredRow> {
+        self.seen.filter(|kept| kept.row.holder == Some(self.own))
     }
 
     fn is_due(&self, now: Duration) -> bool {
-        self.prompt
+        self.due_now
             || self
-                .asked
-                .is_none_or(|asked| now >= asked + self.timing.period)
+                .requested
+                .is_none_or(|requested| now >= requested + self.timing.period)
     }
 
     /// The row to write now, or `None` if the row is to be read.
-    fn wish(&self, now: Duration) -> Option<Row> {
+    fn next_row(&self, now: Duration) -> Option<Row> {
         if !self.known {
             return None;
         }
         let Some(StoredRow { row, .. }) = self.seen else {
-            return Some(self.taken(0));
+            return Some(self.acquired(0));
         };
         match row.holder {
-            Some(holder) if holder == self.me && self.resigning => Some(Row {
+            Some(holder) if holder == self.own && self.resigning => Some(Row {
                 holder: None,
                 ..row
             }),
-            Some(holder) if holder == self.me => Some(row),
-            Some(_) if now < self.since + self.timing.duration => None,
-            _ => Some(self.taken(row.fence)),
+            Some(holder) if holder == self.own => Some(row),
+            Some(_) if now < self.unchanged_since + self.timing.duration => None,
+            _ => Some(self.acquired(row.fence)),
         }
     }
 
-    fn taken(&self, fence: id::FencingToken) -> Row {
+    fn acquired(&self, fence: id::FencingToken) -> Row {
         Row {
-            holder: Some(self.me),
+            holder: Some(self.own),
             fence: fence + 1,
         }
     }
 
-    fn written(&mut self, kept: StoredRow, now: Duration) {
+    fn on_written(&mut self, kept: StoredRow, now: Duration) {
         self.seen = Some(kept);
-        self.since = now;
-        self.held = self.asked;
-        self.sent = None;
+        self.unchanged_since = now;
+        self.renewed = self.requested;
+        self.unsure_since = None;
     }
 
     /// A renewal whose answer was lost counts from when it was sent: a contender may have seen
     /// its effect right then, and counts the duration from there. Of several such writes the
     /// earliest counts, since the row does not tell which one it was.
-    fn found(&mut self, kept: Option<StoredRow>, now: Duration) {
+    fn on_found(&mut self, kept: Option<StoredRow>, now: Duration) {
         let revision = |kept: Option<StoredRow>| kept.map(|kept| kept.revision);
         let changed = revision(kept) != revision(self.seen);
         self.known = true;
         self.seen = kept;
         if changed {
-            self.since = now;
-            self.held = self.sent.take();
+            self.unchanged_since = now;
+            self.renewed = self.unsure_since.take();
         }
-        self.prompt = self.mine().is_none() && self.wish(now).is_some();
+        self.due_now = self.own_row().is_none() && self.next_row(now).is_some();
     }
 }
--- a/crates/protocol/src/member.rs
+++ b/crates/protocol/src/member.rs
@@ -18,7 +18,7 @@
 
 /// A word about one life of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct News {
+pub struct MemberUpdate {
     /// Life of the process that the word is about.
     pub incarnation: Incarnation,
     /// Whether it leaves.
@@ -27,14 +27,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Contact {
-    Never,
-    Heard,
-    Silent,
+    Unknown,
+    Responsive,
+    Unresponsive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    news: News,
+    update: MemberUpdate,
     listed: bool,
     contact: Contact,
 }
@@ -47,13 +47,13 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::member::{Members, News, State};
+/// use protocol::member::{Members, MemberUpdate, State};
 ///
 /// let mut members = Members::new();
-/// members.hear("t1", News { incarnation: 2, leaving: true });
-/// members.list([("t1", News { incarnation: 2, leaving: false })]);
+/// members.observe("t1", MemberUpdate { incarnation: 2, leaving: true });
+/// members.set_listed([("t1", MemberUpdate { incarnation: 2, leaving: false })]);
 /// assert_eq!(members.state("t1"), State::Leaving);
-/// members.hear("t1", News { incarnation: 3, leaving: false });
+/// members.observe("t1", MemberUpdate { incarnation: 3, leaving: false });
 /// assert_eq!(members.state("t1"), State::Live);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -70,34 +70,34 @@
     }
 
     /// Takes in the platform's whole list; a VM that it leaves out is no longer listed.
-    pub fn list<'a>(&mut self, vms: impl IntoIterator<Item = (&'a str, News)>) {
+    pub fn set_listed<'a>(&mut self, vms: impl IntoIterator<Item = (&'a str, MemberUpdate)>) {
         for member in self.members.values_mut() {
             member.listed = false;
         }
-        for (id, news) in vms {
-            self.merge(id, news).listed = true;
+        for (id, update) in vms {
+            self.merge(id, update).listed = true;
         }
     }
 
     /// Takes in what the VM itself says: an answer, a heartbeat or its leaving word.
-    pub fn hear(&mut self, id: &str, news: News) {
-        let member = self.merge(id, news);
-        if member.news.incarnation == news.incarnation {
-            member.contact = Contact::Heard;
+    pub fn observe(&mut self, id: &str, update: MemberUpdate) {
+        let member = self.merge(id, update);
+        if member.update.incarnation == update.incarnation {
+            member.contact = Contact::Responsive;
         }
     }
 
     /// Takes in that this life of the VM has not been heard for the heartbeat's limit.
-    pub fn silence(&mut self, id: &str, incarnation: Incarnation) {
+    pub fn mark_unresponsive(&mut self, id: &str, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(id)
-            && member.news.incarnation == incarnation
+            && member.update.incarnation == incarnation
         {
-            member.contact = Contact::Silent;
+            member.contact = Contact::Unresponsive;
         }
     }
 
     /// Takes in whether an operator's drain record names the VM; it holds for every life of it.
-    pub fn drain(&mut self, id: &str, drained: bool) {
+    pub fn set_drained(&mut self, id: &str, drained: bool) {
         if drained {
             self.drained.insert(id.to_owned());
         } else {
@@ -110,8 +110,8 @@
     pub fn state(&self, id: &str) -> State {
         match self.members.get(id) {
             None => State::Gone,
-            Some(member) if !member.is_there() => State::Gone,
-            Some(member) if member.news.leaving || self.drained.contains(id) => State::Leaving,
+            Some(member) if !member.is_present() => State::Gone,
+            Some(member) if member.update.leaving || self.drained.contains(id) => State::Leaving,
             Some(_) => State::Live,
         }
     }
@@ -119,7 +119,7 @@
     /// Life of the VM that was last heard of.
     #[must_use]
     pub fn incarnation(&self, id: &str) -> Option<Incarnation> {
-        self.members.get(id).map(|member| member.news.incarnation)
+        self.members.get(id).map(|member| member.update.incarnation)
     }
 
     /// Ids of the VMs that may get new work, in no order.
@@ -135,41 +135,41 @@
     /// The list lags: it shows a VM as live after the VM itself has said that it leaves. Within
     /// one life the leaving mark therefore stays, and a word about an earlier life is ignored;
     /// otherwise new work would go to a target that is about to stop.
-    fn merge(&mut self, id: &str, news: News) -> &mut Member {
+    fn merge(&mut self, id: &str, update: MemberUpdate) -> &mut Member {
         let member = self
             .members
             .entry(id.to_owned())
-            .or_insert_with(|| Member::new(news));
-        member.merge(news);
+            .or_insert_with(|| Member::new(update));
+        member.merge(update);
         member
     }
 }
 
 impl Member {
-    fn new(news: News) -> Self {
+    fn new(update: MemberUpdate) -> Self {
         Self {
-            news,
+            update,
             listed: false,
-            contact: Contact::Never,
+            contact: Contact::Unknown,
         }
     }
 
-    fn merge(&mut self, news: News) {
-        if news.incarnation > self.news.incarnation {
+    fn merge(&mut self, update: MemberUpdate) {
+        if update.incarnation > self.update.incarnation {
             *self = Self {
                 listed: self.listed,
-                ..Self::new(news)
+                ..Self::new(update)
             };
-        } else if news.incarnation == self.news.incarnation {
-            self.news.leaving |= news.leaving;
+        } else if update.incarnation == self.update.incarnation {
+            self.update.leaving |= update.leaving;
         }
     }
 
-    fn is_there(&self) -> bool {
+    fn is_present(&self) -> bool {
         match self.contact {
-            Contact::Heard => true,
-            Contact::Never => self.listed,
-            Contact::Silent => false,
+            Contact::Responsive => true,
+            Contact::Unknown => self.listed,
+            Contact::Unresponsive => false,
         }
     }
 }
--- a/crates/protocol/src/quarantine.rs
+++ b/crates/protocol/src/quarantine.rs
@@ -29,7 +29,7 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hash};
 use std::time::Duration;
-use suspect::{Ends, MAX_CRASHES, Moment, Span, Suspect};
+use suspect::{ExitTimes, MAX_CRASHES, Moment, Span, Suspect};
 
 /// Runners that a request may end before it is held back.
 pub const CRASH_THRESHOLD: u32 = 3;
@@ -42,7 +42,7 @@
 /// Time after which a suspect is forgotten that nobody asks for.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
 /// What is added to moments, which may lie before the start of the process.
-const OFFSET: Duration = SUSPECT_TTL;
+const EPOCH_OFFSET: Duration = SUSPECT_TTL;
 /// Lost answers, and suspects, that are remembered at most.
 const CAPACITY: usize = 1_024;
 
@@ -71,9 +71,9 @@
     suspects: HashMap<ContentId, Suspect<R>, RandomState>,
     losses: Losses<R>,
     silences: Silences<R>,
-    ends: Ends<R>,
+    exits: ExitTimes<R>,
     /// Requests that something speaks against.
-    live: usize,
+    suspect_count: usize,
 }
 
 impl<R> Default for Quarantine<R> {
@@ -82,8 +82,8 @@
             suspects: HashMap::default(),
             losses: Losses::default(),
             silences: Silences::default(),
-            ends: HashMap::default(),
-            live: 0,
+            exits: HashMap::default(),
+            suspect_count: 0,
         }
     }
 }
@@ -92,18 +92,18 @@
     /// Whether nothing speaks against any request, so that none need be looked up.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.live == 0 && self.losses.is_empty() && self.silences.is_empty()
+        self.suspect_count == 0 && self.losses.is_empty() && self.silences.is_empty()
     }
 
     /// Whether runners have ended or been silent under any request.
     #[must_use]
     pub fn has_suspects(&self) -> bool {
-        self.live > 0 || !self.silences.is_empty()
+        self.suspect_count > 0 || !self.silences.is_empty()
     }
 
     /// The answer to a request was lost that had been sent to a runner at a moment.
     pub fn answer_lost(&mut self, content: ContentId, runner: R, sent: Duration, now: Duration) {
-        self.note_loss(content, runner, sent, now, false);
+        self.record_loss(content, runner, sent, now, false);
     }
 
     /// The same for a request that was sent there apart from all others, since runners had ended under it.
@@ -114,10 +114,10 @@
         sent: Duration,
         now: Duration,
     ) {
-        self.note_loss(content, runner, sent, now, true);
+        self.record_loss(content, runner, sent, now, true);
     }
 
-    fn note_loss(
+    fn record_loss(
         &mut self,
         content: ContentId,
         runner: R,
@@ -126,8 +126,8 @@
         isolated: bool,
     ) {
         let span = Span {
-            sent: sent + OFFSET,
-            lost: now + OFFSET,
+            sent: sent + EPOCH_OFFSET,
+            lost: now + EPOCH_OFFSET,
         };
         self.losses.note(Loss {
             content,
@@ -140,9 +140,9 @@
 
     /// A runner has ended without a word. Gives what the others must be told.
     pub fn runner_exited(&mut self, runner: &R, now: Duration) -> Vec<Report<R>> {
-        let at = now + OFFSET;
-        self.silences.end_runner(runner);
-        let there = self.losses.at_end(runner, at).into_iter();
+        let at = now + EPOCH_OFFSET;
+        self.silences.runner_exited(runner);
+        let there = self.losses.take_for_exit(runner, at).into_iter();
         let report = |loss: Loss<R>| {
             let crash = Crash {
                 runner: loss.runner,
@@ -165,8 +165,8 @@
     /// Takes in what another process tells.
     pub fn merge(&mut self, report: &Report<R>, now: Duration) -> Merge {
         for crash in &report.crashes {
-            let lost = (now + OFFSET).saturating_sub(crash.lost);
-            let end = self.ends.entry(crash.runner.clone()).or_insert(lost);
+            let lost = (now + EPOCH_OFFSET).saturating_sub(crash.lost);
+            let end = self.exits.entry(crash.runner.clone()).or_insert(lost);
             *end = lost.min(*end);
         }
         let is_exposed = self.take_silences(report, now);
@@ -201,7 +201,7 @@
 
     /// Takes in crashes that were kept without the names of their runners.
     pub fn restore(&mut self, content: ContentId, count: u32, now: Duration) -> Merge {
-        self.change(content, now, |suspect, _, now| suspect.keep(count, now))
+        self.change(content, now, |suspect, _, now| suspect.restore(count, now))
     }
 
     /// Crashes are kept no more since at least `ago`: the request was answered before.
@@ -210,23 +210,23 @@
             return Merge::Known;
         }
         self.change(content, now, |suspect, _, now| {
-            let kept = suspect.kept.take().is_some();
-            suspect.clear(now.saturating_sub(ago)) || kept
+            let restored = suspect.restored.take().is_some();
+            suspect.clear(now.saturating_sub(ago)) || restored
         })
     }
 
     /// A runner has answered something: answers that it lost before were not lost by its end.
     pub fn runner_answered(&mut self, runner: &R) {
-        self.losses.forget_at(runner);
+        self.losses.forget_runner(runner);
     }
 
     /// A runner has answered the request. Others must be told if anything spoke against it.
     pub fn answered(&mut self, content: ContentId, runner: &R, now: Duration) -> Merge {
         self.runner_answered(runner);
         self.runner_observed(runner, now);
-        self.losses.forget_of(content);
+        self.losses.forget_content(content);
         let exposure = self.exposure(content, now);
-        self.silences.clear(content, now + OFFSET);
+        self.silences.clear(content, now + EPOCH_OFFSET);
         if !self.is_suspect(content) && exposure < ANNOUNCE_THRESHOLD {
             return Merge::Known;
         }
@@ -242,16 +242,16 @@
         &mut self,
         content: ContentId,
         now: Duration,
-        change: impl FnOnce(&mut Suspect<R>, &Ends<R>, Moment) -> bool,
+        change: impl FnOnce(&mut Suspect<R>, &ExitTimes<R>, Moment) -> bool,
     ) -> Merge {
-        let now = now + OFFSET;
+        let now = now + EPOCH_OFFSET;
         self.make_room(content);
         let suspect = self.suspects.entry(content);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
-        let was_held = suspect.is_held(&self.ends);
-        let new = change(suspect, &self.ends, now);
+        let was_held = suspect.is_held(&self.exits);
+        let new = change(suspect, &self.exits, now);
         suspect.used = now;
-        let is_held = suspect.is_held(&self.ends);
+        let is_held = suspect.is_held(&self.exits);
         self.recount();
         if new {
             return Merge::New { was_held, is_held };
@@ -261,17 +261,17 @@
 
     /// The end of one runner may change what counts against several requests.
     fn recount(&mut self) {
-        if self.ends.len() > CAPACITY * MAX_CRASHES {
+        if self.exits.len() > CAPACITY * MAX_CRASHES {
             let suspects = &self.suspects;
             let is_named = |runner: &R| {
                 let mut crashes = suspects.values().flat_map(|suspect| &suspect.crashes);
                 crashes.any(|crash| crash.runner == *runner)
             };
-            self.ends.retain(|runner, _| is_named(runner));
+            self.exits.retain(|runner, _| is_named(runner));
         }
-        let live = self.suspects.values();
-        self.live = live
-            .filter(|suspect| suspect.is_suspect(&self.ends))
+        let suspect_count = self.suspects.values();
+        self.suspect_count = suspect_count
+            .filter(|suspect| suspect.is_suspect(&self.exits))
             .count();
     }
 
@@ -280,7 +280,7 @@
         if self.suspects.len() < CAPACITY || self.suspects.contains_key(&content) {
             return;
         }
-        let order = |suspect: &Suspect<R>| (suspect.is_held(&self.ends), suspect.used);
+        let order = |suspect: &Suspect<R>| (suspect.is_held(&self.exits), suspect.used);
         let oldest = self.suspects.iter().min_by_key(|(_, one)| order(one));
         if let Some(oldest) = oldest.map(|(content, _)| *content) {
             self.suspects.remove(&oldest);
@@ -292,15 +292,15 @@
     /// it has done so, as far as it knows.
     #[must_use]
     pub fn admission(&self, content: ContentId, order: u32, now: Duration) -> Admission {
-        let now = now + OFFSET;
+        let now = now + EPOCH_OFFSET;
         let suspect = self.suspects.get(&content);
-        let held = suspect.filter(|suspect| suspect.is_held(&self.ends));
-        let crashes = suspect.map_or(0, |suspect| suspect.count(&self.ends));
+        let held = suspect.filter(|suspect| suspect.is_held(&self.exits));
+        let crashes = suspect.map_or(0, |suspect| suspect.count(&self.exits));
         let exposure = self.silences.count(content, now);
         if crashes + exposure < CRASH_THRESHOLD {
             return Admission::Free;
         }
-        let due = held.map(|held| held.due(&self.ends) + TRIAL_STAGGER.saturating_mul(order));
+        let due = held.map(|held| held.due(&self.exits) + TRIAL_STAGGER.saturating_mul(order));
         let resolved = self.silences.until(content, now);
         let due = due.max(resolved).unwrap_or_default();
         match (due.saturating_sub(now), held) {
@@ -335,29 +335,29 @@
     #[must_use]
     pub fn is_suspect(&self, content: ContentId) -> bool {
         let suspect = self.suspects.get(&content);
-        suspect.is_some_and(|suspect| suspect.is_suspect(&self.ends))
+        suspect.is_some_and(|suspect| suspect.is_suspect(&self.exits))
     }
 
     /// Runners that have ended under a request, those that ended in one moment included.
     #[must_use]
     pub fn crashes(&self, content: ContentId) -> u32 {
         let suspect = self.suspects.get(&content);
-        suspect.map_or(0, |suspect| suspect.all(&self.ends))
+        suspect.map_or(0, |suspect| suspect.all(&self.exits))
     }
 
     /// Whether a request is held back, so that its turn must be known.
     #[must_use]
     pub fn is_held(&self, content: ContentId) -> bool {
         let suspect = self.suspects.get(&content);
-        suspect.is_some_and(|suspect| suspect.is_held(&self.ends))
+        suspect.is_some_and(|suspect| suspect.is_held(&self.exits))
     }
 
     /// A request that is due is sent to a runner. Unless that answers, the next trial comes later. Gives
     /// what the others must be told.
     pub fn begin_trial(&mut self, content: ContentId, now: Duration) -> Option<Report<R>> {
-        self.change(content, now, |suspect, ends, now| {
+        self.change(content, now, |suspect, exits, now| {
             // One that ended no runner is made again, as if it had not been.
-            let has_ended = suspect.last_crash(ends) >= suspect.tried;
+            let has_ended = suspect.last_crash(exits) >= suspect.tried;
             suspect.trials += u32::from(has_ended);
             suspect.tried = Some(now);
             true
@@ -368,7 +368,7 @@
     /// Somebody asked for a request that is held back.
     pub fn touch(&mut self, content: ContentId, now: Duration) {
         if let Some(suspect) = self.suspects.get_mut(&content) {
-            suspect.used = now + OFFSET;
+            suspect.used = now + EPOCH_OFFSET;
         }
     }
 
@@ -376,12 +376,12 @@
     #[must_use]
     pub fn report(&self, content: ContentId, now: Duration) -> Option<Report<R>> {
         let is_known = self.suspects.contains_key(&content) || self.exposure(content, now) > 0;
-        is_known.then(|| self.report_at(content, now + OFFSET))
+        is_known.then(|| self.report_at(content, now + EPOCH_OFFSET))
     }
 
     fn report_at(&self, content: ContentId, now: Moment) -> Report<R> {
         let suspect = self.suspects.get(&content);
-        let report = suspect.map(|suspect| suspect.report(content, &self.ends, now));
+        let report = suspect.map(|suspect| suspect.report(content, &self.exits, now));
         Report {
             silences: self.silences.report(content, now),
             ..report.unwrap_or_else(|| Report::new(content))
@@ -393,7 +393,7 @@
     pub fn reports(&self, now: Duration) -> Vec<Report<R>> {
         let suspects = self.suspects.keys().copied();
         let mut contents: Vec<ContentId> = suspects
-            .chain(self.silences.contents(now + OFFSET))
+            .chain(self.silences.contents(now + EPOCH_OFFSET))
             .collect();
         contents.sort_unstable();
         contents.dedup();
@@ -405,13 +405,13 @@
 
     /// Forgets suspects that nobody has asked for, and gives those that were held back.
     pub fn forget_old(&mut self, now: Duration) -> Vec<ContentId> {
-        let now = now + OFFSET;
+        let now = now + EPOCH_OFFSET;
         let old = |suspect: &Suspect<R>| {
-            suspect.used + SUSPECT_TTL < now && suspect.due(&self.ends) < now
+            suspect.used + SUSPECT_TTL < now && suspect.due(&self.exits) < now
         };
         let gone = self.suspects.iter().filter(|(_, suspect)| old(suspect));
         let gone: Vec<(ContentId, bool)> = gone
-            .map(|(content, suspect)| (*content, suspect.is_held(&self.ends)))
+            .map(|(content, suspect)| (*content, suspect.is_held(&self.exits)))
             .collect();
         for (content, _) in &gone {
             self.suspects.remove(content);
@@ -426,7 +426,7 @@
     pub fn held_count(&self) -> usize {
         let suspects = self.suspects.values();
         suspects
-            .filter(|suspect| suspect.is_held(&self.ends))
+            .filter(|suspect| suspect.is_held(&self.exits))
             .count()
     }
 }
--- a/crates/protocol/src/quarantine/exposure.rs
+++ b/crates/protocol/src/quarantine/exposure.rs
@@ -2,7 +2,7 @@
 
 use super::loss::Loss;
 use super::suspect::Span;
-use super::{CRASH_THRESHOLD, OFFSET, Quarantine, Report};
+use super::{CRASH_THRESHOLD, EPOCH_OFFSET, Quarantine, Report};
 use crate::id::ContentId;
 use std::hash::Hash;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 impl<R: Clone + Eq + Hash> Quarantine<R> {
     /// Something has come from a runner, whatever for.
     pub fn runner_observed(&mut self, runner: &R, now: Duration) {
-        self.silences.observe(runner, now + OFFSET);
+        self.silences.observe(runner, now + EPOCH_OFFSET);
         self.losses.observe(runner);
     }
 
@@ -23,13 +23,13 @@
         sent: Duration,
         now: Duration,
     ) -> Option<Report<R>> {
-        if !self.silences.is_silent(runner, sent + OFFSET) {
+        if !self.silences.is_silent(runner, sent + EPOCH_OFFSET) {
             return None;
         }
         // Should it turn out to have ended, the request was there.
         let span = Span {
-            sent: sent + OFFSET,
-            lost: now + OFFSET,
+            sent: sent + EPOCH_OFFSET,
+            lost: now + EPOCH_OFFSET,
         };
         self.losses.note(Loss {
             content,
@@ -38,7 +38,7 @@
             isolated: false,
             provisional: true,
         });
-        let (sent, now) = (sent + OFFSET, now + OFFSET);
+        let (sent, now) = (sent + EPOCH_OFFSET, now + EPOCH_OFFSET);
         let new = self.silences.note(content, runner, sent, now, now);
         new.then(|| self.report_at(content, now))
     }
@@ -46,7 +46,7 @@
     /// Runners that hold a request unanswered, and from which nothing has come since.
     #[must_use]
     pub fn exposure(&self, content: ContentId, now: Duration) -> u32 {
-        self.silences.count(content, now + OFFSET)
+        self.silences.count(content, now + EPOCH_OFFSET)
     }
 
     /// Runners that have ended under a request, and those that may have.
@@ -57,12 +57,12 @@
 
     /// A request is sent to a runner; [`Quarantine::attempt_ended`] follows.
     pub fn attempt_started(&mut self, content: ContentId, runner: R) {
-        self.silences.begin(content, runner);
+        self.silences.attempt_started(content, runner);
     }
 
     /// A request is in progress at a runner no more.
     pub fn attempt_ended(&mut self, content: ContentId, runner: &R) {
-        self.silences.end(content, runner);
+        self.silences.attempt_ended(content, runner);
     }
 
     /// Whether a request may be sent to one more runner beside those at which it is in progress: one that
@@ -70,18 +70,18 @@
     #[must_use]
     pub fn may_spread(&self, content: ContentId, now: Duration) -> bool {
         let risk = self.risk(content, now);
-        let open = || self.silences.open(content, now + OFFSET);
+        let open = || self.silences.in_progress(content, now + EPOCH_OFFSET);
         risk == 0 || risk >= CRASH_THRESHOLD || risk + open() < CRASH_THRESHOLD
     }
 
     /// Runners that are silent, some more than once.
     pub fn silent_runners(&self, now: Duration) -> impl Iterator<Item = &R> {
-        self.silences.runners(now + OFFSET)
+        self.silences.runners(now + EPOCH_OFFSET)
     }
 
     /// Takes in which runners are silent; tells whether some were not known to be.
     pub(super) fn take_silences(&mut self, report: &Report<R>, now: Duration) -> bool {
-        let now = now + OFFSET;
+        let now = now + EPOCH_OFFSET;
         let at = |ago: Duration| now.saturating_sub(ago);
         let known = self.suspects.get(&report.content);
         let known = known.and_then(|suspect| suspect.cleared);
--- a/crates/protocol/src/quarantine/loss.rs
+++ b/crates/protocol/src/quarantine/loss.rs
@@ -9,7 +9,7 @@
 /// Time after the loss of an answer in which the end of its runner is put down to the request.
 const TTL: Duration = Duration::from_secs(5);
 /// Time within which the answer to a request is lost that was sent to a runner which had ended.
-const LOST_AT_ONCE: Duration = Duration::from_millis(250);
+const IMMEDIATE_LOSS: Duration = Duration::from_millis(250);
 
 /// An answer that was lost.
 #[derive(Clone, Debug)]
@@ -49,22 +49,22 @@
 
     /// Removes those of a runner that has ended, and gives those that its end explains. What was sent later
     /// met a runner that had ended already.
-    pub(super) fn at_end(&mut self, runner: &R, at: Moment) -> VecDeque<Loss<R>> {
+    pub(super) fn take_for_exit(&mut self, runner: &R, at: Moment) -> VecDeque<Loss<R>> {
         let (mut under, losses): (VecDeque<Loss<R>>, _) = std::mem::take(&mut self.0)
             .into_iter()
             .filter(|loss| loss.span.lost + TTL >= at)
             .partition(|loss| loss.runner == *runner);
         self.0 = losses;
-        let end = end_of(&under);
+        let exit = exit_time(&under);
         under.retain(|loss| {
-            let was_there = |end| loss.provisional || end <= loss.span.lost;
-            end.is_some_and(|end| loss.span.sent <= end && was_there(end))
+            let was_there = |exit| loss.provisional || exit <= loss.span.lost;
+            exit.is_some_and(|exit| loss.span.sent <= exit && was_there(exit))
         });
         under
     }
 
     /// The runner has answered since: it did not lose them by its end.
-    pub(super) fn forget_at(&mut self, runner: &R) {
+    pub(super) fn forget_runner(&mut self, runner: &R) {
         self.0.retain(|loss| loss.runner != *runner);
     }
 
@@ -75,16 +75,16 @@
     }
 
     /// The request has been answered.
-    pub(super) fn forget_of(&mut self, content: ContentId) {
+    pub(super) fn forget_content(&mut self, content: ContentId) {
         self.0.retain(|loss| loss.content != content);
     }
 }
 
 /// When a runner ended that lost these answers: the first of them, but for those lost before another request
 /// was sent that it was at work on for a while.
-fn end_of<R>(losses: &VecDeque<Loss<R>>) -> Option<Moment> {
-    let worked = |loss: &&Loss<R>| loss.span.sent + LOST_AT_ONCE < loss.span.lost;
-    let lived = losses
+fn exit_time<R>(losses: &VecDeque<Loss<R>>) -> Option<Moment> {
+    let worked = |loss: &&Loss<R>| loss.span.sent + IMMEDIATE_LOSS < loss.span.lost;
+    let alive_since = losses
         .iter()
         .filter(worked)
         .map(|loss| loss.span.sent)
@@ -93,6 +93,6 @@
     let has_final = losses.iter().any(|loss| is_final(&loss));
     let lost = losses.iter().filter(|loss| !has_final || is_final(loss));
     let lost = lost.map(|loss| loss.span.lost);
-    lost.filter(|lost| lived.is_none_or(|lived| *lost > lived))
+    lost.filter(|lost| alive_since.is_none_or(|alive_since| *lost > alive_since))
         .min()
 }
--- a/crates/protocol/src/reader.rs
+++ b/crates/protocol/src/reader.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Reader {
     /// Greatest age at which others are relied on.
-    most: Duration,
+    max_age: Duration,
     after: Option<RowRevision>,
     current: Duration,
     /// When the table was last asked in vain, unless it answered since.
@@ -58,11 +58,11 @@
 }
 
 impl Reader {
-    /// One that knows nothing yet, and relies on others for knowledge no older than `most`.
+    /// One that knows nothing yet, and relies on others for knowledge no older than `max_age`.
     #[must_use]
-    pub fn new(most: Duration) -> Self {
+    pub fn new(max_age: Duration) -> Self {
         Self {
-            most,
+            max_age,
             after: None,
             current: Duration::ZERO,
             failed: None,
@@ -89,7 +89,7 @@
     pub fn trusts_peers_until(&self) -> Option<Duration> {
         self.after?;
         let since = self.failed.map_or(self.current, |at| at.max(self.current));
-        Some(since + self.most)
+        Some(since + self.max_age)
     }
 
     /// The table answered a question that was asked at `current`, or had nothing newer until then.
--- a/crates/protocol/src/stage.rs
+++ b/crates/protocol/src/stage.rs
@@ -115,8 +115,8 @@
         match call.on(event) {
             [Some(call::Action::Accept), _] => self.accept(attempt, event),
             [Some(call::Action::Drop), _] => self.drop_message(),
-            [Some(call::Action::End(end)), _] => self.over(attempt, end),
-            actions => self.pass(attempt, actions),
+            [Some(call::Action::End(end)), _] => self.attempt_ended(attempt, end),
+            actions => self.forward(attempt, actions),
         }
     }
 
@@ -139,7 +139,7 @@
             return self.given_up.then_some(Outcome::NotRun);
         }
         self.outcomes()
-            .try_fold(Outcome::NotRun, |worst, end| Some(worse(worst, end?)))
+            .try_fold(Outcome::NotRun, |worst, end| Some(combine(worst, end?)))
     }
 
     /// Attempts that have not ended.
@@ -204,12 +204,12 @@
         if sequence != self.next || !self.may_own(attempt) {
             return self.drop_message();
         }
-        let losers = match self.owner.replace(attempt) {
-            None => self.losers(attempt),
+        let cancel_others = match self.owner.replace(attempt) {
+            None => self.cancel_others(attempt),
             Some(_) => None,
         };
         self.next += 1;
-        [Some(Action::Accept), losers]
+        [Some(Action::Accept), cancel_others]
     }
 
     /// Chunks of two attempts must not be mixed: the caller would get an answer that no runner
@@ -218,10 +218,10 @@
         self.owner.is_none_or(|owner| owner == attempt)
     }
 
-    fn over(&mut self, attempt: Attempt, end: Outcome) -> Actions {
-        if end == Outcome::Complete && self.has_all_of(attempt) {
+    fn attempt_ended(&mut self, attempt: Attempt, end: Outcome) -> Actions {
+        if end == Outcome::Complete && self.is_complete(attempt) {
             self.committed = Some(attempt);
-            return [Some(Action::Commit), self.losers(attempt)];
+            return [Some(Action::Commit), self.cancel_others(attempt)];
         }
         if self.owner == Some(attempt) {
             self.owner = None;
@@ -234,30 +234,32 @@
 
     /// A stream counts as whole only if the caller has every chunk of it; an attempt whose chunks
     /// were dropped because another one owned the stream does not make it whole.
-    fn has_all_of(&self, attempt: Attempt) -> bool {
+    fn is_complete(&self, attempt: Attempt) -> bool {
         let due = self.call(attempt).map(Call::next);
         !self.mode.stream || (self.may_own(attempt) && due == Some(self.next))
     }
 
-    fn losers(&self, winner: Attempt) -> Option<Action> {
+    fn cancel_others(&self, winner: Attempt) -> Option<Action> {
         self.live()
             .any(|attempt| attempt != winner)
             .then_some(Action::CancelOthers)
     }
 
-    fn pass(&mut self, attempt: Attempt, actions: call::Actions) -> Actions {
+    fn forward(&mut self, attempt: Attempt, actions: call::Actions) -> Actions {
         let [first, second] = actions;
         match first {
             Some(call::Action::Grant) => [Some(Action::Grant), None],
             Some(call::Action::Deny) => [Some(Action::Deny), None],
-            Some(call::Action::Revoke) => [Some(Action::Revoke), self.revoked(attempt, second)],
+            Some(call::Action::Revoke) => {
+                [Some(Action::Revoke), self.after_revoke(attempt, second)]
+            }
             _ => [None, None],
         }
     }
 
-    fn revoked(&mut self, attempt: Attempt, then: Option<call::Action>) -> Option<Action> {
+    fn after_revoke(&mut self, attempt: Attempt, then: Option<call::Action>) -> Option<Action> {
         match then {
-            Some(call::Action::End(end)) => self.over(attempt, end)[0],
+            Some(call::Action::End(end)) => self.attempt_ended(attempt, end)[0],
             _ => None,
         }
     }
@@ -269,7 +271,7 @@
 }
 
 /// An attempt that was whole but not committed did run, though its answer is lost to the caller.
-fn worse(one: Outcome, other: Outcome) -> Outcome {
+fn combine(one: Outcome, other: Outcome) -> Outcome {
     match (one, other) {
         (Outcome::Unknown | Outcome::Complete, _) | (_, Outcome::Unknown | Outcome::Complete) => {
             Outcome::Unknown
--- a/crates/protocol/tests/news_search.rs
+++ b/crates/protocol/tests/news_search.rs
@@ -4,7 +4,7 @@
 mod search;
 
 use protocol::follower::{self, Event, Follower};
-use protocol::member::{Members, News, State};
+use protocol::member::{MemberUpdate, Members, State};
 use protocol::{Incarnation, Revision};
 use search::{System, fails, holds};
 
@@ -216,28 +216,28 @@
     }
 
     fn take(&mut self, word: Word) {
-        let news = |incarnation, leaving| News {
+        let news = |incarnation, leaving| MemberUpdate {
             incarnation,
             leaving,
         };
         match word {
             Word::Heard(life, leaving) => {
                 self.note(life, leaving);
-                self.members.hear("vm", news(life, leaving));
+                self.members.observe("vm", news(life, leaving));
             }
             Word::Listed(life, leaving) => {
                 self.note(life, leaving);
                 if self.mutation == Mutation::ListClears {
                     self.members = Members::new();
                 }
-                self.members.list([("vm", news(life, leaving))]);
+                self.members.set_listed([("vm", news(life, leaving))]);
             }
-            Word::Unlisted => self.members.list([]),
-            Word::Silent(life) => self.members.silence("vm", life),
+            Word::Unlisted => self.members.set_listed([]),
+            Word::Silent(life) => self.members.mark_unresponsive("vm", life),
             Word::Drain(drained) => {
                 self.drained = drained;
                 let seen = self.mutation != Mutation::DrainUnseen;
-                self.members.drain("vm", drained && seen);
+                self.members.set_drained("vm", drained && seen);
             }
         }
     }
--- a/crates/protocol/tests/news_twins.rs
+++ b/crates/protocol/tests/news_twins.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use protocol::follower::{self, Follower};
-use protocol::member::{Members, News, State};
+use protocol::member::{MemberUpdate, Members, State};
 use protocol::{Incarnation, Revision};
 
 fn config() -> ProptestConfig {
@@ -130,13 +130,13 @@
     fn member_twin(words in prop::collection::vec(word(), 0..40)) {
         let mut members = Members::new();
         for (i, word) in words.iter().enumerate() {
-            let news = |incarnation, leaving| News { incarnation, leaving };
+            let news = |incarnation, leaving| MemberUpdate { incarnation, leaving };
             match *word {
-                Word::Heard(life, leaving) => members.hear("vm", news(life, leaving)),
-                Word::Listed(life, leaving) => members.list([("vm", news(life, leaving))]),
-                Word::Unlisted => members.list([]),
-                Word::Silent(life) => members.silence("vm", life),
-                Word::Drain(drained) => members.drain("vm", drained),
+                Word::Heard(life, leaving) => members.observe("vm", news(life, leaving)),
+                Word::Listed(life, leaving) => members.set_listed([("vm", news(life, leaving))]),
+                Word::Unlisted => members.set_listed([]),
+                Word::Silent(life) => members.mark_unresponsive("vm", life),
+                Word::Drain(drained) => members.set_drained("vm", drained),
             }
             prop_assert_eq!(members.state("vm"), judge(&words[..=i]));
         }
--- a/crates/protocol/tests/traces.rs
+++ b/crates/protocol/tests/traces.rs
@@ -7,7 +7,7 @@
 use protocol::follower::{self, Follower};
 use protocol::gate::{self, Gate};
 use protocol::lease::{self, Lease, Timing};
-use protocol::member::{self, Members, News};
+use protocol::member::{self, MemberUpdate, Members};
 use std::time::Duration;
 
 /// An agent starts a label print, dies and is started again. The entry asks for the answer, and
@@ -190,17 +190,17 @@
 /// Only the new life gets work again, and none while an operator drains the VM.
 #[test]
 fn stale_list() {
-    let news = |incarnation, leaving| News {
+    let news = |incarnation, leaving| MemberUpdate {
         incarnation,
         leaving,
     };
     let mut members = Members::new();
-    members.hear("vm", news(2, true));
-    members.list([("vm", news(2, false))]);
-    members.hear("vm", news(1, false));
+    members.observe("vm", news(2, true));
+    members.set_listed([("vm", news(2, false))]);
+    members.observe("vm", news(1, false));
     assert_eq!(members.state("vm"), member::State::Leaving);
-    members.hear("vm", news(3, false));
+    members.observe("vm", news(3, false));
     assert_eq!(members.state("vm"), member::State::Live);
-    members.drain("vm", true);
+    members.set_drained("vm", true);
     assert_eq!(members.state("vm"), member::State::Leaving);
 }
