--- a/crates/protocol/src/activation.rs
+++ b/crates/protocol/src/activation.rs
@@ -1,14 +1,15 @@
-//! A process that shares a bounded number of places with others, by a list that each reads itself.
+//! When a newly registered process may act in a group of bounded size.
 //!
-//! Only so many processes may do a kind of work at a time. Each computes from the names on a list who
-//! they are, without a word between them. A process that has just joined the list is unknown to those
-//! that read it before; both the newcomer and the one whose place it takes would do the work. So a
-//! newcomer waits until all that act must have read its row, and one whose list is older than that
-//! does not act.
+//! Only a limited number of processes may do a kind of work at a time. Each process computes from a
+//! list of names, which it reads itself, which processes these are; they do not communicate about
+//! it. A process that has just registered is unknown to those that read the list earlier, so both
+//! the new process and the one that it replaces would do the work. So a new process waits until all
+//! acting processes must have read its row, and a process whose list is older than that does not
+//! act.
 
 use std::time::Duration;
 
-/// One process's part in such work. Moments are counted from its start.
+/// One process's participation in such work. Times are measured from its start.
 ///
 /// # Examples
 ///
@@ -17,30 +18,30 @@
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut roster = Activation::new(second * 2, second);
-/// roster.mark_registered(Duration::ZERO);
-/// roster.read(second * 2);
-/// assert!(!roster.may_act(second * 2), "others may not know it yet");
-/// assert!(roster.may_act(second * 3));
-/// assert!(!roster.may_act(second * 5), "its list is too old");
+/// let mut activation = Activation::new(second * 2, second);
+/// activation.mark_registered(Duration::ZERO);
+/// activation.read(second * 2);
+/// assert!(!activation.may_act(second * 2), "others may not know it yet");
+/// assert!(activation.may_act(second * 3));
+/// assert!(!activation.may_act(second * 5), "its list is too old");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Activation {
-    /// Greatest age of a list that is acted on.
+    /// Greatest age of a list on which the process may act.
     max_age: Duration,
-    /// Time that lies between the last act of one process and the first of the one that takes its
-    /// place, at least.
+    /// Minimum time between the last action of one process and the first action of its replacement.
     handover_gap: Duration,
-    /// Since when the own row has been on the list.
+    /// When the process's own row was first on the list.
     registered: Option<Duration>,
-    /// Whether the own row was known to all that act before the start.
+    /// Whether all acting processes knew the process's own row before its start.
     known_before: bool,
-    /// Moment at which the list held no row that is not known.
+    /// Latest time as of which every row on the list is known.
     current: Option<Duration>,
 }
 
 impl Activation {
-    /// One whose row is not on the list yet, and that knows nothing of the list.
+    /// Creates the state of a process whose row is not on the list yet, and that has not read the
+    /// list.
     #[must_use]
     pub fn new(max_age: Duration, handover_gap: Duration) -> Self {
         Self {
@@ -52,28 +53,29 @@
         }
     }
 
-    /// The own row is on the list.
+    /// Records that the process's own row is on the list.
     pub fn mark_registered(&mut self, now: Duration) {
         self.registered.get_or_insert(now);
     }
 
-    /// The own row says that an earlier start under the same name had waited for long enough.
+    /// Records that, by the process's own row, an earlier start under the same name had waited long
+    /// enough.
     pub fn mark_known(&mut self) {
         self.known_before = true;
     }
 
-    /// All rows are known that were on the list at `current`.
+    /// Records that all rows that were on the list at `current` are known.
     pub fn read(&mut self, current: Duration) {
         self.current = self.current.max(Some(current));
     }
 
-    /// The process did not run for a while that its clock may not have counted: the age of what it
-    /// knows cannot be told.
+    /// Records that the process was suspended for a time that its clock may not have counted, so
+    /// that the age of its list is unknown.
     pub fn invalidate(&mut self) {
         self.current = None;
     }
 
-    /// When the own row is known to all that act; `None` before it is on the list.
+    /// When all acting processes know the process's own row; `None` before it is on the list.
     #[must_use]
     pub fn known_from(&self) -> Option<Duration> {
         if self.known_before {
@@ -82,7 +84,7 @@
         Some(self.registered? + self.max_age + self.handover_gap)
     }
 
-    /// Whether the process may act now, if it has a place by the names that it knows.
+    /// Whether the process may act now, provided the known names give it a place.
     #[must_use]
     pub fn may_act(&self, now: Duration) -> bool {
         let known = self.known_from().is_some_and(|moment| moment <= now);
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -1,70 +1,70 @@
-//! The entry's view of one attempt: what has been promised, what may be told to the caller.
+//! The entry's view of one attempt: what has been granted, and what the client may be told.
 //!
-//! An attempt of a call that may not be repeated is offered first and runs only after the entry
-//! has granted it. Before the grant the entry may say *not run* at any time, because an agent
-//! that wakes up with the old offer will be denied. After the grant only the agent's own word
-//! makes it *not run*; without that word the outcome is *unknown*.
+//! An attempt at a call that may not be repeated is offered first and runs only after the entry has
+//! granted it. Before the grant, the entry may report *not run* at any time, because an agent that
+//! resumes with the old offer is denied. After the grant, only a message of the agent can make the
+//! outcome *not run*; without one, the outcome is *unknown*.
 //!
-//! An attempt is offered once. Offered again after a grant, it could be refused in truth by a
-//! restarted agent although the agent's earlier life had run it; and a grant goes out on the link
-//! that the question came on, so that it never reaches a later life of the agent.
+//! An attempt is offered only once. If it were offered again after a grant, a restarted agent could
+//! truthfully refuse it although an earlier incarnation of the agent had run it. A grant is sent on
+//! the link on which the agent asked for it, so that it never reaches a later incarnation.
 
 use crate::id::Sequence;
 
-/// What has become of the attempt.
+/// State of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// The offer may have reached the agent; no grant was given.
+    /// The offer may have reached the agent; no grant has been sent.
     Offered,
-    /// The agent may have started, or may start at any later time.
+    /// The agent may have started, or may still start.
     Granted,
-    /// Over; nothing that arrives later changes the end.
+    /// The attempt has ended; later messages do not change the outcome.
     Ended(Outcome),
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// No runner started it and none ever will.
+    /// No runner has started the attempt and none ever will.
     NotRun,
-    /// Every chunk of the answer has arrived.
+    /// Every chunk of the response has arrived.
     Complete,
-    /// The runner answered with an error.
+    /// The runner responded with an error.
     Failed,
-    /// It may have run, may be running, or may yet run.
+    /// The attempt may have run, may be running, or may still run.
     Unknown,
 }
 
-/// What reaches the entry, or what the entry decides, about the attempt.
+/// Messages and decisions that concern the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The agent has a free slot and asks for permission to start.
+    /// The agent has a free slot and requests a grant.
     Ask,
-    /// The agent says that it did not start the attempt and never will.
+    /// The agent reports that it did not start the attempt and never will.
     Refuse,
-    /// The agent has no memory of the attempt and will not start it.
+    /// The agent does not know the attempt and will not start it.
     Forgotten,
-    /// The agent says that the runner has the work.
+    /// The agent reports that the runner has received the work.
     Started,
-    /// A chunk of the answer.
+    /// A chunk of the response.
     Chunk {
-        /// Position in the answer.
+        /// Position in the response.
         sequence: Sequence,
         /// Bytes in the chunk.
         length: u32,
     },
-    /// The end mark of the answer.
+    /// The end marker of the response.
     Done {
-        /// Chunks in the whole answer.
+        /// Number of chunks in the complete response.
         chunks: Sequence,
-        /// Bytes in all chunks of this attempt.
+        /// Number of bytes in all chunks of this attempt.
         length: u64,
     },
-    /// The runner answered with an error.
+    /// The runner responded with an error.
     Fail,
     /// The agent lost the runner after it had started the attempt.
     RunnerLost,
-    /// The link to the agent is gone.
+    /// The link to the agent is lost.
     LinkLost,
     /// The entry no longer wants the attempt to start.
     GiveUp,
@@ -73,17 +73,17 @@
 /// What the entry must do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Let the agent start.
+    /// Allow the agent to start.
     Grant,
-    /// Tell the agent never to start.
+    /// Forbid the agent to start, for good.
     Deny,
     /// Ask the agent to drop the attempt if it has not started.
     Revoke,
-    /// Take the chunk as the next part of the answer.
+    /// Append the chunk to the response.
     Accept,
-    /// Count the message as a duplicate or stray and drop it.
+    /// Count the message as a duplicate or stray, and drop it.
     Drop,
-    /// The attempt is over.
+    /// The attempt has ended.
     End(Outcome),
 }
 
@@ -106,11 +106,11 @@
     bytes: u64,
 }
 
-/// At most two actions follow an event.
+/// Actions after an event; at most two.
 pub type Actions = [Option<Action>; 2];
 
 impl Call {
-    /// An attempt that has just been offered; its first chunk bears the number `first`.
+    /// Creates an attempt that has just been offered; its first chunk has the number `first`.
     #[must_use]
     pub fn offer(repeatable: bool, first: Sequence) -> Self {
         Self {
@@ -121,25 +121,25 @@
         }
     }
 
-    /// What has become of the attempt so far.
+    /// State of the attempt.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether the call may run more than once, so that it needs no grant.
+    /// Whether the call may run more than once, and therefore needs no grant.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.repeatable
     }
 
-    /// Number of the chunk that is due next.
+    /// Number of the next expected chunk.
     #[must_use]
     pub fn next(&self) -> Sequence {
         self.next
     }
 
-    /// Takes in an event and says what to do.
+    /// Processes an event and returns the actions to take.
     pub fn on(&mut self, event: Event) -> Actions {
         if let State::Ended(_) = self.state {
             return Self::after_end(event);
@@ -157,8 +157,8 @@
         }
     }
 
-    /// A delayed question must still be denied: an agent that was frozen with the offer would
-    /// otherwise run work that the caller was told had not run.
+    /// A delayed request for a grant must still be denied: an agent that was suspended with the
+    /// offer would otherwise run work that the client was told had not run.
     fn after_end(event: Event) -> Actions {
         match event {
             Event::Ask => [Some(Action::Deny), None],
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Grants once only: a second question comes from a duplicated offer, and a second grant
-    /// would run the call twice.
+    /// Grants only once: a second request for a grant comes from a duplicated offer, and a second
+    /// grant would run the call twice.
     fn ask(&mut self) -> Actions {
         if self.state == State::Offered {
             self.state = State::Granted;
@@ -192,8 +192,8 @@
         [Some(Action::Accept), None]
     }
 
-    /// An answer counts only with its declared number of chunks and bytes; a cut-short one is
-    /// reported as unknown, never passed on as whole.
+    /// A response is complete only with the declared number of chunks and bytes. A truncated one is
+    /// reported as unknown and never passed on as complete.
     fn done(&mut self, chunks: Sequence, length: u64) -> Actions {
         if chunks == self.next && length == self.bytes {
             return self.end(Outcome::Complete);
@@ -201,9 +201,9 @@
         self.end(Outcome::Unknown)
     }
 
-    /// A restarted agent remembers nothing, so its word that it does not know the attempt says
-    /// nothing about whether it started it before. Only an attempt that needed a grant and got
-    /// none has certainly not run.
+    /// A restarted agent remembers nothing, so its report that it does not know the attempt does
+    /// not show whether it started the attempt before. Only an attempt that needed a grant and
+    /// never got one has certainly not run.
     fn link_lost(&mut self) -> Actions {
         if self.state == State::Offered && !self.repeatable {
             return self.end(Outcome::NotRun);
@@ -211,8 +211,8 @@
         self.end(Outcome::Unknown)
     }
 
-    /// A call that runs without a grant may already run, so only the agent's refusal can still
-    /// make it *not run*.
+    /// A call that needs no grant may already be running, so only a refusal by the agent can still
+    /// make its outcome *not run*.
     fn give_up(&mut self) -> Actions {
         if self.state != State::Offered {
             return [None, None];
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -1,91 +1,92 @@
-//! At most once across entries, for a call with an idempotency key.
+//! At-most-once execution across entries for a call with an idempotency key.
 //!
-//! Before the call is offered to any agent, the entry writes a claim row under the caller's key,
-//! if there is none. The row bears the writer's unique token, so that a write whose answer was
-//! lost is settled by reading the row back. Every write names the row's revision that it expects,
-//! so that one which takes effect late finds the row changed and does nothing.
+//! Before the entry offers the call to an agent, it inserts a claim row under the client's key. The
+//! row carries the writer's unique token, so that a write whose response was lost is resolved by
+//! reading the row back. Every write names the revision of the row that it expects, so that a write
+//! that takes effect late finds the row changed and does nothing.
 //!
-//! Where the claimant dies, its row stays claimed: nobody can know whether the call ran, so the
-//! outcome is *unknown* and no entry runs it again.
+//! If the claimant fails, its row stays claimed: nobody can know whether the call ran, so the
+//! outcome is *unknown* and no entry runs the call again.
 
 use crate::id::{self, RequestId, RowRevision, Token};
 use serde::{Deserialize, Serialize};
 
-/// What the row says about the call.
+/// State of the call as recorded in the row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Progress {
     /// An entry has the right to run the call and may have run it.
     Claimed,
-    /// The answer is kept under the row's request.
+    /// The response is stored under the row's request.
     Answered,
-    /// The call did not run; the next caller may run it.
+    /// The call did not run; the next client may run it.
     Released,
 }
 
 /// Content of a claim row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// The claim that wrote the row.
+    /// Token of the claim that wrote the row.
     #[serde(with = "id::hex")]
     pub token: Token,
-    /// Request that has, or had, the claim; its answer is kept under this identity.
+    /// Request that holds or held the claim; its response is stored under this identity.
     #[serde(with = "id::hex")]
     pub request: RequestId,
-    /// Hash of the call's content, so that a key used for another call is noticed.
+    /// Hash of the call's content, which reveals a key that is reused for a different call.
     pub digest: u64,
-    /// What has become of the call.
+    /// State of the call.
     pub progress: Progress,
 }
 
 /// A row together with the transaction that last wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoredRow {
-    /// Content.
+    /// Content of the row.
     pub row: Row,
-    /// Transaction that last wrote it.
+    /// Transaction that last wrote the row.
     pub revision: RowRevision,
 }
 
-/// What the entry tells the caller, or does, once the claim is settled.
+/// Result of the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// The call is this entry's to run.
+    /// This entry may run the call.
     Granted,
-    /// Another request has the claim: *unknown*; the caller asks for that request.
+    /// Another request holds the claim: the outcome is *unknown*, and the client asks for that
+    /// request.
     Running(RequestId),
-    /// The call has been answered: hand out the answer kept under that request.
+    /// The call has been answered: return the response stored under that request.
     Answered(RequestId),
     /// The key was used for a call with other content; nothing was run.
     Mismatch,
-    /// The table could not be written: *not run*. The claim may still have to be cleaned up: until
-    /// [`Claim::is_settled`], feed [`Event::Retry`] and carry out what follows.
+    /// The table could not be written: *not run*. The claim may still need cleaning up: until
+    /// [`Claim::is_settled`], pass [`Event::Retry`] and carry out the resulting actions.
     Unavailable,
 }
 
-/// What reaches the claim.
+/// Events that concern the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The write took effect as this transaction.
     Written(RowRevision),
-    /// The write did nothing, since the row is as given; or the row as it was read.
+    /// The write did nothing because the row is as given, or the row as it was read.
     Found(Option<StoredRow>),
-    /// The table refused the write or read before it did anything.
+    /// The table rejected the write or read before doing anything.
     Unavailable,
-    /// No answer came; the write may have taken effect or may yet.
+    /// No response arrived; the write may have taken effect, or may still do so.
     Unsure,
     /// The call did not run and never will.
     NotRun,
-    /// The call's answer has been kept under its request.
+    /// The call's response has been stored under its request.
     Answered,
-    /// Time to try again what could not be done.
+    /// It is time to retry what has failed.
     Retry,
 }
 
 /// What the entry must do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write the row if its revision is still this one; `None`: if there is no row.
+    /// Write the row if its revision still equals `check`, or insert it if `check` is `None`.
     Write {
         /// Expected revision.
         check: Option<RowRevision>,
@@ -94,9 +95,9 @@
     },
     /// Read the row.
     Read,
-    /// Tell the caller, or start the call.
+    /// Report the verdict to the client, or start the call.
     Resolve(Verdict),
-    /// Feed [`Event::Retry`] after a while.
+    /// Pass [`Event::Retry`] after a delay.
     RetryLater,
     /// Nothing to do.
     Ignore,
@@ -104,13 +105,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// The caller waits for the verdict.
+    /// The client waits for the verdict.
     Claiming,
-    /// The call is this entry's.
+    /// This entry may run the call.
     Granted,
-    /// The row is being brought to this progress; the caller does not wait for it.
+    /// The row is being updated to this progress; the client does not wait for it.
     Closing(Progress),
-    /// Nothing is left to do.
+    /// Nothing remains to be done.
     Settled,
 }
 
@@ -137,7 +138,7 @@
 }
 
 impl Claim {
-    /// A claim that has never been used before, with its first write; `token` is drawn at random.
+    /// Creates a new claim and its first write; the caller draws `token` at random.
     #[must_use]
     pub fn open(token: Token, request: RequestId, digest: u64) -> (Self, Action) {
         let row = Row {
@@ -156,13 +157,13 @@
         (claim, write)
     }
 
-    /// Whether nothing is left to do for the claim.
+    /// Whether nothing remains to be done for the claim.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.state == State::Settled
     }
 
-    /// Takes in an event and says what to do.
+    /// Processes an event and returns the action to take.
     pub fn on(&mut self, event: Event) -> Action {
         match (self.state, event) {
             (State::Claiming, event) => self.on_claiming(event),
@@ -183,8 +184,8 @@
         }
     }
 
-    /// An absent row leaves the first write's fate open: it may yet take effect, so the same row
-    /// is written again, and whichever write comes second does nothing.
+    /// If there is no row, the first write may still take effect. The same row is therefore written
+    /// again, and whichever write arrives second does nothing.
     fn found(&mut self, kept: Option<StoredRow>) -> Action {
         let Some(kept) = kept else {
             self.check = None;
@@ -213,9 +214,9 @@
         Action::Resolve(Verdict::Granted)
     }
 
-    /// The table is down. A write whose answer was lost may have left, or may yet leave, a claim
-    /// that nobody runs; without the clean-up every retry of the caller would be told *unknown*
-    /// for ever.
+    /// The table is unavailable. A write whose response was lost may have left, or may still leave,
+    /// a claim whose call nobody runs. Without a clean-up, every retry of the client would be
+    /// answered with *unknown* forever.
     fn on_unavailable(&mut self) -> Action {
         self.state = if self.unsure {
             State::Closing(Progress::Released)
@@ -241,9 +242,9 @@
         }
     }
 
-    /// Another claim's row is left alone once it has moved on from the revision that this claim's
-    /// open writes expect. Before that, such a write may yet take effect and leave a claim that
-    /// nobody runs, so the row is written over at that very revision.
+    /// Leaves another claim's row alone once the row has moved on from the revision that this
+    /// claim's pending writes expect. Until then, such a write may still take effect and leave a
+    /// claim whose call nobody runs, so the row is overwritten at exactly that revision.
     fn found_closing(&mut self, progress: Progress, kept: Option<StoredRow>) -> Action {
         let revision = kept.map(|kept| kept.revision);
         match kept.map(|kept| kept.row) {
--- a/crates/protocol/src/fence.rs
+++ b/crates/protocol/src/fence.rs
@@ -1,22 +1,23 @@
-//! The agent as the fence before engines that carry out every order.
+//! Fencing by the agent, for engines that carry out every order.
 //!
-//! A lease holder that was paused may send an order after another has taken over. An engine that
-//! does not check fencing numbers would carry it out and undo the new holder's work.
+//! A lease holder that was paused may send an order after another process has taken the lease over.
+//! An engine that does not check fencing tokens would carry the order out and undo the new holder's
+//! work.
 
 use crate::id;
 
-/// What is to be done with an order.
+/// Decision about an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Hand it to the engine.
+    /// Pass the order to the engine.
     Pass,
-    /// Refuse it: an order with this higher number has been seen.
+    /// Reject the order: this higher token has been seen.
     Refuse(id::FencingToken),
-    /// Read the current number from the table first.
+    /// Read the current token from the table first.
     Unknown,
 }
 
-/// Highest fencing number that an agent has seen in its life.
+/// Highest fencing token that an agent has seen since its start.
 ///
 /// # Examples
 ///
@@ -36,21 +37,21 @@
 }
 
 impl Fence {
-    /// The fence of an agent that has just started and has read nothing from the table.
+    /// Creates the fence of an agent that has just started and has not read the table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in the current number as read from the table.
+    /// Records the current token as read from the table.
     pub fn learn(&mut self, current: id::FencingToken) {
         self.highest = self.highest.max(Some(current));
     }
 
-    /// Judges an order and remembers its number if it may pass.
+    /// Decides about an order, and records its token if the order may pass.
     ///
-    /// A restarted agent has forgotten which numbers it saw. It would let an old order pass if it
-    /// judged before it has read the table, so it lets none pass until then.
+    /// A restarted agent does not know which tokens it has seen before. It would let an outdated
+    /// order pass if it decided before it has read the table, so until then it lets none pass.
     pub fn admit(&mut self, order: id::FencingToken) -> Verdict {
         match self.highest {
             None => Verdict::Unknown,
--- a/crates/protocol/src/fetch.rs
+++ b/crates/protocol/src/fetch.rs
@@ -1,51 +1,52 @@
-//! A process that fetches the newest version of something large from others that have it.
+//! Transfer of the newest version of a large object from other processes that have it.
 //!
-//! Many announce a new version at the same moment. Fetched from each of them, the copies would fill a narrow
-//! link for seconds, and whatever else the process must learn would wait behind them. So one copy is fetched at
-//! a time, in parts, and each part is asked for when the one before it has arrived: what is sent beside it
-//! waits for one part at most. When a source falls silent, another one goes on where it stopped.
+//! Many processes announce a new version at the same moment. If a process fetched a copy from each
+//! of them, the copies would fill a narrow link for seconds and delay everything else that the
+//! process must receive. So one copy is fetched at a time, in parts, and each part is requested
+//! when the previous one has arrived: other messages wait for one part at most. When a source stops
+//! responding, another one continues at the same offset.
 
 use std::time::Duration;
 
-/// Number of a version; a newer one has a greater number.
+/// Version number; newer versions have greater numbers.
 pub type Version = u64;
 
-/// Asks a source for the next part of a version.
+/// Request to a source for the next part of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartRequest<S> {
-    /// Whom to ask.
+    /// Source to ask.
     pub source: S,
-    /// The version.
+    /// Requested version.
     pub version: Version,
-    /// Bytes that are there already. With none, whatever has come before belongs to another fetch.
+    /// Number of bytes already received. If it is zero, earlier bytes belong to another transfer.
     pub offset: u64,
 }
 
-/// A part of a version, without its bytes.
+/// Description of a part of a version, without its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The version.
+    /// Version that the part belongs to.
     pub version: Version,
-    /// Hash of the whole: versions of one number may be encoded differently by different sources.
+    /// Hash of the whole version: sources may encode the same version differently.
     pub digest: u64,
     /// Position of the part's first byte.
     pub offset: u64,
-    /// Bytes in the part.
+    /// Number of bytes in the part.
     pub length: u64,
-    /// Bytes of the whole.
+    /// Number of bytes in the whole version.
     pub total: u64,
 }
 
-/// What becomes of the bytes of a part.
+/// What to do with the bytes of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartAction<S> {
-    /// They follow those that are there; the next question, or none if the version is complete.
+    /// Append them; contains the next request, or `None` if the version is complete.
     Append(Option<PartRequest<S>>),
-    /// They replace those that are there, which belong to another encoding; likewise.
+    /// Replace what was received, which has another encoding; contains the same as `Append`.
     Restart(Option<PartRequest<S>>),
-    /// They were not asked for.
+    /// Discard them, since they were not requested.
     Ignore,
-    /// They belong to another encoding and are not its first: it is asked for from its beginning.
+    /// Discard them: they have another encoding, which is requested from its beginning.
     Reset(PartRequest<S>),
 }
 
@@ -55,11 +56,11 @@
     version: Version,
     digest: Option<u64>,
     received: u64,
-    /// When the last part arrived or was asked for.
+    /// When the last part arrived or was requested.
     progress: Duration,
 }
 
-/// The state of one process. Moments are counted from its start.
+/// Transfer state of one process. Times are measured from its start.
 ///
 /// # Examples
 ///
@@ -78,7 +79,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Fetch<S> {
-    /// Silence after which another source is asked.
+    /// Time without progress after which another source is asked.
     timeout: Duration,
     known: Option<Version>,
     offers: Vec<(S, Version)>,
@@ -86,7 +87,7 @@
 }
 
 impl<S: Clone + PartialEq> Fetch<S> {
-    /// Nothing is known and nothing is fetched.
+    /// Creates the state of a process that has no version and fetches nothing.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
         Self {
@@ -97,13 +98,13 @@
         }
     }
 
-    /// When the fetch in progress last got on, if there is one.
+    /// When the current transfer last made progress, if there is one.
     #[must_use]
     pub fn progress(&self) -> Option<Duration> {
         self.current.as_ref().map(|current| current.progress)
     }
 
-    /// A source has a version; gives the question if this begins a fetch.
+    /// Records that a source has a version; returns a request if this starts a transfer.
     pub fn offer(&mut self, source: S, version: Version, now: Duration) -> Option<PartRequest<S>> {
         if self.is_known(version) {
             return None;
@@ -113,7 +114,7 @@
             None => self.offers.push((source, version)),
         }
         if self.current.is_some() {
-            // Versions may follow each other faster than one is fetched; the newest comes next.
+            // Versions may be announced faster than one is fetched; the newest is fetched next.
             return None;
         }
         self.begin(now)
@@ -123,7 +124,8 @@
         self.known.is_some_and(|known| known >= version)
     }
 
-    /// A version has become known, by whatever way; gives the question if a newer one is left to be fetched.
+    /// Records that a version is known, from whatever source; returns a request if a newer one
+    /// remains to be fetched.
     pub fn note_known(&mut self, version: Version, now: Duration) -> Option<PartRequest<S>> {
         self.known = self.known.max(Some(version));
         self.offers.retain(|(_, offered)| *offered > version);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// A source is gone.
+    /// Records that a source is gone; returns a request if another one continues.
     pub fn lost(&mut self, source: &S, now: Duration) -> Option<PartRequest<S>> {
         self.offers.retain(|(other, _)| other != source);
         let current = self.current.as_ref()?;
@@ -143,7 +145,7 @@
         self.switch_source(now)
     }
 
-    /// Goes on with another source where the present one has been silent for too long.
+    /// Switches to another source if the current one has not responded within the timeout.
     pub fn tick(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let current = self.current.as_ref()?;
         if now < current.progress + self.timeout {
@@ -156,7 +158,7 @@
         self.switch_source(now)
     }
 
-    /// A part has arrived.
+    /// Processes a part that has arrived.
     pub fn part(&mut self, source: &S, part: Part, now: Duration) -> PartAction<S> {
         if self.is_known(part.version) {
             return PartAction::Ignore;
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Begins with the source that offers the newest version.
+    /// Starts with the source that offers the newest version.
     fn begin(&mut self, now: Duration) -> Option<PartRequest<S>> {
         self.current = None;
         let newest = self.offers.iter().map(|(_, version)| *version).max()?;
@@ -210,7 +212,7 @@
         Some(request)
     }
 
-    /// Goes on with the next source that has the version, or a newer one.
+    /// Continues with the next source that has the current version or a newer one.
     fn switch_source(&mut self, now: Duration) -> Option<PartRequest<S>> {
         let wanted = self.current.as_ref()?.version;
         let next = self.offers.iter().find(|(_, version)| *version >= wanted);
--- a/crates/protocol/src/follower.rs
+++ b/crates/protocol/src/follower.rs
@@ -1,32 +1,33 @@
-//! A process that follows the log of accepted configuration changes.
+//! Following of the log of accepted configuration changes.
 
 use crate::id::Revision;
 
-/// What reaches the follower.
+/// Events that concern the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Head of the log as read from the table.
     Head(Revision),
     /// The table could not be read.
     Down,
-    /// A process has accepted or applied this revision; the word may be late or lost.
+    /// A process has accepted or applied this revision; the message may be late or lost.
     Push(Revision),
-    /// Highest revision applied by the ready peers that answered; none counts without any.
+    /// Highest revision applied by the ready peers that responded. Not sent if none responded.
     Peers(Revision),
     /// One entry of the log, from the table or from a peer.
     Entry(Revision),
-    /// All records as they are at this revision.
+    /// All records as of this revision.
     Snapshot(Revision),
 }
 
 /// What the process must do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Put the entry or snapshot in force.
+    /// Put the entry or snapshot into force.
     Apply(Revision),
-    /// Get the log's entries after this revision, from the table or, while it is down, a peer.
+    /// Fetch the log's entries after this revision, from the table or, while it is down, from a
+    /// peer.
     Fetch {
-        /// Last revision that is in force here.
+        /// Last revision that is in force in this process.
         after: Revision,
     },
     /// Ask the peers which revision they have applied.
@@ -35,7 +36,7 @@
     Ignore,
 }
 
-/// One process's place in the log.
+/// One process's position in the log.
 ///
 /// # Examples
 ///
@@ -59,19 +60,19 @@
 }
 
 impl Follower {
-    /// A fresh process: nothing is in force.
+    /// Creates the follower of a newly started process, with nothing in force.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Revision in force here; zero before the first.
+    /// Revision in force in this process; zero before the first.
     #[must_use]
     pub fn applied(&self) -> Revision {
         self.applied
     }
 
-    /// Highest revision heard of.
+    /// Highest known revision.
     #[must_use]
     pub fn latest_known(&self) -> Revision {
         self.latest_known
@@ -79,15 +80,15 @@
 
     /// Whether the process may serve.
     ///
-    /// A fresh process that served with whatever it had first would bring back a configuration
-    /// that an operator has replaced, so it waits for the log's head or, while the table is down,
-    /// for what its peers have seen.
+    /// A new process that served with the first configuration it received might revert to one that
+    /// an operator has replaced. So it waits until it has applied the log's head or, while the
+    /// table is down, the revision that its peers have applied.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Takes in an event and says what to do.
+    /// Processes an event and returns the action to take.
     pub fn on(&mut self, event: Event) -> Action {
         match event {
             Event::Head(revision) => self.head(revision),
@@ -112,8 +113,8 @@
         Action::AskPeers
     }
 
-    /// A push alone never makes a process ready, nor do peers while the table answers: both may
-    /// name an old revision.
+    /// Neither a push nor, while the table is available, the peers make a process ready: both may
+    /// name an outdated revision.
     fn raise_goal(&mut self, revision: Revision) -> Action {
         self.goal = self.goal.max(Some(revision));
         self.update_ready();
@@ -130,8 +131,8 @@
         Action::Ignore
     }
 
-    /// Entries are applied without gaps: an entry that was lost on the way would otherwise never
-    /// come into force here, while the revision number says that it has.
+    /// Applies entries without gaps: an entry lost in transit would otherwise never come into force
+    /// in this process, although its revision number implies that it has.
     fn entry(&mut self, revision: Revision) -> Action {
         if revision == self.applied + 1 {
             return self.apply(revision);
@@ -139,7 +140,8 @@
         self.note_revision(revision)
     }
 
-    /// A snapshot read before the latest entry arrived must not turn the process back.
+    /// Ignores a snapshot that was read before the latest entry arrived, which would revert
+    /// changes.
     fn snapshot(&mut self, revision: Revision) -> Action {
         if revision > self.applied {
             return self.apply(revision);
--- a/crates/protocol/src/gate.rs
+++ b/crates/protocol/src/gate.rs
@@ -1,34 +1,34 @@
-//! The agent's view of one attempt: held, asking, running, over.
+//! The agent's view of one attempt.
 
-/// Where the attempt stands at the agent.
+/// State of the attempt at the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Waits for a free slot at the runner.
+    /// Waiting for a free slot at the runner.
     Queued,
     /// Has a slot and waits for the entry's grant.
     AwaitingGrant,
-    /// The runner has, or may have, the work.
+    /// The runner has the work, or may have it.
     Running,
-    /// Over: refused, revoked, denied or answered.
+    /// Refused, revoked, denied or finished.
     Ended,
 }
 
-/// What reaches the agent about the attempt.
+/// Events that concern the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A slot at the runner is free for it.
+    /// A slot at the runner is free for the attempt.
     SlotFree,
-    /// The entry lets it start.
+    /// The entry allows the attempt to start.
     Grant,
-    /// The entry forbids it to start.
+    /// The entry forbids the attempt to start.
     Deny,
-    /// The entry wants it back if it has not started.
+    /// The entry revokes the attempt if it has not started.
     Revoke,
-    /// The agent leaves and hands back what has not started.
+    /// The agent is leaving and returns attempts that have not started.
     Leave,
-    /// The link to the entry is gone.
+    /// The link to the entry is lost.
     LinkLost,
-    /// The runner has answered, failed or broken off.
+    /// The runner has responded, failed or broken off.
     Finished,
 }
 
@@ -39,9 +39,9 @@
     Ask,
     /// Send the work to the runner.
     Start,
-    /// Tell the entry that it did not start and never will.
+    /// Report to the entry that the attempt did not start and never will.
     Refuse,
-    /// Give the slot back without a word.
+    /// Release the slot without a message to the entry.
     Release,
     /// Nothing to do.
     Ignore,
@@ -66,7 +66,7 @@
 }
 
 impl Gate {
-    /// An attempt that has just been offered and taken into the queue.
+    /// Creates an attempt that has just been offered and queued.
     #[must_use]
     pub fn new(needs_grant: bool) -> Self {
         Self {
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Where the attempt stands.
+    /// State of the attempt.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Takes in an event and says what to do.
+    /// Processes an event and returns the action to take.
     pub fn on(&mut self, event: Event) -> Action {
         match (self.state, event) {
             (State::Queued, Event::SlotFree) if self.needs_grant => {
--- a/crates/protocol/src/id.rs
+++ b/crates/protocol/src/id.rs
@@ -1,26 +1,26 @@
-//! Identities that every message between processes bears.
+//! Identities that messages between processes carry.
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of one caller's request, drawn at random by the entry that accepted it.
+/// Identity of one client request; the entry that accepts the request draws it at random.
 pub type RequestId = u128;
-/// Hash of what a request asks for and of who asks; the same for each attempt of its caller.
+/// Hash of a request's content and of its client; equal for all attempts of the same client.
 pub type ContentId = u64;
 /// Position of a stage in its pipeline, from zero.
 pub type StageIndex = u16;
 /// Number of an attempt (first try, retry or hedge) within one stage, from zero.
 pub type Attempt = u16;
-/// Position of a chunk in a stage's answer, from zero.
+/// Position of a chunk in a stage's response, from zero.
 pub type Sequence = u32;
-/// Number of an accepted configuration change; grows by one with each.
+/// Number of an accepted configuration change; increases by one with each change.
 pub type Revision = u64;
 /// Number of the table service's transaction that last wrote a row.
 pub type RowRevision = u64;
-/// Unique mark of one writer's row, drawn at random.
+/// Unique identity of one writer's row, drawn at random.
 pub type Token = u128;
-/// Fencing number of a lease; grows with each new holder.
+/// Fencing token of a lease; increases with each new holder.
 pub type FencingToken = u64;
-/// Number of a process's life on its VM; grows with each restart.
+/// Number of a process start on its VM; increases with each restart.
 pub type Incarnation = u64;
 
 /// One attempt of one stage of one request.
@@ -43,7 +43,7 @@
 }
 
 impl CallId {
-    /// The attempt that follows this one in the same stage.
+    /// Identity of the next attempt at the same stage.
     #[must_use]
     pub fn next(self) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Text that is not a call identity.
+/// Error for text that is not a call identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseCallIdError;
 
@@ -95,8 +95,8 @@
     }
 }
 
-/// Serializes a 128-bit number as hex text: JSON numbers of that size are refused or rounded by
-/// most libraries, and a rounded token would pass for another writer's.
+/// Serializes a 128-bit number as hex text. Most libraries reject or round JSON numbers of that
+/// size, and a rounded token could equal another writer's.
 pub mod hex {
     use serde::{Deserialize, Deserializer, Serializer};
 
@@ -104,16 +104,16 @@
     ///
     /// # Errors
     ///
-    /// Those of the serializer.
+    /// Returns the serializer's error.
     pub fn serialize<S: Serializer>(number: &u128, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(&format_args!("{number:032x}"))
     }
 
-    /// Reads hex digits.
+    /// Parses hex digits.
     ///
     /// # Errors
     ///
-    /// Those of the deserializer, or that the text is not a hex number of 128 bits.
+    /// Returns the deserializer's error, or an error if the text is not a hex number of 128 bits.
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u128, D::Error> {
         let text = String::deserialize(deserializer)?;
         u128::from_str_radix(&text, 16).map_err(serde::de::Error::custom)
--- a/crates/protocol/src/lease.rs
+++ b/crates/protocol/src/lease.rs
@@ -1,9 +1,9 @@
-//! One holder at a time for work that one process must do.
+//! A lease: a single holder at a time for work that only one process may do.
 //!
-//! The lease is a row of the table service. The holder renews it; a contender takes it over once
-//! it has watched the row unchanged for the whole duration on its own clock. No clocks are
-//! compared: the holder counts from the moment it sent a write, the contender from the moment it
-//! received the row, which is later.
+//! The lease is a row of the table service. The holder renews it; a contender takes it over once it
+//! has seen the row unchanged for the whole duration, measured on its own clock. Clocks are never
+//! compared: the holder counts from when it sent a write, the contender from when it received the
+//! row, which is later.
 
 use crate::id::{self, RowRevision, Token};
 use serde::{Deserialize, Serialize};
@@ -12,13 +12,13 @@
 /// Content of a lease row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// The holder's token; `None` once it has resigned.
+    /// The holder's identity, or `None` after it has resigned.
     pub holder: Option<Holder>,
-    /// Fencing number; grows with each new holder.
+    /// Fencing token; increases with each new holder.
     pub fence: id::FencingToken,
 }
 
-/// Token of a process's life, drawn at random.
+/// Identity of one start of a process, drawn at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Holder(#[serde(with = "id::hex")] pub Token);
@@ -26,43 +26,43 @@
 /// A row together with the transaction that last wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoredRow {
-    /// Content.
+    /// Content of the row.
     pub row: Row,
-    /// Transaction that last wrote it.
+    /// Transaction that last wrote the row.
     pub revision: RowRevision,
 }
 
-/// How long a lease lasts.
+/// Durations of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// Time that a contender must have seen the row unchanged.
+    /// Time for which a contender must see the row unchanged before it takes the lease over.
     pub duration: Duration,
-    /// How much earlier the holder stops acting: covers clocks that run at different speeds and
-    /// the way of an order that was just sent.
+    /// How long before the end of the lease the holder stops acting. Covers the difference in speed
+    /// between clocks and the transit time of an order that was just sent.
     pub margin: Duration,
-    /// Time between two writes of the holder or two reads of a contender.
+    /// Interval between a holder's writes and between a contender's reads.
     pub period: Duration,
 }
 
-/// What comes back from the table.
+/// Results of table operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The write took effect as this transaction.
     Written(RowRevision),
-    /// The write did nothing, since the row is as given; or the row as it was read.
+    /// The write did nothing because the row is as given, or the row as it was read.
     Found(Option<StoredRow>),
-    /// The table refused before it did anything, or a read got no answer.
+    /// The table rejected the operation before doing anything, or a read got no response.
     Unavailable,
-    /// The write got no answer; it may have taken effect or may yet.
+    /// The write got no response; it may have taken effect, or may still do so.
     Unsure,
 }
 
-/// What the process must ask of the table.
+/// Table operation that the process must perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Read the row.
     Read,
-    /// Write the row if its revision is still this one; `None`: if there is no row.
+    /// Write the row if its revision still equals `check`, or insert it if `check` is `None`.
     Write {
         /// Expected revision.
         check: Option<RowRevision>,
@@ -77,7 +77,7 @@
     Write(Row),
 }
 
-/// One process's view of a lease. Times are since an arbitrary start on its own clock.
+/// One process's view of a lease. Times are measured on its own clock from an arbitrary origin.
 ///
 /// # Examples
 ///
@@ -103,9 +103,9 @@
     known: bool,
     unchanged_since: Duration,
     pending: Option<Pending>,
-    /// When the earliest write whose fate is open was sent.
+    /// When the earliest write with an unknown result was sent.
     unsure_since: Option<Duration>,
-    /// When the write that made or last renewed the lease was sent.
+    /// When the write that acquired or last renewed the lease was sent.
     renewed: Option<Duration>,
     requested: Option<Duration>,
     due_now: bool,
@@ -113,7 +113,8 @@
 }
 
 impl Lease {
-    /// A process that has not read the row; `token` is drawn at random for each life.
+    /// Creates the lease of a process that has not read the row; the caller draws `token` at random
+    /// for each start of the process.
     #[must_use]
     pub fn new(token: Token, timing: Timing) -> Self {
         Self {
@@ -131,29 +132,29 @@
         }
     }
 
-    /// The fencing number to act under, or `None` while the process must not act.
+    /// Returns the fencing token to act under, or `None` while the process must not act.
     ///
-    /// A paused holder learns of the lapse only when it looks at its clock, so this is asked
-    /// right before each order.
+    /// Callers check this right before each order, because a holder that was paused only notices
+    /// that its lease has expired when it reads its clock.
     #[must_use]
     pub fn may_act(&self, now: Duration) -> Option<id::FencingToken> {
         let until = self.renewed? + self.timing.duration.saturating_sub(self.timing.margin);
         (now < until && !self.resigning).then_some(self.own_row()?.row.fence)
     }
 
-    /// Stops acting at once and gives the lease back with the next write.
+    /// Stops acting at once and releases the lease with the next write.
     pub fn resign(&mut self) {
         self.resigning = true;
         self.due_now = true;
     }
 
-    /// Whether the process has resigned and is known not to have the lease.
+    /// Whether the process has resigned and is known not to hold the lease.
     #[must_use]
     pub fn is_resigned(&self) -> bool {
         self.resigning && self.known && self.own_row().is_none()
     }
 
-    /// What to ask of the table now, if anything; at most one question is open at a time.
+    /// Returns the table operation to perform now, if any; at most one is pending at a time.
     pub fn tick(&mut self, now: Duration) -> Option<Action> {
         if self.pending.is_some() || self.is_resigned() || !self.is_due(now) {
             return None;
@@ -172,7 +173,7 @@
         })
     }
 
-    /// Takes in what came back from the table.
+    /// Processes the result of a table operation.
     pub fn on(&mut self, event: Event, now: Duration) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -198,7 +199,7 @@
                 .is_none_or(|requested| now >= requested + self.timing.period)
     }
 
-    /// The row to write now, or `None` if the row is to be read.
+    /// Returns the row to write now, or `None` if the row must be read.
     fn next_row(&self, now: Duration) -> Option<Row> {
         if !self.known {
             return None;
@@ -231,9 +232,9 @@
         self.unsure_since = None;
     }
 
-    /// A renewal whose answer was lost counts from when it was sent: a contender may have seen
-    /// its effect right then, and counts the duration from there. Of several such writes the
-    /// earliest counts, since the row does not tell which one it was.
+    /// A renewal whose response was lost counts from when it was sent, because a contender may have
+    /// seen its effect at that moment and may count the duration from there. Of several such writes
+    /// the earliest counts, since the row does not show which one took effect.
     fn on_found(&mut self, kept: Option<StoredRow>, now: Duration) {
         let revision = |kept: Option<StoredRow>| kept.map(|kept| kept.revision);
         let changed = revision(kept) != revision(self.seen);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,21 +1,20 @@
-//! Pure state machines of the core protocol: events in, actions out, no I/O and no clocks.
+//! Pure state machines of the core protocol: events in, actions out, without I/O or clocks.
 //!
-//! The shipped processes, the model checks and the differential tests all drive these same
-//! machines.
+//! The processes, the model checks and the differential tests all run these same state machines.
 //!
 //! * [`id`]: identities of requests, stages and attempts
 //! * [`call`]: the entry's view of one attempt of one stage
 //! * [`gate`]: the agent's view of the same attempt
-//! * [`stage`]: one stage over all its attempts
-//! * [`claim`]: at most once across entries for calls with an idempotency key
-//! * [`lease`]: one holder at a time for work that one process must do
-//! * [`fence`]: the agent as the fence before engines that check nothing
-//! * [`fetch`]: a process that fetches a large version from one of many that have it
-//! * [`follower`]: a process that follows the accepted configuration
+//! * [`stage`]: one stage across all its attempts
+//! * [`claim`]: at-most-once execution across entries for calls with an idempotency key
+//! * [`lease`]: a single holder at a time for work that only one process may do
+//! * [`fence`]: fencing by the agent, for engines that do not check fencing tokens
+//! * [`fetch`]: transfer of a large version from one of several sources
+//! * [`follower`]: following of the log of accepted configuration changes
 //! * [`member`]: which VMs may get new work
-//! * [`quarantine`]: requests that end the runners that run them
-//! * [`reader`]: a process that hears of a table's changes from another one
-//! * [`activation`]: a process that shares a bounded number of places with others
+//! * [`quarantine`]: detection of requests that crash the runners that run them
+//! * [`reader`]: following of a table's changes through another process
+//! * [`activation`]: when a newly registered process may act in a group of bounded size
 
 pub mod activation;
 pub mod call;
--- a/crates/protocol/src/member.rs
+++ b/crates/protocol/src/member.rs
@@ -1,27 +1,27 @@
-//! Which VMs may get new work: the lagging list, news from the VM itself, silence and operators'
-//! drain records.
+//! Which VMs may get new work, from the platform's list (which lags), messages from the VMs
+//! themselves, missed heartbeats and operators' drain records.
 
 use crate::id::Incarnation;
 use foldhash::fast::RandomState;
 use std::collections::{HashMap, HashSet};
 
-/// What is known of a VM's willingness to work.
+/// Whether a VM accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
     /// May get new work.
     Live,
-    /// Finishes what it has; gets no new work.
+    /// Finishes the work it has; gets no new work.
     Leaving,
-    /// Not there.
+    /// Not present.
     Gone,
 }
 
-/// A word about one life of a VM.
+/// Update about one incarnation of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MemberUpdate {
-    /// Life of the process that the word is about.
+    /// Incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// Whether it leaves.
+    /// Whether the VM is leaving.
     pub leaving: bool,
 }
 
@@ -39,10 +39,10 @@
     contact: Contact,
 }
 
-/// All VMs that one entry knows of.
+/// All VMs that one entry knows.
 ///
-/// A VM that has gone stays known, so that an old list cannot bring it back without its leaving
-/// mark.
+/// A VM that has gone stays known, so that an outdated list cannot bring it back without its
+/// `leaving` mark.
 ///
 /// # Examples
 ///
@@ -63,13 +63,13 @@
 }
 
 impl Members {
-    /// No VM is known.
+    /// Creates an empty set of VMs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in the platform's whole list; a VM that it leaves out is no longer listed.
+    /// Replaces the platform's list; a VM that is missing from it is no longer listed.
     pub fn set_listed<'a>(&mut self, vms: impl IntoIterator<Item = (&'a str, MemberUpdate)>) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes in what the VM itself says: an answer, a heartbeat or its leaving word.
+    /// Records an update from the VM itself: a response, a heartbeat or its notice of leaving.
     pub fn observe(&mut self, id: &str, update: MemberUpdate) {
         let member = self.merge(id, update);
         if member.update.incarnation == update.incarnation {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes in that this life of the VM has not been heard for the heartbeat's limit.
+    /// Records that this incarnation of the VM has sent nothing for the heartbeat timeout.
     pub fn mark_unresponsive(&mut self, id: &str, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(id)
             && member.update.incarnation == incarnation
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes in whether an operator's drain record names the VM; it holds for every life of it.
+    /// Records whether an operator's drain record names the VM; it applies to all its incarnations.
     pub fn set_drained(&mut self, id: &str, drained: bool) {
         if drained {
             self.drained.insert(id.to_owned());
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether the VM may get new work; one that is not known is [`State::Gone`].
+    /// Whether the VM may get new work; an unknown VM is [`State::Gone`].
     #[must_use]
     pub fn state(&self, id: &str) -> State {
         match self.members.get(id) {
@@ -116,13 +116,13 @@
         }
     }
 
-    /// Life of the VM that was last heard of.
+    /// Latest known incarnation of the VM.
     #[must_use]
     pub fn incarnation(&self, id: &str) -> Option<Incarnation> {
         self.members.get(id).map(|member| member.update.incarnation)
     }
 
-    /// Ids of the VMs that may get new work, in no order.
+    /// Ids of the VMs that may get new work, in no particular order.
     pub fn live(&self) -> impl Iterator<Item = &str> {
         self.members
             .keys()
@@ -130,11 +130,11 @@
             .filter(|id| self.state(id) == State::Live)
     }
 
-    /// Merges a word into what is known.
+    /// Merges an update into what is known.
     ///
-    /// The list lags: it shows a VM as live after the VM itself has said that it leaves. Within
-    /// one life the leaving mark therefore stays, and a word about an earlier life is ignored;
-    /// otherwise new work would go to a target that is about to stop.
+    /// The list lags: it shows a VM as live after the VM itself has reported that it is leaving.
+    /// Within one incarnation the `leaving` mark therefore stays, and updates about earlier
+    /// incarnations are ignored; otherwise new work would go to a target that is about to stop.
     fn merge(&mut self, id: &str, update: MemberUpdate) -> &mut Member {
         let member = self
             .members
--- a/crates/protocol/src/quarantine.rs
+++ b/crates/protocol/src/quarantine.rs
@@ -1,16 +1,17 @@
-//! Poison requests: those that end each runner that begins to run them.
+//! Quarantine of poison requests, which crash each runner that starts to run them.
 //!
-//! A caller sends such a request again and again, each time under a new name and to any process, and
-//! each attempt takes a runner down with all that it serves. So requests are known here by what they
-//! ask for. A request that was running at a runner when that ended is a suspect, and one that has
-//! ended several runners, one after the other, is held back. A runner may end for any other reason
-//! under a request that many callers send; but then other runners answer that request, and the first
-//! whole answer clears it. One that is held back is tried again after a while.
+//! A client sends such a request again and again, each time with a new identity and to any process,
+//! and each attempt takes down a runner and everything that it serves. So requests are identified
+//! here by their content. A request that was in progress at a runner when the runner exited is a
+//! suspect, and one that has crashed several runners, one after another, is quarantined (held). A
+//! runner may also exit for any other reason during a request that many clients send; but then
+//! other runners answer that request, and the first complete response clears it. A quarantined
+//! request is tried again after a hold.
 //!
-//! All processes must come to believe the same, whichever way and order they learn of it. What they
-//! tell one another of a request is therefore its whole state, and taking one in is a merge: crashes
-//! add up by runner, the latest whole answer voids all crashes before it, and the latest trial counts.
-//! Merging the same state again changes nothing.
+//! All processes must reach the same view, whichever way and in whichever order they get the
+//! reports. A report therefore contains the whole state of a request, and processing one is a
+//! merge: crashes are united by runner, the latest complete response voids all crashes before it,
+//! and the latest trial counts. Merging the same state again changes nothing.
 
 mod availability;
 mod exposure;
@@ -31,23 +32,23 @@
 use std::time::Duration;
 use suspect::{ExitTimes, MAX_CRASHES, Moment, Span, Suspect};
 
-/// Runners that a request may end before it is held back.
+/// Number of runners that a request may crash before it is quarantined.
 pub const CRASH_THRESHOLD: u32 = 3;
-/// Time between the moments at which one process after the other may try a request that is due. A
-/// trial is known everywhere by then, unless processes are cut off from one another.
+/// Delay between successive processes that may try a due request. It is long enough for all
+/// processes to learn of a trial, unless they are partitioned.
 pub const TRIAL_STAGGER: Duration = Duration::from_millis(500);
-/// Runners that must be silent under a request before all processes are told of it. One may be slow, or
-/// have fallen silent by itself.
+/// Number of runners that must be unresponsive under a request before all processes are notified of
+/// it. A single one may be slow, or unresponsive for another reason.
 pub const ANNOUNCE_THRESHOLD: u32 = 2;
-/// Time after which a suspect is forgotten that nobody asks for.
+/// Time after which a suspect that nobody requests is forgotten.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
-/// What is added to moments, which may lie before the start of the process.
+/// Offset added to times, since they may precede the start of the process.
 const EPOCH_OFFSET: Duration = SUSPECT_TTL;
-/// Lost answers, and suspects, that are remembered at most.
+/// Maximum number of remembered lost responses, and of remembered suspects.
 const CAPACITY: usize = 1_024;
 
-/// What one process knows of poison requests. Times are counted from its start; `R` names one start
-/// of a runner.
+/// One process's view of poison requests. Times are measured from its start; `R` identifies one
+/// start of a runner.
 ///
 /// # Examples
 ///
@@ -72,7 +73,7 @@
     losses: Losses<R>,
     silences: Silences<R>,
     exits: ExitTimes<R>,
-    /// Requests that something speaks against.
+    /// Number of requests that are suspects.
     suspect_count: usize,
 }
 
@@ -89,24 +90,25 @@
 }
 
 impl<R: Clone + Eq + Hash> Quarantine<R> {
-    /// Whether nothing speaks against any request, so that none need be looked up.
+    /// Whether no request is under suspicion, so that none needs to be looked up.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.suspect_count == 0 && self.losses.is_empty() && self.silences.is_empty()
     }
 
-    /// Whether runners have ended or been silent under any request.
+    /// Whether any runner has exited or been unresponsive under a request.
     #[must_use]
     pub fn has_suspects(&self) -> bool {
         self.suspect_count > 0 || !self.silences.is_empty()
     }
 
-    /// The answer to a request was lost that had been sent to a runner at a moment.
+    /// Records that the response to a request was lost that had been sent to a runner at `sent`.
     pub fn answer_lost(&mut self, content: ContentId, runner: R, sent: Duration, now: Duration) {
         self.record_loss(content, runner, sent, now, false);
     }
 
-    /// The same for a request that was sent there apart from all others, since runners had ended under it.
+    /// Records the same for a request that was sent to the runner in isolation from other requests,
+    /// because runners had crashed under it before.
     pub fn isolated_answer_lost(
         &mut self,
         content: ContentId,
@@ -138,11 +140,12 @@
         });
     }
 
-    /// A runner has ended without a word. Gives what the others must be told.
+    /// Records that a runner has exited without notice; returns the reports to send to other
+    /// processes.
     pub fn runner_exited(&mut self, runner: &R, now: Duration) -> Vec<Report<R>> {
         let at = now + EPOCH_OFFSET;
         self.silences.runner_exited(runner);
-        let there = self.losses.take_for_exit(runner, at).into_iter();
+        let explained = self.losses.take_for_exit(runner, at).into_iter();
         let report = |loss: Loss<R>| {
             let crash = Crash {
                 runner: loss.runner,
@@ -159,10 +162,10 @@
                 Merge::New { .. } => self.report(loss.content, now),
             }
         };
-        there.filter_map(report).collect()
+        explained.filter_map(report).collect()
     }
 
-    /// Takes in what another process tells.
+    /// Merges a report of another process.
     pub fn merge(&mut self, report: &Report<R>, now: Duration) -> Merge {
         for crash in &report.crashes {
             let lost = (now + EPOCH_OFFSET).saturating_sub(crash.lost);
@@ -199,12 +202,13 @@
         })
     }
 
-    /// Takes in crashes that were kept without the names of their runners.
+    /// Records stored crashes whose runners are unknown.
     pub fn restore(&mut self, content: ContentId, count: u32, now: Duration) -> Merge {
         self.change(content, now, |suspect, _, now| suspect.restore(count, now))
     }
 
-    /// Crashes are kept no more since at least `ago`: the request was answered before.
+    /// Records that the stored crashes were deleted at least `ago` ago, since the request was
+    /// answered before.
     pub fn discard_restored(&mut self, content: ContentId, ago: Duration, now: Duration) -> Merge {
         if !self.is_suspect(content) {
             return Merge::Known;
@@ -215,12 +219,14 @@
         })
     }
 
-    /// A runner has answered something: answers that it lost before were not lost by its end.
+    /// Records that a runner has answered any request, so that the responses it lost before were
+    /// not lost because it exited.
     pub fn runner_answered(&mut self, runner: &R) {
         self.losses.forget_runner(runner);
     }
 
-    /// A runner has answered the request. Others must be told if anything spoke against it.
+    /// Records that a runner has answered the request. If the request was a suspect, the other
+    /// processes must be notified.
     pub fn answered(&mut self, content: ContentId, runner: &R, now: Duration) -> Merge {
         self.runner_answered(runner);
         self.runner_observed(runner, now);
@@ -237,7 +243,7 @@
         self.merge(&report, now)
     }
 
-    /// Changes what is known of one request.
+    /// Changes the view of one request.
     fn change(
         &mut self,
         content: ContentId,
@@ -259,7 +265,7 @@
         Merge::Known
     }
 
-    /// The end of one runner may change what counts against several requests.
+    /// Counts the suspects again: the exit of one runner may change the counts of several requests.
     fn recount(&mut self) {
         if self.exits.len() > CAPACITY * MAX_CRASHES {
             let suspects = &self.suspects;
@@ -275,7 +281,7 @@
             .count();
     }
 
-    /// Forgets the suspect that was told of least lately, if there are too many.
+    /// Evicts the suspect whose last report or request is the oldest, if there are too many.
     fn make_room(&mut self, content: ContentId) {
         if self.suspects.len() < CAPACITY || self.suspects.contains_key(&content) {
             return;
@@ -287,9 +293,9 @@
         }
     }
 
-    /// Whether a request may be sent to a runner now. `order` is the place of this process among those
-    /// that may try it: the first one tries it as soon as it is due, each next one only if none before
-    /// it has done so, as far as it knows.
+    /// Whether a request may be sent to a runner now. `order` is the rank of this process among
+    /// those that may try it: the first one tries it as soon as it is due, and each next one only
+    /// if, as far as it knows, none before it has done so.
     #[must_use]
     pub fn admission(&self, content: ContentId, order: u32, now: Duration) -> Admission {
         let now = now + EPOCH_OFFSET;
@@ -310,7 +316,7 @@
         }
     }
 
-    /// A hash of what is known, the same at processes that know the same.
+    /// Hash of the view, equal for processes with equal views.
     #[must_use]
     pub fn digest(&self) -> u64
     where
@@ -325,54 +331,55 @@
             hasher.hash_one((content, crashes, suspect.trials, cleared))
         };
         let known = self.suspects.iter();
-        // Those that were only asked about here are not known elsewhere.
+        // Requests that were only asked for at this process are unknown to the others.
         let known =
             known.filter(|(_, suspect)| suspect.cleared.is_some() || !suspect.crashes.is_empty());
         known.map(one).fold(0, u64::wrapping_add)
     }
 
-    /// Whether anything speaks against a request.
+    /// Whether a request is a suspect.
     #[must_use]
     pub fn is_suspect(&self, content: ContentId) -> bool {
         let suspect = self.suspects.get(&content);
         suspect.is_some_and(|suspect| suspect.is_suspect(&self.exits))
     }
 
-    /// Runners that have ended under a request, those that ended in one moment included.
+    /// Number of runners that have crashed under a request, including those that exited
+    /// simultaneously.
     #[must_use]
     pub fn crashes(&self, content: ContentId) -> u32 {
         let suspect = self.suspects.get(&content);
         suspect.map_or(0, |suspect| suspect.all(&self.exits))
     }
 
-    /// Whether a request is held back, so that its turn must be known.
+    /// Whether a request is quarantined, so that its admission must be checked.
     #[must_use]
     pub fn is_held(&self, content: ContentId) -> bool {
         let suspect = self.suspects.get(&content);
         suspect.is_some_and(|suspect| suspect.is_held(&self.exits))
     }
 
-    /// A request that is due is sent to a runner. Unless that answers, the next trial comes later. Gives
-    /// what the others must be told.
+    /// Records that a due request is sent to a runner as a trial; unless the runner answers, the
+    /// next trial comes later. Returns the report to send to other processes.
     pub fn begin_trial(&mut self, content: ContentId, now: Duration) -> Option<Report<R>> {
         self.change(content, now, |suspect, exits, now| {
-            // One that ended no runner is made again, as if it had not been.
-            let has_ended = suspect.last_crash(exits) >= suspect.tried;
-            suspect.trials += u32::from(has_ended);
+            // A trial that crashed no runner does not count when it is made again.
+            let has_crashed = suspect.last_crash(exits) >= suspect.tried;
+            suspect.trials += u32::from(has_crashed);
             suspect.tried = Some(now);
             true
         });
         self.report(content, now)
     }
 
-    /// Somebody asked for a request that is held back.
+    /// Records that a quarantined request was requested.
     pub fn touch(&mut self, content: ContentId, now: Duration) {
         if let Some(suspect) = self.suspects.get_mut(&content) {
             suspect.used = now + EPOCH_OFFSET;
         }
     }
 
-    /// What the others are told of a suspect.
+    /// Report about a suspect for other processes.
     #[must_use]
     pub fn report(&self, content: ContentId, now: Duration) -> Option<Report<R>> {
         let is_known = self.suspects.contains_key(&content) || self.exposure(content, now) > 0;
@@ -388,7 +395,7 @@
         }
     }
 
-    /// All that is known, for a process that knows nothing.
+    /// Reports about all requests, for a process that knows nothing.
     #[must_use]
     pub fn reports(&self, now: Duration) -> Vec<Report<R>> {
         let suspects = self.suspects.keys().copied();
@@ -403,7 +410,7 @@
             .collect()
     }
 
-    /// Forgets suspects that nobody has asked for, and gives those that were held back.
+    /// Forgets suspects that nobody has requested, and returns those that were quarantined.
     pub fn forget_old(&mut self, now: Duration) -> Vec<ContentId> {
         let now = now + EPOCH_OFFSET;
         let old = |suspect: &Suspect<R>| {
@@ -421,7 +428,7 @@
         held.map(|(content, _)| content).collect()
     }
 
-    /// Requests that are held back.
+    /// Number of quarantined requests.
     #[must_use]
     pub fn held_count(&self) -> usize {
         let suspects = self.suspects.values();
--- a/crates/protocol/src/quarantine/availability.rs
+++ b/crates/protocol/src/quarantine/availability.rs
@@ -1,20 +1,20 @@
-//! How many runners of a service are left for a request under which others have ended.
+//! Whether enough runners of a service are left for a request under which others have crashed.
 
-/// The runners of one service.
+/// Number of runners of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Availability {
-    /// Runners that serve.
+    /// Runners that are serving.
     pub up: usize,
-    /// Runners that have ended lately and are not back.
+    /// Runners that have exited recently and are not back.
     pub down: usize,
 }
 
 impl Availability {
-    /// Whether a request may be sent to one of the runners under which so many have ended.
+    /// Whether a request under which `crashes` runners have crashed may be sent to another one.
     ///
-    /// Under one of them runners also end by chance, and it goes on to any but the last one. From the
-    /// second on, more than half are kept for the others. Where none that has ended may come back there
-    /// is nothing to wait for.
+    /// A single crash may be a coincidence, so after it the request may go to any runner but the
+    /// last one that is up. After a second crash, more than half of the runners are reserved for
+    /// other requests. If no runner is down, none can come back, so there is nothing to wait for.
     ///
     /// # Examples
     ///
--- a/crates/protocol/src/quarantine/exposure.rs
+++ b/crates/protocol/src/quarantine/exposure.rs
@@ -1,4 +1,4 @@
-//! What a request may do to runners that is not known yet.
+//! Runners that a request may have affected, before it is known whether they have exited.
 
 use super::loss::Loss;
 use super::suspect::Span;
@@ -8,14 +8,15 @@
 use std::time::Duration;
 
 impl<R: Clone + Eq + Hash> Quarantine<R> {
-    /// Something has come from a runner, whatever for.
+    /// Records a sign of life from a runner, for whatever request.
     pub fn runner_observed(&mut self, runner: &R, now: Duration) {
         self.silences.observe(runner, now + EPOCH_OFFSET);
         self.losses.observe(runner);
     }
 
-    /// A request has waited for a runner for so long that it is taken for silent if nothing has come from
-    /// it for anybody since the request was sent. Gives what the others must be told.
+    /// Records that a request has waited at a runner for so long that the runner counts as
+    /// unresponsive if it has sent nothing to anyone since `sent`. Returns the report to send to
+    /// other processes.
     pub fn runner_unresponsive(
         &mut self,
         content: ContentId,
@@ -26,7 +27,7 @@
         if !self.silences.is_silent(runner, sent + EPOCH_OFFSET) {
             return None;
         }
-        // Should it turn out to have ended, the request was there.
+        // If the runner turns out to have exited, the request was in progress there.
         let span = Span {
             sent: sent + EPOCH_OFFSET,
             lost: now + EPOCH_OFFSET,
@@ -43,30 +44,30 @@
         new.then(|| self.report_at(content, now))
     }
 
-    /// Runners that hold a request unanswered, and from which nothing has come since.
+    /// Number of runners that have not answered a request and have given no sign of life since.
     #[must_use]
     pub fn exposure(&self, content: ContentId, now: Duration) -> u32 {
         self.silences.count(content, now + EPOCH_OFFSET)
     }
 
-    /// Runners that have ended under a request, and those that may have.
+    /// Number of runners that have crashed under a request, plus those that may have.
     #[must_use]
     pub fn risk(&self, content: ContentId, now: Duration) -> u32 {
         self.crashes(content) + self.exposure(content, now)
     }
 
-    /// A request is sent to a runner; [`Quarantine::attempt_ended`] follows.
+    /// Records that a request is sent to a runner; [`Quarantine::attempt_ended`] must follow.
     pub fn attempt_started(&mut self, content: ContentId, runner: R) {
         self.silences.attempt_started(content, runner);
     }
 
-    /// A request is in progress at a runner no more.
+    /// Records that a request is no longer in progress at a runner.
     pub fn attempt_ended(&mut self, content: ContentId, runner: &R) {
         self.silences.attempt_ended(content, runner);
     }
 
-    /// Whether a request may be sent to one more runner beside those at which it is in progress: one that
-    /// nothing speaks against, or of which few runners are at risk.
+    /// Whether a request may be sent to one more runner in addition to those at which it is in
+    /// progress: if it is not under suspicion, or puts few runners at risk.
     #[must_use]
     pub fn may_spread(&self, content: ContentId, now: Duration) -> bool {
         let risk = self.risk(content, now);
@@ -74,12 +75,12 @@
         risk == 0 || risk >= CRASH_THRESHOLD || risk + open() < CRASH_THRESHOLD
     }
 
-    /// Runners that are silent, some more than once.
+    /// Unresponsive runners; a runner may occur more than once.
     pub fn silent_runners(&self, now: Duration) -> impl Iterator<Item = &R> {
         self.silences.runners(now + EPOCH_OFFSET)
     }
 
-    /// Takes in which runners are silent; tells whether some were not known to be.
+    /// Merges reported unresponsive runners; returns whether any of them is new.
     pub(super) fn take_silences(&mut self, report: &Report<R>, now: Duration) -> bool {
         let now = now + EPOCH_OFFSET;
         let at = |ago: Duration| now.saturating_sub(ago);
--- a/crates/protocol/src/quarantine/loss.rs
+++ b/crates/protocol/src/quarantine/loss.rs
@@ -1,4 +1,4 @@
-//! Answers that were lost, for as long as the end of their runner may still become known.
+//! Lost responses, remembered for as long as the exit of their runner may still become known.
 
 use super::CAPACITY;
 use super::suspect::{Moment, Span};
@@ -6,24 +6,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time after the loss of an answer in which the end of its runner is put down to the request.
+/// Time after the loss of a response within which an exit of the runner is attributed to the
+/// request.
 const TTL: Duration = Duration::from_secs(5);
-/// Time within which the answer to a request is lost that was sent to a runner which had ended.
+/// Time within which the response is lost if the runner had exited before the request was sent.
 const IMMEDIATE_LOSS: Duration = Duration::from_millis(250);
 
-/// An answer that was lost.
+/// A lost response.
 #[derive(Clone, Debug)]
 pub(super) struct Loss<R> {
     pub(super) content: ContentId,
     pub(super) runner: R,
     pub(super) span: Span,
-    /// Whether the runner had nothing to do but requests under which others had ended before.
+    /// Whether the runner had no other work than requests under which runners had crashed before.
     pub(super) isolated: bool,
-    /// Whether the answer may still come.
+    /// Whether the response may still arrive.
     pub(super) provisional: bool,
 }
 
-/// Those of all runners.
+/// Lost responses of all runners.
 #[derive(Clone, Debug)]
 pub(super) struct Losses<R>(VecDeque<Loss<R>>);
 
@@ -47,41 +48,42 @@
         self.0.push_back(loss);
     }
 
-    /// Removes those of a runner that has ended, and gives those that its end explains. What was sent later
-    /// met a runner that had ended already.
+    /// Removes the lost responses of a runner that has exited, and returns those that its exit
+    /// explains. Requests that were sent later reached a runner that had already exited.
     pub(super) fn take_for_exit(&mut self, runner: &R, at: Moment) -> VecDeque<Loss<R>> {
-        let (mut under, losses): (VecDeque<Loss<R>>, _) = std::mem::take(&mut self.0)
+        let (mut runner_losses, losses): (VecDeque<Loss<R>>, _) = std::mem::take(&mut self.0)
             .into_iter()
             .filter(|loss| loss.span.lost + TTL >= at)
             .partition(|loss| loss.runner == *runner);
         self.0 = losses;
-        let exit = exit_time(&under);
-        under.retain(|loss| {
+        let exit = exit_time(&runner_losses);
+        runner_losses.retain(|loss| {
             let was_there = |exit| loss.provisional || exit <= loss.span.lost;
             exit.is_some_and(|exit| loss.span.sent <= exit && was_there(exit))
         });
-        under
+        runner_losses
     }
 
-    /// The runner has answered since: it did not lose them by its end.
+    /// Forgets a runner's lost responses: it has answered since, so it did not lose them by
+    /// exiting.
     pub(super) fn forget_runner(&mut self, runner: &R) {
         self.0.retain(|loss| loss.runner != *runner);
     }
 
-    /// Something has come from the runner: what waits for an answer there may still get it.
+    /// Forgets a runner's provisional losses: it has given a sign of life and may still respond.
     pub(super) fn observe(&mut self, runner: &R) {
         self.0
             .retain(|loss| !loss.provisional || loss.runner != *runner);
     }
 
-    /// The request has been answered.
+    /// Forgets the lost responses of a request that has been answered.
     pub(super) fn forget_content(&mut self, content: ContentId) {
         self.0.retain(|loss| loss.content != content);
     }
 }
 
-/// When a runner ended that lost these answers: the first of them, but for those lost before another request
-/// was sent that it was at work on for a while.
+/// When the runner that lost these responses exited: at the first loss, except for losses before
+/// the start of another request that the runner worked on for a while.
 fn exit_time<R>(losses: &VecDeque<Loss<R>>) -> Option<Moment> {
     let worked = |loss: &&Loss<R>| loss.span.sent + IMMEDIATE_LOSS < loss.span.lost;
     let alive_since = losses
--- a/crates/protocol/src/quarantine/report.rs
+++ b/crates/protocol/src/quarantine/report.rs
@@ -1,55 +1,55 @@
-//! What processes tell one another of requests under which runners have ended or fallen silent.
+//! Reports between processes about requests under which runners have exited or become unresponsive.
 
 use super::CRASH_THRESHOLD;
 use crate::id::ContentId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A runner that ended under a request.
+/// A runner that exited under a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash<R> {
-    /// The runner, as one start of it.
+    /// One start of the runner.
     pub runner: R,
-    /// How long ago the request was sent there.
+    /// Time since the request was sent there.
     pub sent: Duration,
-    /// How long ago the answer was lost.
+    /// Time since the response was lost.
     pub lost: Duration,
-    /// Whether the runner had nothing to do then but requests under which others had ended before.
+    /// Whether the runner had no other work than requests under which runners had crashed before.
     pub isolated: bool,
 }
 
-/// A runner from which nothing has come for anybody since a request was sent there.
+/// A runner that has sent nothing to anyone since a request was sent there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Silence<R> {
-    /// The runner, as one start of it.
+    /// One start of the runner.
     pub runner: R,
-    /// How long ago the request was sent there.
+    /// Time since the request was sent there.
     pub sent: Duration,
-    /// How long ago the silence was noted.
+    /// Time since the silence was recorded.
     pub noted: Duration,
 }
 
-/// What one process knows of a suspect, as it tells the others.
+/// One process's view of a suspect, as sent to other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report<R> {
-    /// What the request asks for.
+    /// Content of the request.
     pub content: ContentId,
-    /// Runners that it has ended.
+    /// Runners that crashed under it.
     pub crashes: Vec<Crash<R>>,
-    /// Crashes of it that count at the sender.
+    /// Number of its crashes that count at the sender.
     pub count: u32,
-    /// Times that it has been tried again, but for trials that ended no runner.
+    /// Number of its trials, excluding those that crashed no runner.
     pub trials: u32,
-    /// How long ago it was tried last.
+    /// Time since its last trial.
     pub tried: Option<Duration>,
-    /// How long ago a runner answered it whole, if that has cleared it.
+    /// Time since a runner answered it completely, if that has cleared it.
     pub cleared: Option<Duration>,
-    /// Runners that have been silent since the request was sent there.
+    /// Runners that have been unresponsive since the request was sent there.
     pub silences: Vec<Silence<R>>,
 }
 
 impl<R> Report<R> {
-    /// Nothing but the name of a request.
+    /// Creates a report without findings.
     #[must_use]
     pub fn new(content: ContentId) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the request is held back.
+    /// Whether the request is quarantined.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.count >= CRASH_THRESHOLD
@@ -73,24 +73,24 @@
 /// Whether a request may be sent to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Nothing speaks against it.
+    /// The request is not quarantined.
     Free,
-    /// Not before this time has passed.
+    /// The request is quarantined for at least this time.
     Held(Duration),
-    /// It has been held back for long enough, and this process may try it.
+    /// The hold has expired, and this process may try the request.
     Trial,
 }
 
-/// What becomes of what another process tells.
+/// Result of merging a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merge {
-    /// All of it was known.
+    /// Everything was known already.
     Known,
-    /// Some of it is new, and the others should be told.
+    /// Something is new, and the other processes should be notified.
     New {
-        /// Whether the request was held back before.
+        /// Whether the request was quarantined before.
         was_held: bool,
-        /// Whether it is held back now.
+        /// Whether the request is quarantined now.
         is_held: bool,
     },
 }
--- a/crates/protocol/src/quarantine/silence.rs
+++ b/crates/protocol/src/quarantine/silence.rs
@@ -1,9 +1,9 @@
-//! Runners from which nothing has come since a request was sent there.
+//! Runners that have sent nothing since a request was sent there.
 //!
-//! A runner that falls silent is known to have ended only once the platform says so, seconds later. Until
-//! then a request that silences each of its runners would reach many. What is bounded here is its
-//! exposure: the number of runners that hold it unanswered and have given no sign of life since. Any answer
-//! of such a runner, to any request, ends its silence.
+//! If a runner becomes unresponsive, the platform reports its exit only seconds later. Until then,
+//! a request that makes each of its runners unresponsive would reach many of them. This module
+//! bounds its exposure: the number of runners that have not answered it and have given no sign of
+//! life since. Any response of such a runner, to any request, ends its silence.
 
 use super::Silence;
 use super::suspect::{CLOCK_TOLERANCE, Moment};
@@ -13,19 +13,19 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Time for which a silence counts: the platform names a runner no more by then that has ended.
+/// Time for which a silence counts; by then, the platform no longer lists a runner that has exited.
 const TTL: Duration = Duration::from_secs(5);
-/// Time after the first request that a silent runner holds in which another one that was sent there may
-/// have silenced it. What came later met a silent runner.
+/// A request sent to an unresponsive runner within this time after the first unanswered one may
+/// have caused the silence. Later requests reached a runner that was already unresponsive.
 const SILENT_ON_ARRIVAL: Duration = Duration::from_millis(250);
-/// Time after the last sign of life of a runner in which it counts as alive.
+/// Time after its last sign of life for which a runner counts as alive.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
-/// Silences that are remembered, and a quarter of the signs of life.
+/// Maximum number of remembered silences, and a quarter of that of signs of life.
 const CAPACITY: usize = 1_024;
 
-/// A request that a runner holds unanswered.
+/// A request that a runner has not answered.
 ///
-/// One that is over is remembered for a while: other processes may still tell of it.
+/// Cleared ones are remembered for a while, since other processes may still report them.
 #[derive(Clone, Debug)]
 struct Unanswered<R> {
     content: ContentId,
@@ -41,13 +41,13 @@
     }
 }
 
-/// What one process knows of silent runners.
+/// One process's view of unresponsive runners.
 #[derive(Clone, Debug)]
 pub(super) struct Silences<R> {
     unanswered: VecDeque<Unanswered<R>>,
-    /// When the first request was sent that each silent runner holds unanswered.
+    /// When the first unanswered request of each unresponsive runner was sent.
     since: HashMap<R, Moment, RandomState>,
-    /// When something last came from each runner.
+    /// Time of the last sign of life of each runner.
     last_activity: HashMap<R, Moment, RandomState>,
     /// Runners at which each request is in progress.
     in_progress: HashMap<ContentId, Vec<R>, RandomState>,
@@ -65,14 +65,14 @@
 }
 
 impl<R: Clone + Eq + Hash> Silences<R> {
-    /// Whether no runner is silent, as far as is known.
+    /// Whether no runner is known to be unresponsive.
     pub(super) fn is_empty(&self) -> bool {
         self.unanswered
             .iter()
             .all(|unanswered| unanswered.is_cleared)
     }
 
-    /// Something has come from a runner, which ends its silence.
+    /// Records a sign of life from a runner, which ends its silence.
     pub(super) fn observe(&mut self, runner: &R, at: Moment) {
         if let Some(last) = self.last_activity.get_mut(runner) {
             *last = at.max(*last);
@@ -94,14 +94,15 @@
         }
     }
 
-    /// Whether nothing has come from a runner since a moment.
+    /// Whether a runner has given no sign of life after a given time.
     pub(super) fn is_silent(&self, runner: &R, since: Moment) -> bool {
         self.last_activity
             .get(runner)
             .is_none_or(|last| *last <= since)
     }
 
-    /// Takes in that a runner has been silent since a request was sent there; tells whether it was not known.
+    /// Records that a runner has been unresponsive since a request was sent there; returns whether
+    /// that is new.
     pub(super) fn note(
         &mut self,
         content: ContentId,
@@ -146,17 +147,17 @@
         self.since.retain(|runner, _| is_held(runner));
     }
 
-    /// The request has been answered: none of these runners was silenced by it.
+    /// Clears a request that has been answered: it did not make these runners unresponsive.
     pub(super) fn clear(&mut self, content: ContentId, at: Moment) {
         self.clear_where(|unanswered| unanswered.content == content && unanswered.sent <= at);
     }
 
-    /// The runner has ended, which counts by itself.
+    /// Clears a runner that has exited, since its exit is counted separately.
     pub(super) fn runner_exited(&mut self, runner: &R) {
         self.clear_where(|unanswered| unanswered.runner == *runner);
     }
 
-    /// Silences that count for a request now.
+    /// Silences that currently count for a request.
     fn of(&self, content: ContentId, now: Moment) -> impl Iterator<Item = &Unanswered<R>> {
         let unanswered = self.unanswered.iter();
         unanswered.filter(move |unanswered| {
@@ -164,23 +165,23 @@
         })
     }
 
-    /// Whether a request may have silenced the runner that holds it.
+    /// Whether a request may have made the runner unresponsive.
     fn is_suspect(&self, unanswered: &Unanswered<R>) -> bool {
         let since = self.since.get(&unanswered.runner);
         since.is_none_or(|since| unanswered.sent <= *since + SILENT_ON_ARRIVAL)
     }
 
-    /// Runners that hold a request unanswered.
+    /// Number of runners that have not answered a request.
     pub(super) fn count(&self, content: ContentId, now: Moment) -> u32 {
         u32::try_from(self.of(content, now).count()).unwrap_or(u32::MAX)
     }
 
-    /// The request is sent to a runner.
+    /// Records that the request is sent to a runner.
     pub(super) fn attempt_started(&mut self, content: ContentId, runner: R) {
         self.in_progress.entry(content).or_default().push(runner);
     }
 
-    /// It is in progress there no more.
+    /// Records that the request is no longer in progress at a runner.
     pub(super) fn attempt_ended(&mut self, content: ContentId, runner: &R) {
         let Some(runners) = self.in_progress.get_mut(&content) else {
             return;
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Runners at which the request is in progress and that may have fallen silent, but for those that are
-    /// known to have.
+    /// Number of runners at which the request is in progress and that may have become unresponsive,
+    /// excluding those that are known to be.
     pub(super) fn in_progress(&self, content: ContentId, now: Moment) -> u32 {
         let since = now.saturating_sub(RECENTLY_ACTIVE);
         let is_known = |runner: &R| {
@@ -207,14 +208,14 @@
         u32::try_from(in_progress.count()).unwrap_or(u32::MAX)
     }
 
-    /// When the first of them counts no more.
+    /// When the first of the request's silences stops counting.
     pub(super) fn until(&self, content: ContentId, now: Moment) -> Option<Moment> {
         self.of(content, now)
             .map(|unanswered| unanswered.noted + TTL)
             .min()
     }
 
-    /// All silent runners, some more than once.
+    /// All unresponsive runners; a runner may occur more than once.
     pub(super) fn runners(&self, now: Moment) -> impl Iterator<Item = &R> {
         let unanswered = self
             .unanswered
@@ -223,7 +224,7 @@
         unanswered.map(|unanswered| &unanswered.runner)
     }
 
-    /// Requests that silent runners hold.
+    /// Requests that unresponsive runners have not answered.
     pub(super) fn contents(&self, now: Moment) -> impl Iterator<Item = ContentId> + '_ {
         let unanswered = self
             .unanswered
--- a/crates/protocol/src/quarantine/suspect.rs
+++ b/crates/protocol/src/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! What is known of one request that has ended runners.
+//! View of one request that has crashed runners.
 
 use super::{CRASH_THRESHOLD, Crash, Report};
 use crate::id::ContentId;
@@ -7,65 +7,65 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Least time between two crashes that are counted. Many runners may end in one moment, a whole
-/// failure domain for instance, and each had the same popular request.
+/// Minimum time between two crashes for both to count. Many runners may exit at once, such as a
+/// whole failure domain, and all may have had the same popular request.
 const MIN_SPACING: Duration = Duration::from_millis(250);
-/// How long a request is held back at first, and by what factor that grows with each trial that ends a
-/// runner. Where few
-/// runners serve popular requests, one that ends them all makes suspects of the others; they must be
-/// back soon, and what deserves it must end few runners more.
+/// Duration of the first hold, and the factor by which each trial that crashes a runner extends it.
+/// If few runners serve popular requests, a request that crashes all of them makes the other
+/// requests suspects. Those must be admitted again soon, while an actual poison request must crash
+/// few more runners.
 const INITIAL_HOLD: Duration = Duration::from_secs(5);
 const HOLD_GROWTH: u32 = 4;
-/// Trials that make it longer.
+/// Maximum number of trials that extend the hold.
 const MAX_GROWTHS: u32 = 5;
-/// Time after which a trial that has neither been answered nor ended a runner is made again.
+/// Time after which a trial is repeated that has neither been answered nor crashed a runner.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Accuracy of moments that other processes tell: they are told as ages, and are on their way for a
-/// while.
+/// Tolerance for times that other processes report: they are reported as ages, and the message
+/// takes a while to arrive.
 pub(super) const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
-/// Difference between two moments of one attempt that are told by way of different processes.
+/// Tolerance between reports of the same attempt that arrive by way of different processes.
 const SPAN_TOLERANCE: Duration = Duration::from_millis(20);
-/// Crashes that are remembered of one suspect.
+/// Maximum number of remembered crashes of a suspect.
 pub(super) const MAX_CRASHES: usize = 16;
 
-/// A moment, counted from some time before the start of the process.
+/// A time, measured from an origin before the start of the process.
 pub(super) type Moment = Duration;
 
-/// When a request was sent to a runner that ended under it, and when its answer was lost.
+/// When a request was sent to a runner that exited under it, and when its response was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Span {
     pub(super) sent: Moment,
     pub(super) lost: Moment,
 }
 
-/// A runner that a request may have ended.
+/// A runner that a request may have crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CrashRecord<R> {
     pub(super) runner: R,
     pub(super) span: Span,
-    /// Whether the runner had nothing to do but requests under which others had ended before.
+    /// Whether the runner had no other work than requests under which runners had crashed before.
     pub(super) isolated: bool,
 }
 
-/// Crashes whose runners are not known: how many count, and when that was learnt.
+/// Crashes whose runners are unknown: how many count, and when they became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Restored {
     count: u32,
     at: Moment,
 }
 
-/// When runners ended, by the first answer that was lost there.
+/// Exit times of runners, taken from the first response that was lost there.
 pub(super) type ExitTimes<R> = HashMap<R, Moment, RandomState>;
 
 #[derive(Clone, Debug)]
 pub(super) struct Suspect<R> {
-    /// Runners that it may have ended, in the order of their ends.
+    /// Runners that the request may have crashed, in the order of their exits.
     pub(super) crashes: Vec<CrashRecord<R>>,
     pub(super) restored: Option<Restored>,
     pub(super) trials: u32,
     pub(super) tried: Option<Moment>,
     pub(super) cleared: Option<Moment>,
-    /// When it was last asked for or told of.
+    /// When the request was last requested or reported.
     pub(super) used: Moment,
 }
 
@@ -81,21 +81,21 @@
         }
     }
 
-    /// Whether what happened at a moment counts for nothing, since the request was answered later.
+    /// Whether an event at a given time is void because the request was answered later.
     fn is_void(&self, at: Moment) -> bool {
         self.cleared
             .is_some_and(|cleared| at <= cleared + CLOCK_TOLERANCE)
     }
 
-    /// Takes in a crash; tells whether it was not known.
+    /// Merges a crash; returns whether it is new.
     pub(super) fn add(&mut self, runner: &R, span: Span, isolated: bool) -> bool {
         if self.is_void(span.lost) {
             return false;
         }
         let mut crashes = self.crashes.iter_mut();
         if let Some(known) = crashes.find(|known| known.runner == *runner) {
-            // What is told on its way through many processes gets later with each. An earlier attempt may
-            // be the one that ended the runner.
+            // Reported times become later with each process that passes them on. An earlier attempt
+            // may be the one that crashed the runner.
             let is_earlier = span.sent + SPAN_TOLERANCE < known.span.sent;
             let is_new = is_earlier || isolated && !known.isolated;
             known.span.sent = span.sent.min(known.span.sent);
@@ -117,7 +117,7 @@
         true
     }
 
-    /// Takes in crashes whose runners are not known; tells whether more count now.
+    /// Merges crashes whose runners are unknown; returns whether more crashes count now.
     pub(super) fn restore(&mut self, count: u32, at: Moment) -> bool {
         if self.is_void(at)
             || self
@@ -130,7 +130,7 @@
         true
     }
 
-    /// Takes in a trial; tells whether it was not known.
+    /// Merges a trial; returns whether it is new.
     pub(super) fn note_trial(&mut self, trials: u32, at: Moment) -> bool {
         let is_later = self.tried.is_none_or(|tried| at > tried + CLOCK_TOLERANCE);
         if self.is_void(at) || !is_later && trials <= self.trials {
@@ -141,7 +141,7 @@
         true
     }
 
-    /// Takes in a whole answer; tells whether it was not known.
+    /// Merges a complete response; returns whether it is new.
     pub(super) fn clear(&mut self, at: Moment) -> bool {
         if self.is_void(at) {
             return false;
@@ -156,7 +156,7 @@
         true
     }
 
-    /// The crashes that count: those under which the request had been sent before the runner ended.
+    /// Crashes that count: those where the request had been sent before the runner exited.
     fn counted(&self, exits: &ExitTimes<R>) -> impl DoubleEndedIterator<Item = &CrashRecord<R>> {
         let was_there = |crash: &&CrashRecord<R>| {
             let end = exits.get(&crash.runner);
@@ -165,8 +165,9 @@
         self.crashes.iter().filter(was_there)
     }
 
-    /// Crashes that count, but for those right after another one. What ended a runner that had only
-    /// suspects to work on was one of them, however soon.
+    /// Number of crashes that count, excluding those right after another one. If the runner had
+    /// only suspects to work on, one of them caused the crash, so it counts however soon it
+    /// follows.
     pub(super) fn count(&self, exits: &ExitTimes<R>) -> u32 {
         let mut last: Option<Moment> = None;
         let mut count = 0;
@@ -181,7 +182,7 @@
             .map_or(count, |restored| restored.count.max(count))
     }
 
-    /// Crashes that count, also those right after another one.
+    /// Number of crashes that count, including those right after another one.
     pub(super) fn all(&self, exits: &ExitTimes<R>) -> u32 {
         let all = u32::try_from(self.counted(exits).count()).unwrap_or(u32::MAX);
         self.restored
@@ -192,18 +193,18 @@
         self.count(exits) >= CRASH_THRESHOLD
     }
 
-    /// Whether anything speaks against the request.
+    /// Whether any crash counts against the request.
     pub(super) fn is_suspect(&self, exits: &ExitTimes<R>) -> bool {
         self.count(exits) > 0
     }
 
-    /// When it is due for a trial.
+    /// When a trial of the request is due.
     pub(super) fn due(&self, exits: &ExitTimes<R>) -> Moment {
         let restored = self.restored.map(|restored| restored.at);
         let last = self.last_crash(exits).max(restored).unwrap_or_default();
         let hold = INITIAL_HOLD * HOLD_GROWTH.pow(self.trials.min(MAX_GROWTHS));
         match self.tried {
-            // The trial has ended no runner so far; what became of it else says nothing.
+            // The trial has crashed no runner so far; any other outcome shows nothing.
             Some(tried) if tried > last => tried + TRIAL_TIMEOUT,
             _ => last + hold,
         }
--- a/crates/protocol/src/reader.rs
+++ b/crates/protocol/src/reader.rs
@@ -1,36 +1,37 @@
-//! A process that hears of a table's changes from another one.
+//! Following of a table's changes through another process.
 //!
-//! Many processes that each read a table cost its service as many calls. A few read it and tell the
-//! others. What is told may be late: the teller may be cut off from the table, paused, or behind a
-//! slow link, and says nothing of it. So a reader counts how old its knowledge is by its own clock,
-//! from the moment at which it asked, and reads the table itself once that is too old.
+//! If many processes each read a table, its service gets that many calls. Instead, a few read it
+//! and pass the changes on. Such an update may be outdated: the upstream process may be cut off
+//! from the table, paused or behind a slow link, and does not report it. So a reader measures the
+//! age of its knowledge on its own clock, from when it sent its request, and reads the table itself
+//! once the knowledge is too old.
 
 use crate::id::RowRevision;
 use std::time::Duration;
 
-/// What a process that was asked tells of the table.
+/// Response of another process about the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PeerUpdate {
-    /// Revision behind which its changes begin.
+    /// Revision after which the changes begin.
     pub before: RowRevision,
-    /// Revision up to which they are complete.
+    /// Revision up to which the changes are complete.
     pub revision: RowRevision,
-    /// Latest moment, by the clock of the one who asked, at which nothing newer was in the table.
+    /// Latest time, on the requester's clock, at which the table held nothing newer.
     pub current: Duration,
 }
 
-/// What becomes of changes that were told.
+/// What to do with the changes of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpdateAction {
-    /// They count.
+    /// Apply them.
     Apply,
-    /// All of it is known, or older than what is.
+    /// Discard them: they are all known, or older than what is known.
     Ignore,
-    /// Some before them are missing: the table must be read.
+    /// Changes before them are missing, so the table must be read.
     Gap,
 }
 
-/// One process's knowledge of a table. Moments are counted from its start.
+/// One process's knowledge of a table. Times are measured from its start.
 ///
 /// # Examples
 ///
@@ -49,16 +50,17 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Reader {
-    /// Greatest age at which others are relied on.
+    /// Greatest age of knowledge that comes from other processes.
     max_age: Duration,
     after: Option<RowRevision>,
     current: Duration,
-    /// When the table was last asked in vain, unless it answered since.
+    /// When a read of the table last failed, unless one has succeeded since.
     failed: Option<Duration>,
 }
 
 impl Reader {
-    /// One that knows nothing yet, and relies on others for knowledge no older than `max_age`.
+    /// Creates a reader that knows nothing yet, and that relies on other processes for knowledge no
+    /// older than `max_age`.
     #[must_use]
     pub fn new(max_age: Duration) -> Self {
         Self {
@@ -69,22 +71,23 @@
         }
     }
 
-    /// Revision up to which the table is known; `None` if it must be read as a whole.
+    /// Revision up to which the table is known; `None` if the whole table must be read.
     #[must_use]
     pub fn after(&self) -> Option<RowRevision> {
         self.after
     }
 
-    /// Latest moment at which nothing newer was in the table, as far as is known.
+    /// Latest known time at which the table held nothing newer.
     #[must_use]
     pub fn current(&self) -> Duration {
         self.current
     }
 
-    /// Until when another process's word is waited for; `None` if the table must be read as a whole.
+    /// Until when the reader waits for another process's update; `None` if the whole table must be
+    /// read.
     ///
-    /// A table that could not be read is asked again after the same time. Others hear of its return
-    /// as soon as this process would.
+    /// After a failed read, the table is read again after the same time. Other processes notice its
+    /// return as soon as this process would.
     #[must_use]
     pub fn trusts_peers_until(&self) -> Option<Duration> {
         self.after?;
@@ -92,26 +95,27 @@
         Some(since + self.max_age)
     }
 
-    /// The table answered a question that was asked at `current`, or had nothing newer until then.
+    /// Records that the table responded to a request sent at `current`, or held nothing newer until
+    /// then.
     pub fn read(&mut self, revision: RowRevision, current: Duration) {
         self.after = self.after.max(Some(revision));
         self.current = self.current.max(current);
         self.failed = None;
     }
 
-    /// The table did not answer.
+    /// Records that a read of the table failed.
     pub fn failed(&mut self, now: Duration) {
         self.failed = Some(now);
     }
 
-    /// The table's history is gone.
+    /// Records that the table's history is no longer available.
     pub fn forget(&mut self) {
         self.after = None;
     }
 
-    /// Takes in what another process tells.
+    /// Processes an update from another process.
     ///
-    /// One that is behind says nothing of what this process knows, nor of how old that is.
+    /// An update that is behind says nothing about what this process knows, nor about its age.
     pub fn on_peer_update(&mut self, told: PeerUpdate) -> UpdateAction {
         let Some(after) = self.after else {
             return UpdateAction::Gap;
--- a/crates/protocol/src/stage.rs
+++ b/crates/protocol/src/stage.rs
@@ -1,43 +1,44 @@
-//! One stage of a request over all its attempts: first try, retries and hedges.
+//! One stage of a request across all its attempts: first try, retries and hedges.
 //!
-//! Whichever attempt brings the first whole answer is committed, and nothing that comes later
-//! changes that. A streamed answer has one owner at a time; a retry goes on at the first chunk
-//! that the caller lacks.
+//! The first attempt that brings a complete response is committed, and nothing that arrives later
+//! changes that. A streamed response has one owner at a time; a retry continues at the first chunk
+//! that the client lacks.
 
 use crate::call::{self, Call, Outcome, State};
 use crate::id::{Attempt, Sequence};
 
-/// What sort of answer the stage gives and whether it may run more than once.
+/// How a stage responds and whether it may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Mode {
     /// The stage may run more than once for one request.
     pub repeatable: bool,
-    /// Chunks go to the caller as they come.
+    /// Chunks are passed to the client as they arrive.
     pub stream: bool,
 }
 
 /// What the entry must do for the attempt that the event came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Let the agent start.
+    /// Allow the agent to start.
     Grant,
-    /// Tell the agent never to start.
+    /// Forbid the agent to start, for good.
     Deny,
     /// Ask the agent to drop the attempt if it has not started.
     Revoke,
-    /// Take the chunk: to the caller for a stream, else to this attempt's buffer.
+    /// Accept the chunk: pass it to the client if streaming, else append it to the attempt's
+    /// buffer.
     Accept,
-    /// Count the message as a duplicate, stray or late answer and drop it.
+    /// Count the message as a duplicate, stray or late response, and drop it.
     Drop,
-    /// Cancel every other attempt in [`Stage::live`]: this one has won.
+    /// Cancel every other attempt in [`Stage::live`], since this one has won.
     CancelOthers,
-    /// The attempt is over without being the stage's answer; see [`Stage::outcome`].
+    /// The attempt has ended without providing the stage's response; see [`Stage::outcome`].
     Ended(Outcome),
-    /// This attempt's answer is the stage's answer.
+    /// Commit this attempt's response as the stage's response.
     Commit,
 }
 
-/// At most two actions follow an event.
+/// Actions after an event; at most two.
 pub type Actions = [Option<Action>; 2];
 
 /// One stage of one request.
@@ -68,7 +69,7 @@
 }
 
 impl Stage {
-    /// A stage without attempts.
+    /// Creates a stage without attempts.
     #[must_use]
     pub fn new(mode: Mode) -> Self {
         Self {
@@ -84,16 +85,16 @@
 
     /// Whether another attempt may be started now.
     ///
-    /// A stage that may not be repeated gets another attempt only after every earlier one has
-    /// ended as *not run*; anything else could run it twice.
+    /// A stage that may not be repeated gets another attempt only after every earlier one has ended
+    /// as *not run*; otherwise it could run twice.
     #[must_use]
     pub fn may_start(&self) -> bool {
         let open = self.committed.is_none() && !self.given_up;
         open && (self.mode.repeatable || self.all_not_run())
     }
 
-    /// Starts another attempt: its number and the first chunk that it should send, or `None` if
-    /// no attempt may be started.
+    /// Starts another attempt and returns its number and the first chunk that it must send, or
+    /// `None` if no attempt may be started.
     pub fn start(&mut self) -> Option<(Attempt, Sequence)> {
         if !self.may_start() {
             return None;
@@ -104,7 +105,7 @@
         Some((attempt, self.next))
     }
 
-    /// Takes in what happened to one attempt and says what to do for it.
+    /// Processes an event of one attempt and returns the actions to take.
     pub fn on(&mut self, attempt: Attempt, event: call::Event) -> Actions {
         if self.committed.is_some() {
             return self.after_commit(event);
@@ -120,16 +121,16 @@
         }
     }
 
-    /// The caller no longer wants the stage: no attempt starts from now on, and every attempt
-    /// in [`Stage::live`] is to be told [`call::Event::GiveUp`].
+    /// Records that the client no longer wants the stage. No attempt starts from now on, and every
+    /// attempt in [`Stage::live`] must be given [`call::Event::GiveUp`].
     pub fn give_up(&mut self) {
         self.given_up = true;
     }
 
-    /// How the stage ended, or `None` while an attempt is live or none was started.
+    /// Outcome of the stage, or `None` while an attempt is live or none has been started.
     ///
-    /// It is *not run* only if every attempt is; an attempt that may still run makes the whole
-    /// stage *unknown*, even beside one that failed.
+    /// The outcome is *not run* only if that is the outcome of every attempt. An attempt that may
+    /// still run makes the whole stage *unknown*, even if another one failed.
     #[must_use]
     pub fn outcome(&self) -> Option<Outcome> {
         if self.committed.is_some() {
@@ -149,25 +150,25 @@
             .filter_map(|(attempt, end)| end.is_none().then_some(attempt))
     }
 
-    /// One attempt's own state.
+    /// The state machine of one attempt.
     #[must_use]
     pub fn call(&self, attempt: Attempt) -> Option<&Call> {
         self.calls.get(usize::from(attempt))
     }
 
-    /// The attempt whose answer is the stage's answer.
+    /// The attempt whose response was committed.
     #[must_use]
     pub fn committed(&self) -> Option<Attempt> {
         self.committed
     }
 
-    /// First chunk of a stream that the caller lacks.
+    /// First chunk of a stream that the client lacks.
     #[must_use]
     pub fn next(&self) -> Sequence {
         self.next
     }
 
-    /// Messages dropped as duplicates, strays or late answers.
+    /// Number of messages dropped as duplicates, strays or late responses.
     #[must_use]
     pub fn dropped(&self) -> u32 {
         self.dropped
@@ -184,8 +185,8 @@
         self.outcomes().all(|end| end == Some(Outcome::NotRun))
     }
 
-    /// An attempt that still asks for a grant must be denied, or its work would run after the
-    /// answer was handed out.
+    /// An attempt that still requests a grant must be denied, or its work would run after the
+    /// response was delivered.
     fn after_commit(&mut self, event: call::Event) -> Actions {
         match event {
             call::Event::Ask => [Some(Action::Deny), None],
@@ -212,7 +213,7 @@
         [Some(Action::Accept), cancel_others]
     }
 
-    /// Chunks of two attempts must not be mixed: the caller would get an answer that no runner
+    /// Chunks of two attempts must not be mixed: the client would get a response that no runner
     /// gave.
     fn may_own(&self, attempt: Attempt) -> bool {
         self.owner.is_none_or(|owner| owner == attempt)
@@ -232,8 +233,8 @@
         [Some(Action::Ended(end)), None]
     }
 
-    /// A stream counts as whole only if the caller has every chunk of it; an attempt whose chunks
-    /// were dropped because another one owned the stream does not make it whole.
+    /// A stream is complete only if the client has every chunk of it. An attempt whose chunks were
+    /// dropped because another attempt owned the stream does not make it complete.
     fn is_complete(&self, attempt: Attempt) -> bool {
         let due = self.call(attempt).map(Call::next);
         !self.mode.stream || (self.may_own(attempt) && due == Some(self.next))
@@ -270,7 +271,8 @@
     }
 }
 
-/// An attempt that was whole but not committed did run, though its answer is lost to the caller.
+/// Combines two outcomes. An attempt that was complete but not committed did run, although its
+/// response is lost to the client.
 fn combine(one: Outcome, other: Outcome) -> Outcome {
     match (one, other) {
         (Outcome::Unknown | Outcome::Complete, _) | (_, Outcome::Unknown | Outcome::Complete) => {
