--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -10,7 +10,7 @@
 use crate::runner::Runner;
 use bytes::Bytes;
 use hyper::StatusCode;
-use protocol::fence::Verdict;
+use protocol::fence::Decision;
 use serde::Deserialize;
 use std::time::Duration;
 use store::Table;
@@ -101,18 +101,18 @@
         number: protocol::FencingToken,
         order: Option<&[u8]>,
     ) -> Result<(), Answer> {
-        let mut verdict = self.engine.admit(number, order);
-        if verdict == Verdict::Unknown {
+        let mut decision = self.engine.admit(number, order);
+        if decision == Decision::Unknown {
             self.engine.learn(current(&self.table).await?);
-            verdict = self.engine.admit(number, order);
+            decision = self.engine.admit(number, order);
         }
-        match verdict {
-            Verdict::Pass => Ok(()),
-            Verdict::Refuse(highest) => Err(Answer::own(
+        match decision {
+            Decision::Pass => Ok(()),
+            Decision::Refuse(highest) => Err(Answer::own(
                 StatusCode::PRECONDITION_FAILED,
                 &format!("fencing number {number} is older than {highest}"),
             )),
-            Verdict::Unknown => Err(unread("no number was read")),
+            Decision::Unknown => Err(unread("no number was read")),
         }
     }
 }
--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -3,7 +3,7 @@
 use crate::answer;
 use crate::runner::Runner;
 use hyper::StatusCode;
-use protocol::fence::{Fence, Verdict};
+use protocol::fence::{Decision, Fence};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -61,15 +61,15 @@
 
     /// Judges an order, which is under way from then on if it may pass; no body only raises the
     /// number.
-    pub(crate) fn admit(&self, number: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
+    pub(crate) fn admit(&self, number: protocol::FencingToken, order: Option<&[u8]>) -> Decision {
         let mut state = self.lock();
-        let verdict = state.fence.admit(number);
-        if verdict == Verdict::Pass
+        let decision = state.fence.admit(number);
+        if decision == Decision::Pass
             && let Some(order) = order
         {
             state.order = serde_json::from_slice(order).ok();
         }
-        verdict
+        decision
     }
 
     /// Notes that the engine has answered the order.
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -3,7 +3,7 @@
 use crate::config::rows;
 use crate::writes::{Fate, Place, Writes};
 use protocol::RequestId;
-use protocol::claim::{self, Action, Claim, Event, StoredRow, Verdict};
+use protocol::claim::{self, Action, Claim, Decision, Event, StoredRow};
 use std::time::Duration;
 use store::table::RowRevision;
 use store::{Objects, Row, Table};
@@ -26,7 +26,7 @@
     claim: Claim,
     key: String,
     /// What the caller is told, or whether the request may run.
-    pub verdict: Verdict,
+    pub decision: Decision,
 }
 
 impl Settled {
@@ -60,11 +60,11 @@
         let (mut claim, mut action) = Claim::open(rand::random(), request, digest);
         loop {
             match action {
-                Action::Resolve(verdict) => {
+                Action::Resolve(decision) => {
                     return Settled {
                         claim,
                         key,
-                        verdict,
+                        decision,
                     };
                 }
                 action_now => {
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -12,7 +12,7 @@
 use crate::stage::Run;
 use crate::wait::{GivenUp, Waiter};
 use bytes::{Bytes, BytesMut};
-use protocol::claim::{self, Verdict};
+use protocol::claim::{self, Decision};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -87,14 +87,14 @@
 async fn run_once<P: Platform>(core: &Arc<Core<P>>, job: &Job, key: &str) {
     let digest = kept::digest(job);
     let settled = core.claims.claim(&job.workspace, key, job.id, digest).await;
-    let refusal = match settled.verdict {
-        Verdict::Granted => {
+    let refusal = match settled.decision {
+        Decision::Granted => {
             let end = run_stages(core, job).await;
             return close(core, job, settled, &end).await;
         }
-        Verdict::Running(request) | Verdict::Answered(request) => End::Elsewhere { request },
-        Verdict::Mismatch => End::Mismatch,
-        Verdict::Unavailable => End::NotRun {
+        Decision::Running(request) | Decision::Answered(request) => End::Elsewhere { request },
+        Decision::Mismatch => End::Mismatch,
+        Decision::Unavailable => End::NotRun {
             detail: "the table service is away".to_owned(),
             retry_after: STORE_AWAY,
         },
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -49,7 +49,7 @@
 
 /// Result of the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// This entry may run the call.
     Granted,
     /// Another request holds the claim: the outcome is *unknown*, and the client asks for that
@@ -96,7 +96,7 @@
     /// Read the row.
     Read,
     /// Report the verdict to the client, or start the call.
-    Resolve(Verdict),
+    Resolve(Decision),
     /// Pass [`Event::Retry`] after a delay.
     RetryLater,
     /// Nothing to do.
@@ -120,14 +120,14 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::claim::{Action, Claim, Event, Verdict};
+/// use protocol::claim::{Action, Claim, Event, Decision};
 ///
 /// let (mut claim, write) = Claim::open(1, 7, 0);
 /// assert!(matches!(write, Action::Write { check: None, .. }));
 /// assert_eq!(claim.on(Event::Unsure), Action::Read);
 /// let Action::Write { row, .. } = write else { unreachable!() };
 /// let found = protocol::claim::StoredRow { row, revision: 12 };
-/// assert_eq!(claim.on(Event::Found(Some(found))), Action::Resolve(Verdict::Granted));
+/// assert_eq!(claim.on(Event::Found(Some(found))), Action::Resolve(Decision::Granted));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
@@ -194,24 +194,24 @@
         if kept.row.token == self.row.token {
             return self.granted(kept.revision);
         }
-        let verdict = match kept.row.progress {
+        let decision = match kept.row.progress {
             Progress::Released => {
                 self.check = Some(kept.revision);
                 return self.write(Progress::Claimed);
             }
-            _ if kept.row.digest != self.row.digest => Verdict::Mismatch,
-            Progress::Claimed => Verdict::Running(kept.row.request),
-            Progress::Answered => Verdict::Answered(kept.row.request),
+            _ if kept.row.digest != self.row.digest => Decision::Mismatch,
+            Progress::Claimed => Decision::Running(kept.row.request),
+            Progress::Answered => Decision::Answered(kept.row.request),
         };
         self.state = State::Settled;
-        Action::Resolve(verdict)
+        Action::Resolve(decision)
     }
 
     fn granted(&mut self, revision: RowRevision) -> Action {
         self.check = Some(revision);
         self.unsure = false;
         self.state = State::Granted;
-        Action::Resolve(Verdict::Granted)
+        Action::Resolve(Decision::Granted)
     }
 
     /// The table is unavailable. A write whose response was lost may have left, or may still leave,
@@ -223,7 +223,7 @@
         } else {
             State::Settled
         };
-        Action::Resolve(Verdict::Unavailable)
+        Action::Resolve(Decision::Unavailable)
     }
 
     fn close(&mut self, progress: Progress) -> Action {
--- a/crates/protocol/src/fence.rs
+++ b/crates/protocol/src/fence.rs
@@ -8,7 +8,7 @@
 
 /// Decision about an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// Pass the order to the engine.
     Pass,
     /// Reject the order: this higher token has been seen.
@@ -22,14 +22,14 @@
 /// # Examples
 ///
 /// ```
-/// use protocol::fence::{Fence, Verdict};
+/// use protocol::fence::{Fence, Decision};
 ///
 /// let mut fence = Fence::new();
-/// assert_eq!(fence.admit(3), Verdict::Unknown);
+/// assert_eq!(fence.admit(3), Decision::Unknown);
 /// fence.learn(4);
-/// assert_eq!(fence.admit(3), Verdict::Refuse(4));
-/// assert_eq!(fence.admit(5), Verdict::Pass);
-/// assert_eq!(fence.admit(4), Verdict::Refuse(5));
+/// assert_eq!(fence.admit(3), Decision::Refuse(4));
+/// assert_eq!(fence.admit(5), Decision::Pass);
+/// assert_eq!(fence.admit(4), Decision::Refuse(5));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
@@ -52,13 +52,13 @@
     ///
     /// A restarted agent does not know which tokens it has seen before. It would let an outdated
     /// order pass if it decided before it has read the table, so until then it lets none pass.
-    pub fn admit(&mut self, order: id::FencingToken) -> Verdict {
+    pub fn admit(&mut self, order: id::FencingToken) -> Decision {
         match self.highest {
-            None => Verdict::Unknown,
-            Some(highest) if order < highest => Verdict::Refuse(highest),
+            None => Decision::Unknown,
+            Some(highest) if order < highest => Decision::Refuse(highest),
             Some(_) => {
                 self.highest = Some(order);
-                Verdict::Pass
+                Decision::Pass
             }
         }
     }
--- a/crates/protocol/tests/call_search.rs
+++ b/crates/protocol/tests/call_search.rs
@@ -5,7 +5,7 @@
 mod search;
 
 use protocol::call::{self, Call, Outcome};
-use protocol::claim::{self, Claim, Progress, Row, StoredRow, Verdict};
+use protocol::claim::{self, Claim, Decision, Progress, Row, StoredRow};
 use protocol::gate::{self, Gate};
 use search::{System, fails, find, holds};
 use std::collections::BTreeSet;
@@ -161,11 +161,11 @@
         let action = request.claim.as_mut().unwrap().on(event);
         request.todo = match action {
             claim::Action::Ignore => None,
-            claim::Action::Resolve(Verdict::Granted) => {
+            claim::Action::Resolve(Decision::Granted) => {
                 request.offer(false);
                 None
             }
-            claim::Action::Resolve(Verdict::Unavailable) => {
+            claim::Action::Resolve(Decision::Unavailable) => {
                 request.told = Some(Told::End(Outcome::NotRun));
                 request.abandoned = self.mutation == Mutation::LeaveClaim;
                 (!request.abandoned).then_some(claim::Action::RetryLater)
--- a/crates/protocol/tests/claim_twin.rs
+++ b/crates/protocol/tests/claim_twin.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use protocol::claim::{self, Claim, StoredRow, Verdict};
+use protocol::claim::{self, Claim, Decision, StoredRow};
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -41,7 +41,7 @@
     claim: Claim,
     todo: Option<claim::Action>,
     open: Vec<claim::Action>,
-    verdict: Option<Verdict>,
+    decision: Option<Decision>,
     ran: Option<bool>,
 }
 
@@ -68,7 +68,7 @@
             claim,
             todo: Some(action),
             open: Vec::new(),
-            verdict: None,
+            decision: None,
             ran: None,
         });
     }
@@ -89,9 +89,9 @@
     fn feed(&mut self, i: usize, event: claim::Event) {
         let request = &mut self.requests[i];
         request.todo = match request.claim.on(event) {
-            claim::Action::Resolve(verdict) => {
-                request.verdict = Some(verdict);
-                (!request.claim.is_settled() && verdict == Verdict::Unavailable)
+            claim::Action::Resolve(decision) => {
+                request.decision = Some(decision);
+                (!request.claim.is_settled() && decision == Decision::Unavailable)
                     .then_some(claim::Action::RetryLater)
             }
             claim::Action::Ignore => None,
@@ -131,7 +131,7 @@
 
     fn outcome(&mut self, i: usize, ran: bool) {
         let request = &mut self.requests[i];
-        if request.verdict != Some(Verdict::Granted) || request.ran.is_some() {
+        if request.decision != Some(Decision::Granted) || request.ran.is_some() {
             return;
         }
         request.ran = Some(ran);
@@ -185,7 +185,7 @@
         let owner = key.owner();
         let ran = key.requests.iter().filter(|request| request.ran == Some(true)).count();
         prop_assert!(ran <= 1);
-        let expected = owner.map_or(Verdict::Granted, |owner| Verdict::Answered(owner as u128));
-        prop_assert_eq!(key.requests[3].verdict, Some(expected));
+        let expected = owner.map_or(Decision::Granted, |owner| Decision::Answered(owner as u128));
+        prop_assert_eq!(key.requests[3].decision, Some(expected));
     }
 }
--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -4,7 +4,7 @@
 
 mod search;
 
-use protocol::fence::{Fence, Verdict};
+use protocol::fence::{Decision, Fence};
 use protocol::lease::{Action, Event, Lease, StoredRow, Timing};
 use search::{System, fails, holds};
 use std::collections::BTreeSet;
@@ -147,11 +147,11 @@
     }
 
     fn arrive(&mut self, order: Order) {
-        let verdict = match self.mutation {
-            Mutation::NoFence => Verdict::Pass,
+        let decision = match self.mutation {
+            Mutation::NoFence => Decision::Pass,
             _ => self.fence.admit(order.fence),
         };
-        if verdict != Verdict::Pass {
+        if decision != Decision::Pass {
             return;
         }
         if order.holder < self.carried_out {
--- a/crates/protocol/tests/traces.rs
+++ b/crates/protocol/tests/traces.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use protocol::call::{Action, Call, Event, Outcome, State};
-use protocol::claim::{self, Claim, Progress, Row, StoredRow, Verdict};
+use protocol::claim::{self, Claim, Decision, Progress, Row, StoredRow};
 use protocol::fence::{self, Fence};
 use protocol::follower::{self, Follower};
 use protocol::gate::{self, Gate};
@@ -47,7 +47,7 @@
     assert_eq!(claim.on(claim::Event::Unsure), claim::Action::Read);
     assert_eq!(
         claim.on(claim::Event::Unavailable),
-        claim::Action::Resolve(Verdict::Unavailable)
+        claim::Action::Resolve(Decision::Unavailable)
     );
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
     let close = claim.on(claim::Event::Found(Some(kept)));
@@ -107,7 +107,7 @@
         progress: Progress::Claimed,
     };
     let found = claim::Event::Found(Some(StoredRow { row, revision: 1 }));
-    let told = claim::Action::Resolve(Verdict::Running(10));
+    let told = claim::Action::Resolve(Decision::Running(10));
     assert_eq!(claim.on(found), told);
 }
 
@@ -120,7 +120,7 @@
         panic!("{write:?}");
     };
     claim.on(claim::Event::Unsure);
-    let told = claim::Action::Resolve(Verdict::Unavailable);
+    let told = claim::Action::Resolve(Decision::Unavailable);
     assert_eq!(claim.on(claim::Event::Unavailable), told);
     assert!(!claim.is_settled());
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
@@ -165,10 +165,10 @@
 #[test]
 fn restarted_fence() {
     let mut fence = Fence::new();
-    assert_eq!(fence.admit(1), fence::Verdict::Unknown);
+    assert_eq!(fence.admit(1), fence::Decision::Unknown);
     fence.learn(2);
-    assert_eq!(fence.admit(1), fence::Verdict::Refuse(2));
-    assert_eq!(fence.admit(2), fence::Verdict::Pass);
+    assert_eq!(fence.admit(1), fence::Decision::Refuse(2));
+    assert_eq!(fence.admit(2), fence::Decision::Pass);
 }
 
 /// A process starts afresh after a change was accepted, and an old push and a peer that lags
