--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -1,8 +1,8 @@
 //! The end of a link that carries out the other process's orders.
 
-use super::talk::{self, Frame};
+use super::frame::{self, Frame};
 use super::{tables, transfer};
-use crate::batch::{Cell, Outcome, Spoiled};
+use crate::batch::{Cell, Outcome, StageError};
 use crate::core::Relay;
 use crate::downstream::Downstream;
 use decide::Map;
@@ -42,7 +42,7 @@
     mut receiver: Receiver<Frame>,
 ) {
     relay.peers.subscribe(sender.clone());
-    talk::greet(&relay, &sender);
+    frame::greet(&relay, &sender);
     let mut orders = Orders {
         running: JoinSet::new(),
         handles: Map::default(),
@@ -85,9 +85,9 @@
                 sheet,
             } => {
                 let outcome = relay.batcher(&cell).submit(relay, sheet.order());
-                let handle = self
-                    .running
-                    .spawn(async move { (ticket, outcome.await.unwrap_or(Err(Spoiled::Failed))) });
+                let handle = self.running.spawn(async move {
+                    (ticket, outcome.await.unwrap_or(Err(StageError::Failed)))
+                });
                 self.handles.insert(ticket, (cell, handle));
             }
             Frame::Withdraw { ticket } => {
@@ -100,7 +100,7 @@
                 from,
                 burdens,
             } => {
-                let burdens = relay.peers.board.exchange(&service, from, burdens);
+                let burdens = relay.peers.call_loads.exchange(&service, from, burdens);
                 // A link that is gone or full needs no reply: the sender asks again.
                 let _ = sender.try_send(&Frame::Elsewhere { service, burdens });
             }
@@ -112,12 +112,12 @@
                 let telling = tables::answer(relay.clone(), sender.clone(), ticket, table, after);
                 tokio::spawn(telling);
             }
-            Frame::Held { cell, results } => relay.batcher(&cell).hold(relay, &results),
+            Frame::Held { cell, results } => relay.batcher(&cell).record_results(relay, &results),
             Frame::Release { results, spent } => {
                 let batcher = relay.batcher(&results.cell);
                 batcher.release(relay, &results.handles, spent);
             }
-            other => talk::common(relay, sender, other),
+            other => frame::common(relay, sender, other),
         }
     }
 
--- a/crates/relay/tests/common/parts.rs
+++ b/crates/relay/tests/common/parts.rs
@@ -1,18 +1,18 @@
 //! Bodies of the fake's answers.
 
-use super::End;
+use super::StreamEnd;
 use bytes::Bytes;
 use futures::stream::{self, Stream};
-use relay::request::Broken;
+use relay::request::IncompleteBody;
 use std::pin::Pin;
 use std::time::Duration;
 use tokio::time::sleep;
 
 /// Body of an answer.
-pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>> + Send>>;
+pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteBody>> + Send>>;
 
 /// Parts that come one every 10 ms.
-pub(crate) fn parts(parts: Vec<&'static str>, end: End) -> Parts {
+pub(crate) fn parts(parts: Vec<&'static str>, end: StreamEnd) -> Parts {
     let parts = parts
         .into_iter()
         .map(|part| Ok(Bytes::from_static(part.as_bytes())));
@@ -21,15 +21,15 @@
         sleep(Duration::from_millis(10)).await;
         part
     });
-    let broken = Broken {
+    let broken = IncompleteBody {
         reason: "reset".to_owned(),
     };
     match end {
-        End::Whole => Box::pin(parts),
-        End::Broken => Box::pin(futures::StreamExt::chain(
+        StreamEnd::Whole => Box::pin(parts),
+        StreamEnd::Broken => Box::pin(futures::StreamExt::chain(
             parts,
             stream::iter([Err(broken)]),
         )),
-        End::Silent => Box::pin(futures::StreamExt::chain(parts, stream::pending())),
+        StreamEnd::Silent => Box::pin(futures::StreamExt::chain(parts, stream::pending())),
     }
 }
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -4,20 +4,20 @@
 
 use common::stage::{cell, order};
 use common::{Fake, ready};
-use relay::batch::{Order, Spent, Spoiled};
-use relay::downstream::{Handle, Made};
+use relay::batch::{Order, ReleaseKind, StageError};
+use relay::downstream::{Handle, PieceOutcome};
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
 /// Answers of runners that are full of what nobody knows of.
 fn full(fake: &Fake, calls: usize) {
-    let mut acts = fake.stage_acts.lock().expect("free");
-    acts.extend(std::iter::repeat_n(Ok(vec![Made::NoRoom]), calls));
+    let mut behaviors = fake.stage_behaviors.lock().expect("free");
+    behaviors.extend(std::iter::repeat_n(Ok(vec![PieceOutcome::NoRoom]), calls));
 }
 
 fn patient(id: &str) -> Order {
     Order {
-        last: Instant::now() + Duration::from_secs(3),
+        expires_at: Instant::now() + Duration::from_secs(3),
         ..order(id, 1)
     }
 }
@@ -31,8 +31,8 @@
     full(&fake, 1_000);
     let relay = ready(fake.clone());
     let outcome = relay.batcher(&cell()).submit(&relay, patient("a")).await;
-    assert_eq!(outcome, Ok(Err(Spoiled::Late)));
-    let calls = fake.carried().len();
+    assert_eq!(outcome, Ok(Err(StageError::Late)));
+    let calls = fake.stage_calls().len();
     assert!((4..=16).contains(&calls), "{calls} calls to two runners");
 }
 
@@ -56,7 +56,7 @@
     let batcher = relay.batcher(&cell());
     let made = batcher.submit(&relay, order("a", 3)).await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Over);
+    batcher.release(&relay, &made, ReleaseKind::Over);
     sleep(Duration::from_millis(100)).await;
     let mut released = fake.released.lock().expect("free").clone();
     released.sort();
@@ -71,7 +71,7 @@
     let batcher = relay.batcher(&cell());
     let made = batcher.submit(&relay, order("a", 3)).await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Fetched);
+    batcher.release(&relay, &made, ReleaseKind::Fetched);
     sleep(Duration::from_millis(100)).await;
     assert!(fake.released.lock().expect("free").is_empty());
 }
@@ -89,22 +89,22 @@
         .submit(
             &relay,
             Order {
-                last: Instant::now() + Duration::from_secs(20),
+                expires_at: Instant::now() + Duration::from_secs(20),
                 ..patient("a")
             },
         )
         .await;
     let made: Vec<Handle> = made.expect("an outcome").expect("made");
-    batcher.release(&relay, &made, Spent::Over);
+    batcher.release(&relay, &made, ReleaseKind::Over);
     sleep(Duration::from_secs(2)).await;
     let large = Order {
         pieces: 4,
-        result: 300,
+        result_bytes: 300,
         ..patient("b")
     };
     let made = batcher.submit(&relay, large).await;
     assert!(made.expect("an outcome").is_ok());
-    let most = fake.carried().iter().map(|call| call.items.len()).max();
+    let most = fake.stage_calls().iter().map(|call| call.items.len()).max();
     assert!(
         most >= Some(3),
         "{most:?} of 4 pieces that there is room for"
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::stage::{cell, order};
 use common::{Fake, body, ready, request, runner};
-use relay::batch::{Outcome, Spent};
+use relay::batch::{Outcome, ReleaseKind};
 use relay::downstream::Handle;
 use relay::request::Message;
 use relay::runner::Change;
@@ -29,8 +29,8 @@
     let address = runner(id, "stage").address;
     let result: Handle = format!("{address}/old").into();
     let batcher = relay.batcher(&cell());
-    batcher.hold(relay, &[(result.clone(), 900)]);
-    batcher.release(relay, &[result], Spent::Over);
+    batcher.record_results(relay, &[(result.clone(), 900)]);
+    batcher.release(relay, &[result], ReleaseKind::Over);
 }
 
 /// Submits four pieces for the only runner, which leaves while results are given back to make room for them; another
@@ -53,8 +53,8 @@
     let relay = ready(Fake::default());
     let made = submit_and_leave(&relay).await.expect("made elsewhere");
     assert_eq!(made.len(), 4);
-    let carried = relay.downstream.carried();
-    let runners: Vec<&str> = carried.iter().map(|call| &*call.runner).collect();
+    let stage_calls = relay.downstream.stage_calls();
+    let runners: Vec<&str> = stage_calls.iter().map(|call| &*call.runner).collect();
     assert_eq!(runners, ["s-2"]);
 }
 
@@ -63,7 +63,7 @@
 async fn nothing_spent() {
     let relay = ready(Fake::default());
     // As many as the budget allows beside none that were sent first.
-    while relay.may_repeat(&"stage".into()) {}
+    while relay.try_retry(&"stage".into()) {}
     let made = submit_and_leave(&relay).await;
     assert_eq!(made.map(|made| made.len()), Ok(4));
 }
@@ -86,8 +86,8 @@
         relay.update(vec![leaving(&left, service), listed]);
         assert_eq!(waiting.await.expect("it ends"), 200, "{route}");
         let sent = relay.downstream.sent().into_iter().map(|call| call.runner);
-        let carried = relay.downstream.carried().into_iter();
-        let called: Vec<String> = sent.chain(carried.map(|call| call.runner)).collect();
+        let stage_calls = relay.downstream.stage_calls().into_iter();
+        let called: Vec<String> = sent.chain(stage_calls.map(|call| call.runner)).collect();
         assert!(
             !called.contains(&left) && called.contains(&other),
             "{called:?}"
--- a/crates/relay/tests/narrow_link.rs
+++ b/crates/relay/tests/narrow_link.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::narrow::{Direction, Narrow};
 use common::service::Service;
-use common::{Fake, blank_as, entry};
+use common::{Fake, entry, unconfigured_member};
 use relay::member::Member;
 use relay::{Relay, follow, peer};
 use serde_json::{Value, json};
@@ -64,7 +64,7 @@
                 weight: 1.0,
                 since: None,
             };
-            let relay = blank_as(Fake::default(), member.clone());
+            let relay = unconfigured_member(Fake::default(), member.clone());
             tokio::spawn(peer::serve(relay.clone(), listener));
             relays.push(relay);
             members.push(member);
@@ -98,8 +98,8 @@
                 });
             }
             relay.peers.members(|members| {
-                members.enlisted(Duration::ZERO, own as u64 + 1);
-                members.listed();
+                members.mark_registered(Duration::ZERO, own as u64 + 1);
+                members.mark_listed();
             });
         }
     }
@@ -107,15 +107,20 @@
     /// All follow the tables; the last one is turned away by the service and hears from its peers alone.
     fn start(&self) {
         for relay in &self.relays[..PROCESSES - 1] {
-            tokio::spawn(follow::plans(relay.clone(), self.service.clone()));
-            tokio::spawn(follow::runners(relay.clone(), self.service.clone()));
-            tokio::spawn(peer::keep(relay.clone()));
+            tokio::spawn(follow::operator_table(relay.clone(), self.service.clone()));
+            tokio::spawn(follow::runner_table(relay.clone(), self.service.clone()));
+            tokio::spawn(peer::maintain_links(relay.clone()));
         }
         let relay = self.last();
-        let away = || Script::new(vec![Told::Away(Duration::from_millis(20)); 10_000]);
-        tokio::spawn(follow::plans(relay.clone(), away()));
-        tokio::spawn(follow::runners(relay.clone(), away()));
-        tokio::spawn(peer::keep(relay.clone()));
+        let away = || {
+            ScriptedFeed::new(vec![
+                FeedReply::Unavailable(Duration::from_millis(20));
+                10_000
+            ])
+        };
+        tokio::spawn(follow::operator_table(relay.clone(), away()));
+        tokio::spawn(follow::runner_table(relay.clone(), away()));
+        tokio::spawn(peer::maintain_links(relay.clone()));
     }
 
     fn last(&self) -> &Arc<Relay<Fake>> {
@@ -133,7 +138,9 @@
     }
 
     fn version(&self) -> Option<u64> {
-        self.last().plan().map(|plan| plan.version)
+        self.last()
+            .configuration()
+            .map(|configuration| configuration.version)
     }
 
     fn knows_runner(&self) -> bool {
