--- a/crates/protocol/tests/activation_search.rs
+++ b/crates/protocol/tests/activation_search.rs
@@ -4,7 +4,7 @@
 mod search;
 
 use protocol::activation::Activation;
-use search::{System, fails, holds};
+use search::{System, holds, violates};
 use std::time::Duration;
 
 /// Ticks that are played, and suspensions and restarts in all.
@@ -308,6 +308,6 @@
         Mutation::SettledAtOnce,
     ];
     for mutation in mutations {
-        fails(&format!("{mutation:?}"), &World::new(mutation), VIOLATION);
+        violates(&format!("{mutation:?}"), &World::new(mutation), VIOLATION);
     }
 }
--- a/crates/protocol/tests/call_search.rs
+++ b/crates/protocol/tests/call_search.rs
@@ -7,7 +7,7 @@
 use protocol::call::{self, Call, Outcome};
 use protocol::claim::{self, Claim, Decision, Progress, Row, StoredRow};
 use protocol::gate::{self, Gate};
-use search::{System, fails, find, holds};
+use search::{System, find_violation, holds, violates};
 use std::collections::BTreeSet;
 
 /// A guard that is taken away around the shipped machines.
@@ -445,7 +445,7 @@
         .into_iter()
         .for_each(|mutation| {
             let world = World::repeatable(4, mutation);
-            fails(
+            violates(
                 &format!("repeatable, {mutation:?}"),
                 &world,
                 "not run, but ran",
@@ -475,10 +475,10 @@
     ]
     .into_iter()
     .for_each(|(mutation, what)| {
-        fails(&format!("{mutation:?}"), &World::new(1, 4, mutation), what);
+        violates(&format!("{mutation:?}"), &World::new(1, 4, mutation), what);
     });
     let denied = World::new(1, 4, Mutation::OfferAfterGrant);
-    assert_eq!(find(&denied, |what| what == "ran twice"), None);
+    assert_eq!(find_violation(&denied, |what| what == "ran twice"), None);
 }
 
 /// Each guard of the claim is needed: without it two entries run the same payout, or the key can
@@ -492,6 +492,6 @@
     ]
     .into_iter()
     .for_each(|(mutation, what)| {
-        fails(&format!("{mutation:?}"), &World::new(2, 2, mutation), what);
+        violates(&format!("{mutation:?}"), &World::new(2, 2, mutation), what);
     });
 }
--- a/crates/protocol/tests/follower_member_model.rs
+++ b/crates/protocol/tests/follower_member_model.rs
@@ -1,5 +1,5 @@
-//! The shipped follower and members beside naive twins that keep every word and go through all of
-//! them for each verdict. The seed is fixed, so that the verdict is the same every run.
+//! The follower and the members compared with reference models that keep all messages and evaluate
+//! them anew for each result. The seed is fixed, so that results are reproducible.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use proptest::prelude::*;
@@ -16,68 +16,77 @@
     }
 }
 
-/// What is told about a VM.
+/// An update about a VM.
 #[derive(Clone, Copy, Debug)]
-enum Word {
-    Heard(Incarnation, bool),
+enum Update {
+    FromVm(Incarnation, bool),
     Listed(Incarnation, bool),
     Unlisted,
-    Silent(Incarnation),
+    Unresponsive(Incarnation),
     Drain(bool),
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    let life = 1..4_u64;
+fn update() -> impl Strategy<Value = Update> {
+    let incarnation = 1..4_u64;
     prop_oneof![
-        (life.clone(), any::<bool>()).prop_map(|(life, leaving)| Word::Heard(life, leaving)),
-        (life.clone(), any::<bool>()).prop_map(|(life, leaving)| Word::Listed(life, leaving)),
-        Just(Word::Unlisted),
-        life.prop_map(Word::Silent),
-        any::<bool>().prop_map(Word::Drain),
+        (incarnation.clone(), any::<bool>())
+            .prop_map(|(incarnation, leaving)| Update::FromVm(incarnation, leaving)),
+        (incarnation.clone(), any::<bool>())
+            .prop_map(|(incarnation, leaving)| Update::Listed(incarnation, leaving)),
+        Just(Update::Unlisted),
+        incarnation.prop_map(Update::Unresponsive),
+        any::<bool>().prop_map(Update::Drain),
     ]
 }
 
-/// Goes through all words about a VM.
-fn judge(words: &[Word]) -> State {
-    let about = |word: &Word| match *word {
-        Word::Heard(life, leaving) | Word::Listed(life, leaving) => Some((life, leaving)),
+/// Derives a VM's state from all updates about it.
+fn expected_state(updates: &[Update]) -> State {
+    let about = |update: &Update| match *update {
+        Update::FromVm(incarnation, leaving) | Update::Listed(incarnation, leaving) => {
+            Some((incarnation, leaving))
+        }
         _ => None,
     };
-    let Some(life) = words.iter().filter_map(about).map(|(life, _)| life).max() else {
+    let Some(incarnation) = updates
+        .iter()
+        .filter_map(about)
+        .map(|(incarnation, _)| incarnation)
+        .max()
+    else {
         return State::Gone;
     };
-    let since = words
+    let since = updates
         .iter()
-        .position(|word| about(word).is_some_and(|(l, _)| l == life));
-    let contact = words[since.unwrap()..]
+        .position(|update| about(update).is_some_and(|(other, _)| other == incarnation));
+    let responsive = updates[since.unwrap()..]
         .iter()
         .rev()
-        .find_map(|word| match *word {
-            Word::Heard(l, _) if l == life => Some(true),
-            Word::Silent(l) if l == life => Some(false),
+        .find_map(|update| match *update {
+            Update::FromVm(other, _) if other == incarnation => Some(true),
+            Update::Unresponsive(other) if other == incarnation => Some(false),
             _ => None,
         });
-    let listed = words.iter().rev().find_map(|word| match word {
-        Word::Listed(..) => Some(true),
-        Word::Unlisted => Some(false),
+    let listed = updates.iter().rev().find_map(|update| match update {
+        Update::Listed(..) => Some(true),
+        Update::Unlisted => Some(false),
         _ => None,
     });
-    let drained = words.iter().rev().find_map(|word| match word {
-        Word::Drain(drained) => Some(*drained),
+    let drained = updates.iter().rev().find_map(|update| match update {
+        Update::Drain(drained) => Some(*drained),
         _ => None,
     });
-    let leaving = words
+    let leaving = updates
         .iter()
         .filter_map(about)
-        .any(|(l, leaving)| l == life && leaving);
-    match contact.or(listed) {
+        .any(|(other, leaving)| other == incarnation && leaving);
+    match responsive.or(listed) {
         Some(true) if leaving || drained == Some(true) => State::Leaving,
         Some(true) => State::Live,
         _ => State::Gone,
     }
 }
 
-fn news() -> impl Strategy<Value = follower::Event> {
+fn follower_event() -> impl Strategy<Value = follower::Event> {
     let revision = 1..6_u64;
     prop_oneof![
         revision.clone().prop_map(follower::Event::Head),
@@ -89,12 +98,12 @@
     ]
 }
 
-/// Revision whose changes are all in force, and whether the process may serve, by going through
-/// all news.
-fn follow(news: &[follower::Event]) -> (Revision, bool) {
+/// Derives from all events the revision up to which all changes are in force, and whether the
+/// process may serve.
+fn expected_follower(follower_event: &[follower::Event]) -> (Revision, bool) {
     let (mut applied, mut down, mut ready) = (0, false, false);
     let mut goals = Vec::new();
-    for event in news {
+    for event in follower_event {
         match *event {
             follower::Event::Entry(revision) if revision == applied + 1 => applied = revision,
             follower::Event::Snapshot(revision) => applied = applied.max(revision),
@@ -114,31 +123,32 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// News of the configuration comes late, twice and out of order.
+    /// Messages about the configuration arrive late, twice and out of order.
     #[test]
-    fn follower_twin(all in prop::collection::vec(news(), 0..40)) {
+    fn follower_matches_model(all in prop::collection::vec(follower_event(), 0..40)) {
         let mut follower = Follower::new();
         for (i, event) in all.iter().enumerate() {
             follower.on(*event);
-            let shipped = (follower.applied(), follower.is_ready());
-            prop_assert_eq!(shipped, follow(&all[..=i]));
+            let actual = (follower.applied(), follower.is_ready());
+            prop_assert_eq!(actual, expected_follower(&all[..=i]));
         }
     }
 
-    /// Words about a VM from itself, the list, operators and silence come in any order.
+    /// Updates about a VM from itself, the list, operators and missed heartbeats arrive in any
+    /// order.
     #[test]
-    fn member_twin(words in prop::collection::vec(word(), 0..40)) {
+    fn members_match_model(updates in prop::collection::vec(update(), 0..40)) {
         let mut members = Members::new();
-        for (i, word) in words.iter().enumerate() {
-            let news = |incarnation, leaving| MemberUpdate { incarnation, leaving };
-            match *word {
-                Word::Heard(life, leaving) => members.observe("vm", news(life, leaving)),
-                Word::Listed(life, leaving) => members.set_listed([("vm", news(life, leaving))]),
-                Word::Unlisted => members.set_listed([]),
-                Word::Silent(life) => members.mark_unresponsive("vm", life),
-                Word::Drain(drained) => members.set_drained("vm", drained),
+        for (i, update) in updates.iter().enumerate() {
+            let member_update = |incarnation, leaving| MemberUpdate { incarnation, leaving };
+            match *update {
+                Update::FromVm(number, leaving) => members.observe("vm", member_update(number, leaving)),
+                Update::Listed(number, leaving) => members.set_listed([("vm", member_update(number, leaving))]),
+                Update::Unlisted => members.set_listed([]),
+                Update::Unresponsive(incarnation) => members.mark_unresponsive("vm", incarnation),
+                Update::Drain(drained) => members.set_drained("vm", drained),
             }
-            prop_assert_eq!(members.state("vm"), judge(&words[..=i]));
+            prop_assert_eq!(members.state("vm"), expected_state(&updates[..=i]));
         }
     }
 }
--- a/crates/protocol/tests/follower_member_search.rs
+++ b/crates/protocol/tests/follower_member_search.rs
@@ -1,4 +1,4 @@
-//! Search over the shipped follower and members: news that is late, repeated and out of order.
+//! Search over the follower and the members with messages that are late, repeated and out of order.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod search;
@@ -6,12 +6,12 @@
 use protocol::follower::{self, Event, Follower};
 use protocol::member::{MemberUpdate, Members, State};
 use protocol::{Incarnation, Revision};
-use search::{System, fails, holds};
+use search::{System, holds, violates};
 
-/// Revisions in the log and lives of the VM, at most.
-const LAST: u64 = 3;
+/// Maximum number of revisions in the log, and of incarnations of the VM.
+const MAX: u64 = 3;
 
-/// A guard that is taken away around the shipped machines.
+/// A guard that is removed around the state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mutation {
     None,
@@ -41,11 +41,11 @@
     follower: Follower,
     down: bool,
     by_peers: bool,
-    /// Head, and what a ready peer had, when the process started.
+    /// Head of the log when the process started, and what a ready peer had applied then.
     floor: Revision,
     peer_floor: Revision,
-    /// Last revision whose changes are all in force.
-    whole: Revision,
+    /// Last revision up to which all changes are in force.
+    complete: Revision,
     reverted: bool,
 }
 
@@ -65,39 +65,39 @@
         }
     }
 
-    fn feed(&mut self, i: usize, event: Event, down: bool) {
+    fn process_event(&mut self, i: usize, event: Event, down: bool) {
         let process = &mut self.processes[i];
         let (before, ready) = (process.follower.applied(), process.follower.is_ready());
         let action = process.follower.on(event);
         if let follower::Action::Apply(revision) = action {
             process.reverted |= revision < before;
-            let whole = matches!(event, Event::Snapshot(_)) || revision == process.whole + 1;
-            process.whole = if whole { revision } else { process.whole };
+            let complete = matches!(event, Event::Snapshot(_)) || revision == process.complete + 1;
+            process.complete = if complete { revision } else { process.complete };
         }
         process.down = down;
         process.by_peers |= down && !ready && process.follower.is_ready();
     }
 
-    fn take(&mut self, i: usize, step: Step) {
+    fn apply(&mut self, i: usize, step: Step) {
         let down = self.processes[i].down;
         match step {
             Step::Accept => self.head += 1,
-            Step::Head(revision) => self.feed(i, Event::Head(revision), false),
+            Step::Head(revision) => self.process_event(i, Event::Head(revision), false),
             Step::Push(revision) if self.mutation == Mutation::PushIsHead => {
-                self.feed(i, Event::Head(revision), false);
+                self.process_event(i, Event::Head(revision), false);
             }
-            Step::Push(revision) => self.feed(i, Event::Push(revision), down),
+            Step::Push(revision) => self.process_event(i, Event::Push(revision), down),
             Step::Entry(revision) if self.mutation == Mutation::EntryIsSnapshot => {
-                let whole = self.processes[i].whole;
-                self.feed(i, Event::Snapshot(revision), down);
-                if self.processes[i].follower.applied() > whole + 1 {
-                    self.processes[i].whole = whole;
+                let complete = self.processes[i].complete;
+                self.process_event(i, Event::Snapshot(revision), down);
+                if self.processes[i].follower.applied() > complete + 1 {
+                    self.processes[i].complete = complete;
                 }
             }
-            Step::Entry(revision) => self.feed(i, Event::Entry(revision), down),
-            Step::Snapshot(revision) => self.feed(i, Event::Snapshot(revision), down),
-            Step::Down => self.feed(i, Event::Down, true),
-            Step::Peers => self.peers(i),
+            Step::Entry(revision) => self.process_event(i, Event::Entry(revision), down),
+            Step::Snapshot(revision) => self.process_event(i, Event::Snapshot(revision), down),
+            Step::Down => self.process_event(i, Event::Down, true),
+            Step::Peers => self.ask_peers(i),
             Step::Restart => {
                 let peer = &self.processes[1 - i].follower;
                 let peer_floor = if peer.is_ready() { peer.applied() } else { 0 };
@@ -110,13 +110,13 @@
         }
     }
 
-    fn peers(&mut self, i: usize) {
+    fn ask_peers(&mut self, i: usize) {
         let applied = self.processes[1 - i].follower.applied();
         let down = self.processes[i].down;
         if self.mutation == Mutation::PeersWhileUp {
-            self.feed(i, Event::Down, down);
+            self.process_event(i, Event::Down, down);
         }
-        self.feed(i, Event::Peers(applied), down);
+        self.process_event(i, Event::Peers(applied), down);
     }
 
     fn own_steps(&self, i: usize) -> Vec<Step> {
@@ -145,10 +145,10 @@
 
     fn steps(&self) -> Vec<(Self::Step, Self)> {
         let own = (0..2).flat_map(|i| self.own_steps(i).into_iter().map(move |step| (i, step)));
-        own.filter(|(_, step)| *step != Step::Accept || self.head < LAST)
+        own.filter(|(_, step)| *step != Step::Accept || self.head < MAX)
             .map(|(i, step)| {
                 let mut log = self.clone();
-                log.take(i, step);
+                log.apply(i, step);
                 ((i, step), log)
             })
             .collect()
@@ -162,30 +162,31 @@
         let fresh = |p: &Process| serves(p) && (old(p) || older(p));
         match self {
             _ if any(|p| p.reverted) => Some("reverted"),
-            _ if any(|p| p.whole != p.follower.applied()) => Some("skipped"),
-            _ if self.processes.iter().any(fresh) => Some("served what was replaced"),
+            _ if any(|p| p.complete != p.follower.applied()) => Some("skipped a change"),
+            _ if self.processes.iter().any(fresh) => Some("served a replaced configuration"),
             _ => None,
         }
     }
 }
 
-/// A word about the VM, from the VM itself or from the list.
+/// An update about the VM, from the VM itself, the list or an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Word {
-    Heard(Incarnation, bool),
+enum Update {
+    FromVm(Incarnation, bool),
     Listed(Incarnation, bool),
     Unlisted,
-    Silent(Incarnation),
+    Unresponsive(Incarnation),
     Drain(bool),
 }
 
-/// What one entry knows of one VM. Nothing bounds the words but the lives they are about.
+/// One entry's view of one VM. The updates are bounded only by the incarnations that they are
+/// about.
 #[derive(Clone, Debug)]
 struct View {
     mutation: Mutation,
     members: Members,
-    /// Highest life heard of, and whether it was heard to leave.
-    life: Incarnation,
+    /// Highest known incarnation, and whether it was reported to be leaving.
+    incarnation: Incarnation,
     leaving: bool,
     drained: bool,
 }
@@ -195,46 +196,48 @@
         Self {
             mutation,
             members: Members::new(),
-            life: 0,
+            incarnation: 0,
             leaving: false,
             drained: false,
         }
     }
 
-    /// The members hold one VM, so that their text says all there is to know of them.
+    /// The members contain a single VM, so their debug text identifies their state.
     fn key(&self) -> (String, Incarnation, bool, bool) {
         let members = format!("{:?}", self.members);
-        (members, self.life, self.leaving, self.drained)
+        (members, self.incarnation, self.leaving, self.drained)
     }
 
-    fn note(&mut self, life: Incarnation, leaving: bool) {
-        if life > self.life {
-            (self.life, self.leaving) = (life, leaving);
-        } else if life == self.life {
+    fn record(&mut self, incarnation: Incarnation, leaving: bool) {
+        if incarnation > self.incarnation {
+            (self.incarnation, self.leaving) = (incarnation, leaving);
+        } else if incarnation == self.incarnation {
             self.leaving |= leaving;
         }
     }
 
-    fn take(&mut self, word: Word) {
-        let news = |incarnation, leaving| MemberUpdate {
+    fn apply(&mut self, update: Update) {
+        let member_update = |incarnation, leaving| MemberUpdate {
             incarnation,
             leaving,
         };
-        match word {
-            Word::Heard(life, leaving) => {
-                self.note(life, leaving);
-                self.members.observe("vm", news(life, leaving));
+        match update {
+            Update::FromVm(incarnation, leaving) => {
+                self.record(incarnation, leaving);
+                self.members
+                    .observe("vm", member_update(incarnation, leaving));
             }
-            Word::Listed(life, leaving) => {
-                self.note(life, leaving);
+            Update::Listed(incarnation, leaving) => {
+                self.record(incarnation, leaving);
                 if self.mutation == Mutation::ListClears {
                     self.members = Members::new();
                 }
-                self.members.set_listed([("vm", news(life, leaving))]);
+                self.members
+                    .set_listed([("vm", member_update(incarnation, leaving))]);
             }
-            Word::Unlisted => self.members.set_listed([]),
-            Word::Silent(life) => self.members.mark_unresponsive("vm", life),
-            Word::Drain(drained) => {
+            Update::Unlisted => self.members.set_listed([]),
+            Update::Unresponsive(incarnation) => self.members.mark_unresponsive("vm", incarnation),
+            Update::Drain(drained) => {
                 self.drained = drained;
                 let seen = self.mutation != Mutation::DrainUnseen;
                 self.members.set_drained("vm", drained && seen);
@@ -258,20 +261,23 @@
 }
 
 impl System for View {
-    type Step = Word;
+    type Step = Update;
 
-    fn steps(&self) -> Vec<(Word, Self)> {
-        let words = (1..=LAST).flat_map(|life| {
-            let heard = [true, false].map(|leaving| Word::Heard(life, leaving));
-            let listed = [true, false].map(|leaving| Word::Listed(life, leaving));
-            heard.into_iter().chain(listed).chain([Word::Silent(life)])
+    fn steps(&self) -> Vec<(Update, Self)> {
+        let updates = (1..=MAX).flat_map(|incarnation| {
+            let heard = [true, false].map(|leaving| Update::FromVm(incarnation, leaving));
+            let listed = [true, false].map(|leaving| Update::Listed(incarnation, leaving));
+            heard
+                .into_iter()
+                .chain(listed)
+                .chain([Update::Unresponsive(incarnation)])
         });
-        words
-            .chain([Word::Unlisted, Word::Drain(true), Word::Drain(false)])
-            .map(|word| {
+        updates
+            .chain([Update::Unlisted, Update::Drain(true), Update::Drain(false)])
+            .map(|update| {
                 let mut view = self.clone();
-                view.take(word);
-                (word, view)
+                view.apply(update);
+                (update, view)
             })
             .collect()
     }
@@ -279,48 +285,50 @@
     fn violation(&self) -> Option<&'static str> {
         let live = self.members.state("vm") == State::Live;
         match self {
-            _ if live && self.leaving => Some("new work for a VM that leaves"),
+            _ if live && self.leaving => Some("new work for a leaving VM"),
             _ if live && self.drained => Some("new work for a drained VM"),
-            _ if live && self.members.incarnation("vm") != Some(self.life) => Some("older life"),
+            _ if live && self.members.incarnation("vm") != Some(self.incarnation) => {
+                Some("outdated incarnation")
+            }
             _ => None,
         }
     }
 }
 
-/// Processes start afresh while the table comes and goes and news arrives in any order. None
-/// goes back, skips a change, or serves what was replaced before it started.
+/// Processes restart while the table is intermittently unavailable and messages arrive in any order.
+/// No process reverts, skips a change, or serves a configuration that was replaced before its start.
 #[test]
-fn following() {
+fn follower_never_reverts() {
     holds("follower", &Log::new(Mutation::None));
 }
 
-/// Each guard of the follower is needed: without it a request is served by a replaced record.
+/// Each guard of the follower is needed: without it, a request is served by a replaced record.
 #[test]
-fn following_guards() {
+fn follower_guards_needed() {
     [
-        (Mutation::PushIsHead, "served what was replaced"),
-        (Mutation::PeersWhileUp, "served what was replaced"),
-        (Mutation::ServeUnready, "served what was replaced"),
-        (Mutation::EntryIsSnapshot, "skipped"),
+        (Mutation::PushIsHead, "served a replaced configuration"),
+        (Mutation::PeersWhileUp, "served a replaced configuration"),
+        (Mutation::ServeUnready, "served a replaced configuration"),
+        (Mutation::EntryIsSnapshot, "skipped a change"),
     ]
     .into_iter()
-    .for_each(|(mutation, what)| fails(&format!("{mutation:?}"), &Log::new(mutation), what));
+    .for_each(|(mutation, what)| violates(&format!("{mutation:?}"), &Log::new(mutation), what));
 }
 
-/// The list still shows a VM as live after it has said that it leaves, and old words arrive again.
-/// It gets no new work.
+/// The list still shows a VM as live after the VM has reported that it is leaving, and old updates
+/// arrive again. The VM gets no new work.
 #[test]
-fn leaving() {
+fn leaving_vm_gets_no_work() {
     holds("members", &View::new(Mutation::None));
 }
 
-/// Each guard of the members is needed: without it a VM that leaves gets new work.
+/// Each guard of the members is needed: without it, a VM that is leaving gets new work.
 #[test]
-fn leaving_guards() {
+fn member_guards_needed() {
     [
-        (Mutation::ListClears, "new work for a VM that leaves"),
+        (Mutation::ListClears, "new work for a leaving VM"),
         (Mutation::DrainUnseen, "new work for a drained VM"),
     ]
     .into_iter()
-    .for_each(|(mutation, what)| fails(&format!("{mutation:?}"), &View::new(mutation), what));
+    .for_each(|(mutation, what)| violates(&format!("{mutation:?}"), &View::new(mutation), what));
 }
--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -6,7 +6,7 @@
 
 use protocol::fence::{Decision, Fence};
 use protocol::lease::{Action, Event, Lease, StoredRow, Timing};
-use search::{System, fails, holds};
+use search::{System, holds, violates};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -282,6 +282,6 @@
     .into_iter()
     .for_each(|(mutation, what, ordering)| {
         let world = World::new(ordering, 4, 1, mutation);
-        fails(&format!("{mutation:?}"), &world, what);
+        violates(&format!("{mutation:?}"), &world, what);
     });
 }
--- a/crates/protocol/tests/reader_search.rs
+++ b/crates/protocol/tests/reader_search.rs
@@ -6,7 +6,7 @@
 
 use protocol::RowRevision;
 use protocol::reader::{PeerUpdate, Reader, UpdateAction};
-use search::{System, fails, holds};
+use search::{System, holds, violates};
 use std::time::Duration;
 
 /// Ticks that are played, and changes of the table, at most.
@@ -322,7 +322,7 @@
     ];
     for mutation in mutations {
         let name = format!("{mutation:?}");
-        fails(
+        violates(
             &name,
             &World::new(mutation),
             "behind by more than the bound",
--- a/crates/protocol/tests/search/mod.rs
+++ b/crates/protocol/tests/search/mod.rs
@@ -1,21 +1,21 @@
-//! Breadth-first search over everything that can happen to a small system.
+//! Breadth-first search over all reachable states of a small system.
 #![allow(dead_code)]
 
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// Upper bound of states; a larger system fails the test instead of being cut short.
-const STATES: usize = 3_000_000;
+/// Upper bound of the number of states; a larger system fails the test instead of being truncated.
+const MAX_STATES: usize = 3_000_000;
 
-/// A system whose steps are all that can happen next.
+/// A system that lists all possible next steps.
 pub(crate) trait System: Clone + Eq + Hash {
-    /// What can happen.
+    /// A step of the system.
     type Step: Debug;
 
-    /// All that can happen now, with the system after it.
+    /// All possible steps, each with the resulting state.
     fn steps(&self) -> Vec<(Self::Step, Self)>;
 
-    /// The property that does not hold, if any.
+    /// The violated property, if any.
     fn violation(&self) -> Option<&'static str>;
 }
 
@@ -24,24 +24,24 @@
     let mut states = 0;
     for state in pathfinding::directed::bfs::bfs_reach(start.clone(), next) {
         states += 1;
-        assert!(states < STATES, "{name}: search cut short");
+        assert!(states < MAX_STATES, "{name}: search cut short");
         if state.violation().is_some() {
-            let (what, trace) = find(start, |_| true).unwrap();
+            let (what, trace) = find_violation(start, |_| true).unwrap();
             panic!("{name}: {what} after\n{trace}");
         }
     }
-    println!("{name}: {states} states, bound {STATES}");
+    println!("{name}: {states} states, bound {MAX_STATES}");
 }
 
-/// Finds a shortest way to this violation and prints it.
-pub(crate) fn fails<S: System>(name: &str, start: &S, violation: &str) {
-    let found = find(start, |what| what == violation);
+/// Finds a shortest path to the given violation and prints it; fails if there is none.
+pub(crate) fn violates<S: System>(name: &str, start: &S, violation: &str) {
+    let found = find_violation(start, |what| what == violation);
     let (_, trace) = found.unwrap_or_else(|| panic!("{name}: no way to '{violation}'"));
     println!("{name}: {violation} after\n{trace}");
 }
 
-/// Shortest way to a wanted violation.
-pub(crate) fn find<S: System>(
+/// Shortest path to a violation that `wanted` accepts.
+pub(crate) fn find_violation<S: System>(
     start: &S,
     wanted: impl Fn(&str) -> bool,
 ) -> Option<(&'static str, String)> {
