--- a/crates/protocol/tests/claim_model.rs
+++ b/crates/protocol/tests/claim_model.rs
@@ -1,5 +1,5 @@
-//! The shipped claim, under a table that loses answers, beside a naive twin that serves one request
-//! after another. The seed is fixed, so that the verdict is the same every run.
+//! The claim, with a table that loses responses, compared with a reference model that serves one
+//! request after another. The seed is fixed, so that results are reproducible.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use proptest::prelude::*;
@@ -14,38 +14,38 @@
     }
 }
 
-/// What happens to requests that share one key; the number picks the request.
+/// An event for one of the requests that share a key, identified by its index.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Table(usize),
-    Down(usize),
-    Lost(usize),
-    Lands(usize),
-    Runs(usize),
-    Unrun(usize),
+enum Step {
+    TableResponds(usize),
+    TableUnavailable(usize),
+    ResponseLost(usize),
+    WriteApplied(usize),
+    Ran(usize),
+    NotRun(usize),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn step() -> impl Strategy<Value = Step> {
     let which = 0..3_usize;
     prop_oneof![
-        4 => which.clone().prop_map(Fate::Table),
-        1 => which.clone().prop_map(Fate::Down),
-        2 => which.clone().prop_map(Fate::Lost),
-        1 => which.clone().prop_map(Fate::Lands),
-        2 => which.clone().prop_map(Fate::Runs),
-        1 => which.prop_map(Fate::Unrun),
+        4 => which.clone().prop_map(Step::TableResponds),
+        1 => which.clone().prop_map(Step::TableUnavailable),
+        2 => which.clone().prop_map(Step::ResponseLost),
+        1 => which.clone().prop_map(Step::WriteApplied),
+        2 => which.clone().prop_map(Step::Ran),
+        1 => which.prop_map(Step::NotRun),
     ]
 }
 
 struct Request {
     claim: Claim,
-    todo: Option<claim::Action>,
-    open: Vec<claim::Action>,
+    next_action: Option<claim::Action>,
+    pending_writes: Vec<claim::Action>,
     decision: Option<Decision>,
     ran: Option<bool>,
 }
 
-/// The key's row, and the requests that want it.
+/// The key's row, and the requests for the key.
 struct Key {
     row: Option<StoredRow>,
     requests: Vec<Request>,
@@ -57,23 +57,23 @@
             row: None,
             requests: Vec::new(),
         };
-        (0..requests).for_each(|_| key.open());
+        (0..requests).for_each(|_| key.add_request());
         key
     }
 
-    fn open(&mut self) {
+    fn add_request(&mut self) {
         let number = self.requests.len() as u128;
         let (claim, action) = Claim::open(number, number, 0);
         self.requests.push(Request {
             claim,
-            todo: Some(action),
-            open: Vec::new(),
+            next_action: Some(action),
+            pending_writes: Vec::new(),
             decision: None,
             ran: None,
         });
     }
 
-    fn table(&mut self, action: claim::Action) -> claim::Event {
+    fn execute(&mut self, action: claim::Action) -> claim::Event {
         let current = self.row.map(|kept| kept.revision);
         match action {
             claim::Action::RetryLater => claim::Event::Retry,
@@ -86,9 +86,9 @@
         }
     }
 
-    fn feed(&mut self, i: usize, event: claim::Event) {
+    fn process_event(&mut self, i: usize, event: claim::Event) {
         let request = &mut self.requests[i];
-        request.todo = match request.claim.on(event) {
+        request.next_action = match request.claim.on(event) {
             claim::Action::Resolve(decision) => {
                 request.decision = Some(decision);
                 (!request.claim.is_settled() && decision == Decision::Unavailable)
@@ -99,37 +99,37 @@
         };
     }
 
-    fn happens(&mut self, fate: Fate) {
-        match fate {
-            Fate::Table(i) => self.answer(i),
-            Fate::Down(i) if self.requests[i].todo.is_some() => {
-                self.feed(i, claim::Event::Unavailable);
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::TableResponds(i) => self.respond(i),
+            Step::TableUnavailable(i) if self.requests[i].next_action.is_some() => {
+                self.process_event(i, claim::Event::Unavailable);
             }
-            Fate::Lost(i) => {
-                if let Some(action @ claim::Action::Write { .. }) = self.requests[i].todo {
-                    self.requests[i].open.push(action);
-                    self.feed(i, claim::Event::Unsure);
+            Step::ResponseLost(i) => {
+                if let Some(action @ claim::Action::Write { .. }) = self.requests[i].next_action {
+                    self.requests[i].pending_writes.push(action);
+                    self.process_event(i, claim::Event::Unsure);
                 }
             }
-            Fate::Lands(i) => {
-                if let Some(action) = self.requests[i].open.pop() {
-                    self.table(action);
+            Step::WriteApplied(i) => {
+                if let Some(action) = self.requests[i].pending_writes.pop() {
+                    self.execute(action);
                 }
             }
-            Fate::Runs(i) => self.outcome(i, true),
-            Fate::Unrun(i) => self.outcome(i, false),
-            Fate::Down(_) => {}
+            Step::Ran(i) => self.finish(i, true),
+            Step::NotRun(i) => self.finish(i, false),
+            Step::TableUnavailable(_) => {}
         }
     }
 
-    fn answer(&mut self, i: usize) {
-        if let Some(action) = self.requests[i].todo {
-            let event = self.table(action);
-            self.feed(i, event);
+    fn respond(&mut self, i: usize) {
+        if let Some(action) = self.requests[i].next_action {
+            let event = self.execute(action);
+            self.process_event(i, event);
         }
     }
 
-    fn outcome(&mut self, i: usize, ran: bool) {
+    fn finish(&mut self, i: usize, ran: bool) {
         let request = &mut self.requests[i];
         if request.decision != Some(Decision::Granted) || request.ran.is_some() {
             return;
@@ -140,29 +140,29 @@
         } else {
             claim::Event::NotRun
         };
-        self.feed(i, event);
+        self.process_event(i, event);
     }
 
-    /// Answers everything that is open, as a table does that is well again.
+    /// Completes all pending operations, as a table does that is available again.
     fn settle(&mut self) {
         for i in 0..self.requests.len() {
-            while self.requests[i].todo.is_some() {
-                self.answer(i);
+            while self.requests[i].next_action.is_some() {
+                self.respond(i);
             }
-            self.outcome(i, false);
-            while self.requests[i].todo.is_some() {
-                self.answer(i);
+            self.finish(i, false);
+            while self.requests[i].next_action.is_some() {
+                self.respond(i);
             }
         }
         for i in 0..self.requests.len() {
-            while !self.requests[i].open.is_empty() {
-                self.happens(Fate::Lands(i));
+            while !self.requests[i].pending_writes.is_empty() {
+                self.apply(Step::WriteApplied(i));
             }
         }
     }
 
-    /// The sequential twin: the key belongs to the first request that ran, and to nobody else.
-    fn owner(&self) -> Option<usize> {
+    /// Sequential reference model: the key belongs to the first request that ran, and to no other.
+    fn expected_owner(&self) -> Option<usize> {
         let ran = |request: &Request| request.ran == Some(true);
         self.requests.iter().position(ran)
     }
@@ -171,18 +171,18 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Requests with one key meet a table that is down, loses answers and writes late. One of them
-    /// runs at most, and once the table is well the next caller is told as if they had come one
-    /// after another.
+    /// Requests with one key use a table that is unavailable, loses responses and applies writes
+    /// late. At most one of them runs, and once the table is available, the next request gets the
+    /// same decision as if the requests had come one after another.
     #[test]
-    fn claim_twin(fates in prop::collection::vec(fate(), 0..60)) {
+    fn claim_matches_sequential_model(steps in prop::collection::vec(step(), 0..60)) {
         let mut key = Key::new(3);
-        fates.into_iter().for_each(|fate| key.happens(fate));
+        steps.into_iter().for_each(|step| key.apply(step));
         key.settle();
-        key.open();
-        key.answer(3);
-        key.answer(3);
-        let owner = key.owner();
+        key.add_request();
+        key.respond(3);
+        key.respond(3);
+        let owner = key.expected_owner();
         let ran = key.requests.iter().filter(|request| request.ran == Some(true)).count();
         prop_assert!(ran <= 1);
         let expected = owner.map_or(Decision::Granted, |owner| Decision::Answered(owner as u128));
--- a/crates/protocol/tests/stage_model.rs
+++ b/crates/protocol/tests/stage_model.rs
@@ -1,5 +1,5 @@
-//! The shipped stage beside a naive twin that keeps every event and goes through all of them for
-//! each verdict. The seed is fixed, so that the verdict is the same every run.
+//! The stage compared with a reference model that keeps all events and evaluates them anew for each
+//! result. The seed is fixed, so that results are reproducible.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use proptest::prelude::*;
@@ -16,15 +16,15 @@
     }
 }
 
-/// What happens to a stage: an attempt starts, or one hears of something.
+/// A step of a test: an attempt starts, an event of one arrives, or the stage is given up.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Step {
     Start,
     Event(Attempt, call::Event),
     GiveUp,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn step() -> impl Strategy<Value = Step> {
     let chunk = (0..4_u32).prop_map(|sequence| call::Event::Chunk {
         sequence,
         length: 1,
@@ -44,33 +44,33 @@
         1 => Just(call::Event::GiveUp),
     ];
     prop_oneof![
-        2 => Just(Happening::Start),
-        12 => (0..3_u16, event).prop_map(|(attempt, event)| Happening::Event(attempt, event)),
-        1 => Just(Happening::GiveUp),
+        2 => Just(Step::Start),
+        12 => (0..3_u16, event).prop_map(|(attempt, event)| Step::Event(attempt, event)),
+        1 => Just(Step::GiveUp),
     ]
 }
 
-/// One attempt as the twin works it out from all events.
+/// One attempt as the reference model derives it from all events.
 #[derive(Clone, Debug)]
-struct Try {
+struct Model {
     first: Sequence,
     chunks: Vec<u32>,
     granted: bool,
     end: Option<Outcome>,
 }
 
-/// What a caller and an operator can see of a stage.
+/// What clients and operators can observe of a stage.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Sight {
+struct Observed {
     end: Option<Outcome>,
     committed: Option<Attempt>,
     may_start: bool,
-    /// Chunks in the order in which they were taken.
-    taken: Vec<(Attempt, Sequence)>,
+    /// Chunks in the order in which they were accepted.
+    accepted_chunks: Vec<(Attempt, Sequence)>,
     grants: usize,
 }
 
-fn hear(one: &mut Try, repeatable: bool, event: call::Event) -> bool {
+fn process_event(one: &mut Model, repeatable: bool, event: call::Event) -> bool {
     let next = one.first + u32::try_from(one.chunks.len()).unwrap();
     let bytes: u64 = one.chunks.iter().map(|length| u64::from(*length)).sum();
     let safe = !one.granted && !repeatable;
@@ -102,38 +102,38 @@
     false
 }
 
-/// Goes through the whole history of a stage.
-fn sight(mode: Mode, history: &[Happening]) -> Sight {
-    let mut tries: Vec<Try> = Vec::new();
-    let mut seen = Sight::default();
+/// Evaluates the whole history of a stage.
+fn expected(mode: Mode, history: &[Step]) -> Observed {
+    let mut attempts: Vec<Model> = Vec::new();
+    let mut seen = Observed::default();
     let mut given_up = false;
     let mut owner = None;
-    for happening in history {
-        let due = u32::try_from(seen.taken.len()).unwrap();
+    for step in history {
+        let due = u32::try_from(seen.accepted_chunks.len()).unwrap();
         let due = if mode.stream { due } else { 0 };
-        match *happening {
-            Happening::GiveUp => given_up = true,
-            Happening::Start if may_start(mode, &tries, &seen, given_up) => tries.push(Try {
+        match *step {
+            Step::GiveUp => given_up = true,
+            Step::Start if may_start(mode, &attempts, &seen, given_up) => attempts.push(Model {
                 first: due,
                 chunks: Vec::new(),
                 granted: false,
                 end: None,
             }),
-            Happening::Event(attempt, event) if seen.committed.is_none() => {
-                let Some(one) = tries.get_mut(usize::from(attempt)) else {
+            Step::Event(attempt, event) if seen.committed.is_none() => {
+                let Some(one) = attempts.get_mut(usize::from(attempt)) else {
                     continue;
                 };
                 if one.end.is_some() {
                     continue;
                 }
                 let granted = one.granted;
-                let taken = hear(one, mode.repeatable, event);
+                let accepted_chunks = process_event(one, mode.repeatable, event);
                 let asked = event == call::Event::Ask && !granted;
                 seen.grants += usize::from(asked);
-                let mine = owner.is_none_or(|owner| owner == attempt);
+                let may_own = owner.is_none_or(|owner| owner == attempt);
                 let call::Event::Chunk { sequence, .. } = event else {
                     let has = one.first + u32::try_from(one.chunks.len()).unwrap();
-                    let all = !mode.stream || (mine && has == due);
+                    let all = !mode.stream || (may_own && has == due);
                     match one.end {
                         Some(Outcome::Complete) if all => seen.committed = Some(attempt),
                         Some(_) if owner == Some(attempt) => owner = None,
@@ -141,29 +141,29 @@
                     }
                     continue;
                 };
-                if taken && (!mode.stream || (mine && sequence == due)) {
+                if accepted_chunks && (!mode.stream || (may_own && sequence == due)) {
                     owner = Some(attempt);
-                    seen.taken.push((attempt, sequence));
+                    seen.accepted_chunks.push((attempt, sequence));
                 }
             }
-            Happening::Start | Happening::Event(..) => {}
+            Step::Start | Step::Event(..) => {}
         }
     }
-    seen.end = end(&tries, &seen, given_up);
-    seen.may_start = may_start(mode, &tries, &seen, given_up);
+    seen.end = end(&attempts, &seen, given_up);
+    seen.may_start = may_start(mode, &attempts, &seen, given_up);
     seen
 }
 
-fn may_start(mode: Mode, tries: &[Try], seen: &Sight, given_up: bool) -> bool {
-    let unrun = tries.iter().all(|one| one.end == Some(Outcome::NotRun));
-    seen.committed.is_none() && !given_up && (mode.repeatable || unrun)
+fn may_start(mode: Mode, attempts: &[Model], seen: &Observed, given_up: bool) -> bool {
+    let all_not_run = attempts.iter().all(|one| one.end == Some(Outcome::NotRun));
+    seen.committed.is_none() && !given_up && (mode.repeatable || all_not_run)
 }
 
-fn end(tries: &[Try], seen: &Sight, given_up: bool) -> Option<Outcome> {
-    let any = |end| tries.iter().any(|one| one.end == end);
+fn end(attempts: &[Model], seen: &Observed, given_up: bool) -> Option<Outcome> {
+    let any = |end| attempts.iter().any(|one| one.end == end);
     match () {
         () if seen.committed.is_some() => Some(Outcome::Complete),
-        () if tries.is_empty() && !given_up => None,
+        () if attempts.is_empty() && !given_up => None,
         () if any(None) => None,
         () if any(Some(Outcome::Unknown)) || any(Some(Outcome::Complete)) => Some(Outcome::Unknown),
         () if any(Some(Outcome::Failed)) => Some(Outcome::Failed),
@@ -171,29 +171,30 @@
     }
 }
 
-/// What one step of the schedule does to the attempt that it picks.
+/// How a step of the schedule affects its attempt.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
-    /// Its next message arrives.
+    /// The next message arrives.
     Next,
-    /// Its last message arrives again.
-    Again,
-    /// Its next message is lost on the way.
+    /// The last message arrives again.
+    Repeat,
+    /// The next message is lost in transit.
     Skip,
-    /// It ends without a word.
-    Cut,
+    /// The link is lost.
+    LoseLink,
 }
 
 fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
         12 => Just(Delivery::Next),
-        2 => Just(Delivery::Again),
+        2 => Just(Delivery::Repeat),
         1 => Just(Delivery::Skip),
-        1 => Just(Delivery::Cut),
+        1 => Just(Delivery::LoseLink),
     ]
 }
 
-/// Messages of an agent that sends chunks `first` to `chunks`, one byte each, and the end mark.
+/// Messages of an agent that sends the chunks from `first` to `chunks`, one byte each, and the end
+/// marker.
 fn answer(first: Sequence, chunks: Sequence) -> Vec<call::Event> {
     let length = u64::from(chunks - first);
     let chunk = |sequence| call::Event::Chunk {
@@ -204,30 +205,30 @@
     (first..chunks).map(chunk).chain([done]).collect()
 }
 
-/// A stage whose attempts all try to send the same answer; a new one starts when none is left.
+/// A stage whose attempts all send the same response; a new one starts when none is live.
 struct Run {
     stage: Stage,
-    sent: Vec<(Vec<call::Event>, usize)>,
-    taken: Vec<(Attempt, Sequence)>,
+    messages: Vec<(Vec<call::Event>, usize)>,
+    accepted_chunks: Vec<(Attempt, Sequence)>,
     chunks: Sequence,
 }
 
 impl Run {
     fn start(&mut self) {
         if let Some((_, first)) = self.stage.start() {
-            self.sent.push((answer(first, self.chunks), 0));
+            self.messages.push((answer(first, self.chunks), 0));
         }
     }
 
     fn deliver(&mut self, attempt: usize, delivery: Delivery) {
-        let Some((messages, position)) = self.sent.get_mut(attempt) else {
+        let Some((messages, position)) = self.messages.get_mut(attempt) else {
             return;
         };
         let event = match delivery {
             Delivery::Next => messages.get(*position),
-            Delivery::Again => messages.get(position.wrapping_sub(1)),
+            Delivery::Repeat => messages.get(position.wrapping_sub(1)),
             Delivery::Skip => None,
-            Delivery::Cut => Some(&call::Event::LinkLost),
+            Delivery::LoseLink => Some(&call::Event::LinkLost),
         };
         *position += usize::from(matches!(delivery, Delivery::Next | Delivery::Skip));
         let Some(event) = event.copied() else { return };
@@ -237,80 +238,87 @@
             .on(attempt, event)
             .contains(&Some(Action::Accept));
         if let call::Event::Chunk { sequence, .. } = event {
-            self.taken.extend(accepted.then_some((attempt, sequence)));
+            self.accepted_chunks
+                .extend(accepted.then_some((attempt, sequence)));
         }
     }
 
-    /// What the caller gets if the stage is whole.
+    /// What the client gets if the stage is complete.
     fn output(&self, stream: bool) -> Option<Vec<Sequence>> {
         let winner = self.stage.committed()?;
         let part = |(attempt, _): &&(Attempt, Sequence)| stream || *attempt == winner;
-        Some(self.taken.iter().filter(part).map(|(_, s)| *s).collect())
+        Some(
+            self.accepted_chunks
+                .iter()
+                .filter(part)
+                .map(|(_, s)| *s)
+                .collect(),
+        )
     }
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// Attempts of a stage overlap, break off, repeat themselves and answer for one another. The
-    /// caller gets chunks of one answer in order, and the end is what really happened.
+    /// Attempts of a stage overlap, fail and repeat messages. The client gets the chunks of one
+    /// response in order, and the outcome is correct.
     #[test]
-    fn stage_twin(
+    fn stage_matches_model(
         repeatable: bool,
         stream: bool,
-        history in prop::collection::vec(happening(), 0..40),
+        history in prop::collection::vec(step(), 0..40),
     ) {
         let mode = Mode { repeatable, stream };
         let mut stage = Stage::new(mode);
-        let mut taken = Vec::new();
+        let mut accepted_chunks = Vec::new();
         let mut grants = 0;
-        for (i, happening) in history.iter().enumerate() {
-            match *happening {
-                Happening::Start => { stage.start(); }
-                Happening::GiveUp => stage.give_up(),
-                Happening::Event(attempt, event) => {
+        for (i, step) in history.iter().enumerate() {
+            match *step {
+                Step::Start => { stage.start(); }
+                Step::GiveUp => stage.give_up(),
+                Step::Event(attempt, event) => {
                     let actions = stage.on(attempt, event);
                     if let call::Event::Chunk { sequence, .. } = event {
                         let accepted = actions.contains(&Some(Action::Accept));
-                        taken.extend(accepted.then_some((attempt, sequence)));
+                        accepted_chunks.extend(accepted.then_some((attempt, sequence)));
                     }
                     grants += usize::from(actions.contains(&Some(Action::Grant)));
                 }
             }
-            let shipped = Sight {
+            let actual = Observed {
                 end: stage.outcome(),
                 committed: stage.committed(),
                 may_start: stage.may_start(),
-                taken: taken.clone(),
+                accepted_chunks: accepted_chunks.clone(),
                 grants,
             };
-            prop_assert_eq!(shipped, sight(mode, &history[..=i]));
+            prop_assert_eq!(actual, expected(mode, &history[..=i]));
         }
     }
 
-    /// Agents send an answer in pieces that are lost, repeated and cut short, and a hedge or retry
-    /// sends it again. What is committed is every chunk once and in order; and an attempt that
-    /// nothing happens to always brings the stage to its end.
+    /// Agents send a response in chunks that are lost, repeated and truncated, and a hedge or retry
+    /// sends it again. What is committed contains every chunk once and in order, and an undisturbed
+    /// attempt always completes the stage.
     #[test]
-    fn whole_answer(
+    fn complete_response(
         stream: bool,
         chunks in 0..6_u32,
         schedule in prop::collection::vec((0..3_usize, delivery(), any::<bool>()), 0..60),
     ) {
         let mode = Mode { repeatable: true, stream };
-        let (sent, taken) = (Vec::new(), Vec::new());
-        let mut run = Run { stage: Stage::new(mode), sent, taken, chunks };
+        let (messages, accepted_chunks) = (Vec::new(), Vec::new());
+        let mut run = Run { stage: Stage::new(mode), messages, accepted_chunks, chunks };
         for (attempt, delivery, hedge) in schedule {
-            if run.stage.live().next().is_none() || (hedge && run.sent.len() < 3) {
+            if run.stage.live().next().is_none() || (hedge && run.messages.len() < 3) {
                 run.start();
             }
             run.deliver(attempt, delivery);
         }
-        for attempt in 0..run.sent.len() {
-            run.deliver(attempt, Delivery::Cut);
+        for attempt in 0..run.messages.len() {
+            run.deliver(attempt, Delivery::LoseLink);
         }
         run.start();
-        let last = run.sent.len() - usize::from(!run.sent.is_empty());
+        let last = run.messages.len() - usize::from(!run.messages.is_empty());
         (0..=chunks).for_each(|_| run.deliver(last, Delivery::Next));
         prop_assert_eq!(run.stage.outcome(), Some(Outcome::Complete));
         prop_assert_eq!(run.output(stream), Some((0..chunks).collect()));
