--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -18,7 +18,7 @@
 enum Mutation {
     None,
     NoMargin,
-    WriteUnchecked,
+    UncheckedWrite,
     FenceForgotten,
     NoFence,
 }
@@ -27,12 +27,12 @@
 enum Step {
     Clock,
     Tick,
-    Table,
-    AnswerLost,
-    WriteLands,
+    Reply,
+    ReplyLost,
+    WriteApplied,
     Resign,
     Order,
-    Arrive(Order),
+    OrderArrives(Order),
     AgentReads,
     AgentCrashes,
 }
@@ -48,10 +48,10 @@
 struct Process {
     lease: Lease,
     clock: u8,
-    todo: Option<Action>,
-    open: Option<Action>,
+    next_action: Option<Action>,
+    unsure: Option<Action>,
     /// Which holder in turn the process was when it last got the lease.
-    turn: u8,
+    term: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -59,11 +59,11 @@
     mutation: Mutation,
     processes: [Process; 2],
     row: Option<StoredRow>,
-    turn: u8,
+    term: u8,
     orders: BTreeSet<Order>,
     fence: Fence,
     carried_out: u8,
-    ordering: bool,
+    with_orders: bool,
     end: u8,
     faults: u8,
 }
@@ -73,9 +73,9 @@
 }
 
 impl World {
-    /// `ordering` brings in orders and the agent, `end` bounds the clocks in seconds, `faults`
+    /// `with_orders` brings in orders and the agent, `end` bounds the clocks in seconds, `faults`
     /// lost answers, restarts and planned stops.
-    fn new(ordering: bool, end: u8, faults: u8, mutation: Mutation) -> Self {
+    fn new(with_orders: bool, end: u8, faults: u8, mutation: Mutation) -> Self {
         let margin = if mutation == Mutation::NoMargin { 0 } else { 1 };
         let timing = Timing {
             duration: seconds(3),
@@ -85,19 +85,19 @@
         let process = |token| Process {
             lease: Lease::new(token, timing),
             clock: 0,
-            todo: None,
-            open: None,
-            turn: 0,
+            next_action: None,
+            unsure: None,
+            term: 0,
         };
         Self {
             mutation,
             processes: [process(1), process(2)],
             row: None,
-            turn: 0,
+            term: 0,
             orders: BTreeSet::new(),
             fence: Fence::new(),
             carried_out: 0,
-            ordering,
+            with_orders,
             end,
             faults,
         }
@@ -113,40 +113,40 @@
             return Event::Found(self.row);
         };
         let current = self.row.map(|kept| kept.revision);
-        if check != current && self.mutation != Mutation::WriteUnchecked {
+        if check != current && self.mutation != Mutation::UncheckedWrite {
             return Event::Found(self.row);
         }
         if self.row.map(|kept| kept.row.holder) != Some(row.holder) {
-            self.turn += 1;
-            self.processes[i].turn = self.turn;
+            self.term += 1;
+            self.processes[i].term = self.term;
         }
         let revision = current.unwrap_or(0) + 1;
         self.row = Some(StoredRow { row, revision });
         Event::Written(revision)
     }
 
-    fn answer(&mut self, i: usize, event: Event) {
+    fn complete_operation(&mut self, i: usize, event: Event) {
         let process = &mut self.processes[i];
-        process.todo = None;
+        process.next_action = None;
         process.lease.on(event, seconds(process.clock));
     }
 
     /// A read is answered at once: a slow one only delays its reader.
     fn tick(&mut self, i: usize) {
         let process = &mut self.processes[i];
-        process.todo = process.lease.tick(seconds(process.clock));
-        if process.todo == Some(Action::Read) {
-            self.table(i);
+        process.next_action = process.lease.tick(seconds(process.clock));
+        if process.next_action == Some(Action::Read) {
+            self.execute_operation(i);
         }
     }
 
-    fn table(&mut self, i: usize) {
-        let action = self.processes[i].todo.unwrap();
+    fn execute_operation(&mut self, i: usize) {
+        let action = self.processes[i].next_action.unwrap();
         let event = self.write(i, action);
-        self.answer(i, event);
+        self.complete_operation(i, event);
     }
 
-    fn arrive(&mut self, order: Order) {
+    fn order_arrives(&mut self, order: Order) {
         let decision = match self.mutation {
             Mutation::NoFence => Decision::Pass,
             _ => self.fence.admit(order.fence),
@@ -161,26 +161,26 @@
         }
     }
 
-    fn take(&mut self, i: usize, step: Step) {
+    fn apply(&mut self, i: usize, step: Step) {
         match step {
             Step::Clock => self.processes[i].clock += 1,
             Step::Tick => self.tick(i),
-            Step::Table => self.table(i),
-            Step::AnswerLost => {
-                self.processes[i].open = self.processes[i].todo;
-                self.answer(i, Event::Unsure);
+            Step::Reply => self.execute_operation(i),
+            Step::ReplyLost => {
+                self.processes[i].unsure = self.processes[i].next_action;
+                self.complete_operation(i, Event::Unsure);
             }
-            Step::WriteLands => {
-                let open = self.processes[i].open.take().unwrap();
-                self.write(i, open);
+            Step::WriteApplied => {
+                let unsure = self.processes[i].unsure.take().unwrap();
+                self.write(i, unsure);
             }
             Step::Resign => self.processes[i].lease.resign(),
             Step::Order => {
-                let holder = self.processes[i].turn;
+                let holder = self.processes[i].term;
                 let fence = self.may_act(i).unwrap();
                 self.orders.insert(Order { holder, fence });
             }
-            Step::Arrive(order) => self.arrive(order),
+            Step::OrderArrives(order) => self.order_arrives(order),
             Step::AgentReads => {
                 let current = self.row.map_or(0, |kept| kept.row.fence);
                 self.fence.learn(current);
@@ -207,21 +207,21 @@
         if self.may_advance(i) {
             steps.push(Step::Clock);
         }
-        match process.todo {
-            Some(_) if process.open.is_none() => steps.extend([Step::Table, Step::AnswerLost]),
-            Some(_) => steps.push(Step::Table),
+        match process.next_action {
+            Some(_) if process.unsure.is_none() => steps.extend([Step::Reply, Step::ReplyLost]),
+            Some(_) => steps.push(Step::Reply),
             None => steps.push(Step::Tick),
         }
-        steps.extend(process.open.map(|_| Step::WriteLands));
+        steps.extend(process.unsure.map(|_| Step::WriteApplied));
         let resigns = i == 0 && self.may_act(i).is_some();
         steps.extend(resigns.then_some(Step::Resign));
-        let order = self.may_act(i).filter(|_| self.ordering);
+        let order = self.may_act(i).filter(|_| self.with_orders);
         steps.extend(order.map(|_| Step::Order));
         steps
     }
 
-    fn costs(step: Step) -> bool {
-        matches!(step, Step::AnswerLost | Step::Resign | Step::AgentCrashes)
+    fn is_fault(step: Step) -> bool {
+        matches!(step, Step::ReplyLost | Step::Resign | Step::AgentCrashes)
     }
 }
 
@@ -230,16 +230,16 @@
 
     fn steps(&self) -> Vec<(Self::Step, Self)> {
         let own = (0..2).flat_map(|i| self.own_steps(i).into_iter().map(move |step| (i, step)));
-        let orders = self.orders.iter().map(|order| Step::Arrive(*order));
+        let orders = self.orders.iter().map(|order| Step::OrderArrives(*order));
         let agent = [Step::AgentReads, Step::AgentCrashes];
         let agent = agent.into_iter().chain(orders).map(|step| (0, step));
-        let agent = agent.filter(|_| self.ordering);
+        let agent = agent.filter(|_| self.with_orders);
         own.chain(agent)
-            .filter(|(_, step)| self.faults > 0 || !Self::costs(*step))
+            .filter(|(_, step)| self.faults > 0 || !Self::is_fault(*step))
             .map(|(i, step)| {
                 let mut world = self.clone();
-                world.faults -= u8::from(Self::costs(step));
-                world.take(i, step);
+                world.faults -= u8::from(Self::is_fault(step));
+                world.apply(i, step);
                 ((i, step), world)
             })
             .filter(|(_, world)| world != self)
@@ -257,31 +257,31 @@
 /// A lease's holder is frozen, its clock is slow, and answers are lost. Two processes never act
 /// at once.
 #[test]
-fn lease_clocks() {
+fn one_holder_at_a_time() {
     holds("lease", &World::new(false, 5, 1, Mutation::None));
 }
 
 /// A holder that was frozen past the lapse sends its order late, and the agent restarts. No
 /// engine is turned back by it.
 #[test]
-fn late_orders() {
+fn outdated_orders_rejected() {
     holds("lease and fence", &World::new(true, 4, 1, Mutation::None));
 }
 
 /// Each guard is needed: without it two processes move the same model at once, or an old order
 /// undoes a newer one.
 #[test]
-fn lease_guards() {
+fn each_guard_is_needed() {
     let (two, old) = ("two holders act", "an older order after a newer one");
     [
         (Mutation::NoMargin, two, false),
-        (Mutation::WriteUnchecked, two, false),
+        (Mutation::UncheckedWrite, two, false),
         (Mutation::FenceForgotten, old, true),
         (Mutation::NoFence, old, true),
     ]
     .into_iter()
-    .for_each(|(mutation, what, ordering)| {
-        let world = World::new(ordering, 4, 1, mutation);
+    .for_each(|(mutation, what, with_orders)| {
+        let world = World::new(with_orders, 4, 1, mutation);
         violates(&format!("{mutation:?}"), &world, what);
     });
 }
--- a/crates/protocol/tests/reader_search.rs
+++ b/crates/protocol/tests/reader_search.rs
@@ -1,5 +1,5 @@
-//! Search over the shipped reader: a teller that is cut off from the table or learns of it from another
-//! one, words that are late, tables that are told as a whole.
+//! Search over the reader with an upstream process that is cut off from the table or learns of its
+//! changes from another process, with late updates, and with updates that contain the whole table.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod search;
@@ -9,67 +9,68 @@
 use search::{System, holds, violates};
 use std::time::Duration;
 
-/// Ticks that are played, and changes of the table, at most.
+/// Maximum number of ticks, and of changes of the table.
 const END: u64 = 9;
-const CHANGES: RowRevision = 2;
-/// Greatest age at which the teller is relied on, in ticks.
-const MOST: u64 = 2;
-/// Age of what a teller is told by another process, in ticks.
-const AGE: u64 = 3;
+const MAX_CHANGES: RowRevision = 2;
+/// Greatest age at which the reader relies on the upstream process, in ticks.
+const MAX_AGE: u64 = 2;
+/// Age of what the upstream process receives from another process, in ticks.
+const RELAYED_AGE: u64 = 3;
 
 fn ticks(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-/// A guard that is taken away around the shipped reader.
+/// A guard that is removed around the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mutation {
     None,
-    /// Knowledge counts as current when the answer comes, not when the teller had read it.
+    /// An update counts as current as of its arrival, not as of when the upstream process read the
+    /// table.
     CurrentOnArrival,
-    /// The teller's word is waited for, however old what is known gets.
-    TrustForEver,
-    /// A teller that lacks the history tells what it has as if it were all.
+    /// The reader waits for the upstream process however old its knowledge becomes.
+    NeverExpire,
+    /// An upstream process without the history sends what it has as if it were complete.
     HideGap,
-    /// The word of a teller that is behind counts as current.
+    /// The update of an upstream process that is behind counts as current.
     BehindIsCurrent,
-    /// A teller passes on what it was told as if it had read it at that moment.
-    PassedOnIsCurrent,
+    /// The upstream process passes on what it received as if it had read it at that moment.
+    RelayedIsCurrent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
     Change,
-    TellerReads,
-    TellerLearns,
-    TellerStartsAnew,
-    Cut,
+    UpstreamReads,
+    UpstreamReceives,
+    UpstreamRestarts,
+    DisconnectUpstream,
     Ask,
     Answer,
-    AnswerWhole,
+    AnswerWithFullTable,
     Deliver,
 }
 
-/// What the teller has read.
+/// State of the upstream process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Teller {
-    /// Revision behind which it has all changes, and up to which.
+struct Upstream {
+    /// Revision after which, and revision up to which, it has all changes.
     since: RowRevision,
     revision: RowRevision,
-    /// When it read them, and when it says so.
+    /// When its knowledge was actually current, and the time that it reports.
     as_of: u64,
     read: u64,
-    cut: bool,
+    disconnected: bool,
 }
 
-/// A question on its way, and the answer to it.
+/// A request in transit, and its response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Question {
-    asked: u64,
+struct Request {
+    requested: u64,
     after: RowRevision,
-    told: Option<PeerUpdate>,
-    /// Revision behind which the answer has all changes, whatever it says.
+    response: Option<PeerUpdate>,
+    /// Revision after which the response contains all changes, whatever it claims.
     since: RowRevision,
 }
 
@@ -79,32 +80,32 @@
     now: u64,
     /// When the table reached each revision.
     changed: Vec<u64>,
-    teller: Teller,
+    upstream: Upstream,
     reader: Reader,
-    /// Changes that are in force at the reader.
+    /// Changes that the reader has applied.
     known: Vec<RowRevision>,
-    question: Option<Question>,
+    request: Option<Request>,
     behind: bool,
 }
 
 impl World {
     fn new(mutation: Mutation) -> Self {
-        let mut reader = Reader::new(ticks(MOST));
+        let mut reader = Reader::new(ticks(MAX_AGE));
         reader.read(0, Duration::ZERO);
         Self {
             mutation,
             now: 0,
             changed: vec![0],
-            teller: Teller {
+            upstream: Upstream {
                 since: 0,
                 revision: 0,
                 as_of: 0,
                 read: 0,
-                cut: false,
+                disconnected: false,
             },
             reader,
             known: vec![0],
-            question: None,
+            request: None,
             behind: false,
         }
     }
@@ -118,19 +119,20 @@
         let possible = match step {
             Step::Tick => next.tick(),
             Step::Change => next.change(),
-            Step::TellerReads => next.teller_reads(),
-            Step::TellerLearns => next.teller_learns(),
-            Step::TellerStartsAnew => next.teller_starts_anew(),
-            Step::Cut => next.cut(),
+            Step::UpstreamReads => next.upstream_reads(),
+            Step::UpstreamReceives => next.upstream_receives(),
+            Step::UpstreamRestarts => next.upstream_restarts(),
+            Step::DisconnectUpstream => next.disconnect(),
             Step::Ask => next.ask(),
             Step::Answer => next.answer(),
-            Step::AnswerWhole => next.answer_whole(),
+            Step::AnswerWithFullTable => next.answer_with_full_table(),
             Step::Deliver => next.deliver(),
         };
         possible.then_some(next)
     }
 
-    /// Time passes; a reader whose knowledge is too old by then reads the table, which it reaches.
+    /// Advances the time; a reader whose knowledge is too old by then reads the table, which it can
+    /// reach.
     fn tick(&mut self) -> bool {
         if self.now == END {
             return false;
@@ -138,134 +140,143 @@
         self.now += 1;
         let until = self.reader.trusts_peers_until();
         let trusts = until.is_some_and(|until| ticks(self.now) < until);
-        if !trusts && self.mutation != Mutation::TrustForEver {
+        if !trusts && self.mutation != Mutation::NeverExpire {
             self.read_all();
         }
         let unknown = (0..=self.head()).filter(|revision| !self.known.contains(revision));
         let oldest = unknown
             .map(|revision| self.changed[revision as usize])
             .min();
-        self.behind = oldest.is_some_and(|changed| self.now - changed > MOST);
+        self.behind = oldest.is_some_and(|changed| self.now - changed > MAX_AGE);
         true
     }
 
     fn read_all(&mut self) {
         self.reader.read(self.head(), ticks(self.now));
         self.known = (0..=self.head()).collect();
-        self.question = None;
+        self.request = None;
     }
 
     fn change(&mut self) -> bool {
         self.changed.push(self.now);
-        self.head() <= CHANGES
+        self.head() <= MAX_CHANGES
     }
 
-    fn teller_reads(&mut self) -> bool {
-        let news = (self.teller.revision, self.teller.read) != (self.head(), self.now);
-        self.teller.revision = self.head();
-        (self.teller.as_of, self.teller.read) = (self.now, self.now);
-        news && !self.teller.cut
+    fn upstream_reads(&mut self) -> bool {
+        let changed_now = (self.upstream.revision, self.upstream.read) != (self.head(), self.now);
+        self.upstream.revision = self.head();
+        (self.upstream.as_of, self.upstream.read) = (self.now, self.now);
+        changed_now && !self.upstream.disconnected
     }
 
-    /// Another process tells the teller what it read some ticks ago, also where the table turns that away.
-    fn teller_learns(&mut self) -> bool {
+    /// Another process passes on to the upstream process what it read some ticks ago, even if the
+    /// upstream process is cut off from the table.
+    fn upstream_receives(&mut self) -> bool {
         let Some(read) = self
             .now
-            .checked_sub(AGE)
-            .filter(|read| *read > self.teller.as_of)
+            .checked_sub(RELAYED_AGE)
+            .filter(|read| *read > self.upstream.as_of)
         else {
             return false;
         };
         let known = self.changed.iter().filter(|changed| **changed <= read);
-        self.teller.revision = known.count() as RowRevision - 1;
-        self.teller.as_of = read;
-        self.teller.read = match self.mutation {
-            Mutation::PassedOnIsCurrent => self.now,
+        self.upstream.revision = known.count() as RowRevision - 1;
+        self.upstream.as_of = read;
+        self.upstream.read = match self.mutation {
+            Mutation::RelayedIsCurrent => self.now,
             _ => read,
         };
         true
     }
 
-    /// A new process reads the table as a whole and has no history.
-    fn teller_starts_anew(&mut self) -> bool {
-        self.teller.since = self.head();
-        let cut = self.teller.cut;
-        self.teller_reads() && !cut
+    /// A new process reads the whole table and has no history.
+    fn upstream_restarts(&mut self) -> bool {
+        self.upstream.since = self.head();
+        let disconnected = self.upstream.disconnected;
+        self.upstream_reads() && !disconnected
     }
 
-    fn cut(&mut self) -> bool {
-        let cut = std::mem::replace(&mut self.teller.cut, true);
-        !cut
+    fn disconnect(&mut self) -> bool {
+        let disconnected = std::mem::replace(&mut self.upstream.disconnected, true);
+        !disconnected
     }
 
     fn ask(&mut self) -> bool {
         let Some(after) = self.reader.after() else {
             return false;
         };
-        let question = Question {
-            asked: self.now,
+        let request = Request {
+            requested: self.now,
             after,
-            told: None,
+            response: None,
             since: 0,
         };
-        self.question.replace(question).is_none()
+        self.request.replace(request).is_none()
     }
 
     fn answer(&mut self) -> bool {
-        let teller = &self.teller;
-        let Some(question) = self.question.as_mut().filter(|asked| asked.told.is_none()) else {
+        let upstream = &self.upstream;
+        let Some(request) = self
+            .request
+            .as_mut()
+            .filter(|pending| pending.response.is_none())
+        else {
             return false;
         };
         let hidden = self.mutation == Mutation::HideGap;
-        let since = if hidden { 0 } else { teller.since };
-        question.since = question.after.max(teller.since);
-        question.told = Some(PeerUpdate {
-            before: question.after.max(since),
-            revision: teller.revision,
-            current: ticks(teller.read),
+        let since = if hidden { 0 } else { upstream.since };
+        request.since = request.after.max(upstream.since);
+        request.response = Some(PeerUpdate {
+            before: request.after.max(since),
+            revision: upstream.revision,
+            current: ticks(upstream.read),
         });
         true
     }
 
-    /// The teller lacks what the other one asks for, and tells the whole table.
-    fn answer_whole(&mut self) -> bool {
-        let teller = &self.teller;
-        let Some(question) = self.question.as_mut().filter(|asked| asked.told.is_none()) else {
+    /// The upstream process lacks the requested history and sends the whole table.
+    fn answer_with_full_table(&mut self) -> bool {
+        let upstream = &self.upstream;
+        let Some(request) = self
+            .request
+            .as_mut()
+            .filter(|pending| pending.response.is_none())
+        else {
             return false;
         };
-        if question.after >= teller.since {
+        if request.after >= upstream.since {
             return false;
         }
-        question.since = 0;
-        question.told = Some(PeerUpdate {
+        request.since = 0;
+        request.response = Some(PeerUpdate {
             before: 0,
-            revision: teller.revision,
-            current: ticks(teller.read),
+            revision: upstream.revision,
+            current: ticks(upstream.read),
         });
         true
     }
 
     fn deliver(&mut self) -> bool {
-        let Some(question) = self.question.take() else {
+        let Some(request) = self.request.take() else {
             return false;
         };
-        let Some(mut told) = question.told else {
+        let Some(mut response) = request.response else {
             return false;
         };
         if self.mutation == Mutation::CurrentOnArrival {
-            told.current = ticks(self.now);
+            response.current = ticks(self.now);
         }
-        if self.mutation == Mutation::BehindIsCurrent && told.revision < question.after {
-            told = PeerUpdate {
-                revision: question.after,
+        if self.mutation == Mutation::BehindIsCurrent && response.revision < request.after {
+            response = PeerUpdate {
+                revision: request.after,
                 current: ticks(self.now),
-                ..told
+                ..response
             };
         }
-        match self.reader.on_peer_update(told) {
+        match self.reader.on_peer_update(response) {
             UpdateAction::Apply => {
-                let told = question.since + 1..=told.revision;
-                self.known.extend(told);
+                let applied = request.since + 1..=response.revision;
+                self.known.extend(applied);
                 self.known.sort_unstable();
                 self.known.dedup();
             }
@@ -283,13 +294,13 @@
         let all = [
             Step::Tick,
             Step::Change,
-            Step::TellerReads,
-            Step::TellerLearns,
-            Step::TellerStartsAnew,
-            Step::Cut,
+            Step::UpstreamReads,
+            Step::UpstreamReceives,
+            Step::UpstreamRestarts,
+            Step::DisconnectUpstream,
             Step::Ask,
             Step::Answer,
-            Step::AnswerWhole,
+            Step::AnswerWithFullTable,
             Step::Deliver,
         ];
         let steps = all.into_iter();
@@ -303,22 +314,23 @@
     }
 }
 
-/// The teller loses the table, starts anew or answers late. A reader that reaches the table itself
-/// misses no change for longer than the bound: it would send work to runners that have left.
+/// The upstream process is cut off from the table, restarts or responds late. A reader that can
+/// reach the table itself misses no change for longer than the bound; otherwise it would send work
+/// to runners that have left.
 #[test]
-fn never_behind() {
+fn never_outdated() {
     holds("reader", &World::new(Mutation::None));
 }
 
 /// Each guard is needed: without it, a reader misses a change for longer.
 #[test]
-fn guards_needed() {
+fn each_guard_is_needed() {
     let mutations = [
         Mutation::CurrentOnArrival,
-        Mutation::TrustForEver,
+        Mutation::NeverExpire,
         Mutation::HideGap,
         Mutation::BehindIsCurrent,
-        Mutation::PassedOnIsCurrent,
+        Mutation::RelayedIsCurrent,
     ];
     for mutation in mutations {
         let name = format!("{mutation:?}");
--- a/crates/protocol/tests/stage_model.rs
+++ b/crates/protocol/tests/stage_model.rs
@@ -260,8 +260,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Attempts of a stage overlap, fail and repeat messages. The client gets the chunks of one
-    /// response in order, and the outcome is correct.
+    /// Attempts of a stage overlap, fail, repeat messages and respond in place of one another. The
+    /// client gets the chunks of one response in order, and the outcome is correct.
     #[test]
     fn stage_matches_model(
         repeatable: bool,
