--- a/crates/protocol/tests/activation_search.rs
+++ b/crates/protocol/tests/activation_search.rs
@@ -1,4 +1,5 @@
-//! Search over the shipped roster: processes that join, read late, pause and start again.
+//! Search over the activation: processes that register, read the list late, are suspended and
+//! restart.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod search;
@@ -7,45 +8,46 @@
 use search::{System, holds, violates};
 use std::time::Duration;
 
-/// Ticks that are played, and suspensions and restarts in all.
+/// Maximum number of ticks, and of suspensions and restarts in total.
 const END: u8 = 4;
-const TROUBLES: u8 = 1;
-/// Greatest age of a list that is acted on, and time between two processes' acts, in ticks.
-const MOST: u64 = 1;
-const APART: u64 = 1;
-/// Processes. Each takes the only place from those before it.
+const MAX_FAULTS: u8 = 1;
+/// Greatest age of a list on which a process acts, and minimum time between the actions of two
+/// processes, in ticks.
+const MAX_AGE: u64 = 1;
+const HANDOVER_GAP: u64 = 1;
+/// Number of processes. Each takes the only place from those before it.
 const PROCESSES: usize = 2;
 
-const VIOLATION: &str = "two processes act within the time that must lie between them";
+const VIOLATION: &str = "two processes act within the handover gap";
 
 fn ticks(count: u8) -> Duration {
     Duration::from_secs(u64::from(count))
 }
 
-/// A guard that is taken away around the shipped roster.
+/// A guard that is removed around the activation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mutation {
     None,
     /// A process acts as soon as its row is on the list.
-    NoWait,
-    /// No time lies between the end of one place and the beginning of the next.
+    ActAtOnce,
+    /// No time passes between the loss of a place by one process and its use by the next.
     NoGap,
-    /// A list counts as current when it arrives, not when it was read.
+    /// A list counts as current as of its arrival, not as of when it was read.
     CurrentOnArrival,
-    /// A list is acted on however old it is.
+    /// A list is used however old it is.
     AnyAge,
-    /// A process that did not run for a while goes by its clock.
-    PauseUnnoticed,
-    /// A row that is there at the start counts as known to all.
-    SettledAtOnce,
+    /// A process that was suspended relies on its clock.
+    SuspensionUnnoticed,
+    /// A row that exists at the start counts as known to all processes.
+    KnownAtOnce,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
     Join(usize),
-    Settle(usize),
-    Ask(usize),
+    MarkKnown(usize),
+    Read(usize),
     Deliver(usize),
     Act(usize),
     Suspend(usize),
@@ -53,29 +55,29 @@
     Restart(usize),
 }
 
-/// The list as it was at a moment.
+/// The list as of some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct List {
-    /// By the clock of the one that reads it.
+    /// Time of the read, on the reader's clock.
     read: u8,
     rows: [bool; PROCESSES],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    roster: Activation,
+    activation: Activation,
     known: [bool; PROCESSES],
-    /// What its clock has not counted.
+    /// Suspended time that its clock has not counted.
     uncounted: u8,
     suspended: bool,
-    waiting: Option<List>,
+    pending_list: Option<List>,
     acted: Option<u8>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Row {
     listed: bool,
-    settled: bool,
+    known_to_all: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -84,27 +86,27 @@
     now: u8,
     rows: [Row; PROCESSES],
     processes: [Process; PROCESSES],
-    troubles: u8,
-    broken: bool,
+    faults: u8,
+    violated: bool,
 }
 
-fn roster(mutation: Mutation) -> Activation {
-    let apart = if mutation == Mutation::NoGap {
+fn activation(mutation: Mutation) -> Activation {
+    let gap = if mutation == Mutation::NoGap {
         0
     } else {
-        APART
+        HANDOVER_GAP
     };
-    Activation::new(Duration::from_secs(MOST), Duration::from_secs(apart))
+    Activation::new(Duration::from_secs(MAX_AGE), Duration::from_secs(gap))
 }
 
 impl World {
     fn new(mutation: Mutation) -> Self {
         let process = Process {
-            roster: roster(mutation),
+            activation: activation(mutation),
             known: [false; PROCESSES],
             uncounted: 0,
             suspended: false,
-            waiting: None,
+            pending_list: None,
             acted: None,
         };
         Self {
@@ -112,8 +114,8 @@
             now: 0,
             rows: Default::default(),
             processes: [process.clone(), process],
-            troubles: 0,
-            broken: false,
+            faults: 0,
+            violated: false,
         }
     }
 
@@ -127,8 +129,8 @@
             Step::Tick => next.tick(),
             Step::Resume(process) => next.resume(process),
             Step::Join(process)
-            | Step::Settle(process)
-            | Step::Ask(process)
+            | Step::MarkKnown(process)
+            | Step::Read(process)
             | Step::Deliver(process)
             | Step::Act(process)
             | Step::Suspend(process)
@@ -138,75 +140,77 @@
                 false
             }
             Step::Join(process) => next.join(process),
-            Step::Settle(process) => next.settle(process),
-            Step::Ask(process) => next.ask(process),
+            Step::MarkKnown(process) => next.mark_known(process),
+            Step::Read(process) => next.read(process),
             Step::Deliver(process) => next.deliver(process),
             Step::Act(process) => next.act(process),
             Step::Suspend(process) => {
                 next.processes[process].suspended = true;
-                next.trouble()
+                next.record_fault()
             }
             Step::Restart(process) => next.restart(process),
         };
         possible.then_some(next)
     }
 
-    fn trouble(&mut self) -> bool {
-        self.troubles += 1;
-        self.troubles <= TROUBLES
+    fn record_fault(&mut self) -> bool {
+        self.faults += 1;
+        self.faults <= MAX_FAULTS
     }
 
     fn tick(&mut self) -> bool {
         self.now += 1;
         for process in &mut self.processes {
             process.uncounted += u8::from(process.suspended);
-            // What lies back so far breaks nothing any more.
-            let late = |acted: &u8| u64::from(self.now - acted) < APART;
+            // Earlier actions can no longer violate the gap.
+            let late = |acted: &u8| u64::from(self.now - acted) < HANDOVER_GAP;
             process.acted = process.acted.filter(late);
         }
         self.now <= END
     }
 
-    /// Writes the own row, unless it is there: then it says whether an earlier start had settled.
+    /// Writes the process's own row, unless it exists; in that case, the row shows whether an
+    /// earlier start had waited long enough.
     fn join(&mut self, process: usize) -> bool {
         let now = ticks(self.clock(process));
         let row = &mut self.rows[process];
         let own = &mut self.processes[process];
-        let settled = row.settled || (row.listed && self.mutation == Mutation::SettledAtOnce);
-        if settled {
-            own.roster.mark_known();
+        let known_to_all =
+            row.known_to_all || (row.listed && self.mutation == Mutation::KnownAtOnce);
+        if known_to_all {
+            own.activation.mark_known();
         }
-        if self.mutation == Mutation::NoWait {
-            own.roster.mark_known();
+        if self.mutation == Mutation::ActAtOnce {
+            own.activation.mark_known();
         }
         row.listed = true;
-        own.roster.mark_registered(now);
+        own.activation.mark_registered(now);
         let joined = own.known[process];
         own.known[process] = true;
         !joined
     }
 
-    fn settle(&mut self, process: usize) -> bool {
+    fn mark_known(&mut self, process: usize) -> bool {
         let now = ticks(self.clock(process));
-        let known_from = self.processes[process].roster.known_from();
-        let settled = known_from.is_some_and(|moment| moment <= now);
+        let known_from = self.processes[process].activation.known_from();
+        let known_to_all = known_from.is_some_and(|moment| moment <= now);
         let row = &mut self.rows[process];
-        let news = settled && !row.settled;
-        row.settled |= settled;
-        news
+        let changed = known_to_all && !row.known_to_all;
+        row.known_to_all |= known_to_all;
+        changed
     }
 
-    fn ask(&mut self, process: usize) -> bool {
+    fn read(&mut self, process: usize) -> bool {
         let list = List {
             read: self.clock(process),
             rows: self.rows.map(|row| row.listed),
         };
-        self.processes[process].waiting.replace(list).is_none()
+        self.processes[process].pending_list.replace(list).is_none()
     }
 
     fn deliver(&mut self, process: usize) -> bool {
         let now = self.clock(process);
-        let Some(list) = self.processes[process].waiting.take() else {
+        let Some(list) = self.processes[process].pending_list.take() else {
             return false;
         };
         let own = &mut self.processes[process];
@@ -214,7 +218,8 @@
             *known |= listed;
         }
         let late = self.mutation == Mutation::CurrentOnArrival;
-        own.roster.read(ticks(if late { now } else { list.read }));
+        own.activation
+            .read(ticks(if late { now } else { list.read }));
         true
     }
 
@@ -222,8 +227,11 @@
         let now = ticks(self.clock(process));
         let own = &mut self.processes[process];
         let first = own.known.iter().rposition(|known| *known);
-        let known = own.roster.known_from().is_some_and(|moment| moment <= now);
-        let acts = own.roster.may_act(now) || (known && self.mutation == Mutation::AnyAge);
+        let known = own
+            .activation
+            .known_from()
+            .is_some_and(|moment| moment <= now);
+        let acts = own.activation.may_act(now) || (known && self.mutation == Mutation::AnyAge);
         if first != Some(process) || !acts {
             return false;
         }
@@ -231,15 +239,15 @@
         let others = self.processes.iter().enumerate();
         let acted = others.filter(|(other, _)| *other != process);
         let last = acted.filter_map(|(_, other)| other.acted).max();
-        self.broken |= last.is_some_and(|last| u64::from(self.now - last) < APART);
+        self.violated |= last.is_some_and(|last| u64::from(self.now - last) < HANDOVER_GAP);
         true
     }
 
     fn resume(&mut self, process: usize) -> bool {
         let own = &mut self.processes[process];
-        if self.mutation != Mutation::PauseUnnoticed {
-            own.roster.invalidate();
-            own.waiting = None;
+        if self.mutation != Mutation::SuspensionUnnoticed {
+            own.activation.invalidate();
+            own.pending_list = None;
         }
         std::mem::replace(&mut own.suspended, false)
     }
@@ -248,16 +256,16 @@
         let mutation = self.mutation;
         let own = &mut self.processes[process];
         let fresh = Process {
-            roster: roster(mutation),
+            activation: activation(mutation),
             known: [false; PROCESSES],
             uncounted: 0,
             suspended: false,
-            waiting: None,
+            pending_list: None,
             acted: own.acted,
         };
-        let news = *own != fresh;
+        let changed = *own != fresh;
         *own = fresh;
-        news && self.trouble()
+        changed && self.record_fault()
     }
 }
 
@@ -268,8 +276,8 @@
         let all = (0..PROCESSES).flat_map(|process| {
             [
                 Step::Join(process),
-                Step::Settle(process),
-                Step::Ask(process),
+                Step::MarkKnown(process),
+                Step::Read(process),
                 Step::Deliver(process),
                 Step::Act(process),
                 Step::Suspend(process),
@@ -284,28 +292,28 @@
     }
 
     fn violation(&self) -> Option<&'static str> {
-        self.broken.then_some(VIOLATION)
+        self.violated.then_some(VIOLATION)
     }
 }
 
-/// Processes join, read the list late, are suspended and start again. The one that loses its place
-/// and the one that gets it never act close to one another: a runner that has just started would be
-/// sent twice what it bears.
+/// Processes register, read the list late, are suspended and restart. The process that loses its
+/// place and the one that gets it never act in quick succession; otherwise a runner that has just
+/// started would be sent twice the load that it can take.
 #[test]
-fn never_together() {
+fn never_act_together() {
     holds("roster", &World::new(Mutation::None));
 }
 
-/// Each guard is needed: without it, both act at once.
+/// Each guard is needed: without it, both processes act at once.
 #[test]
-fn guards_needed() {
+fn each_guard_is_needed() {
     let mutations = [
-        Mutation::NoWait,
+        Mutation::ActAtOnce,
         Mutation::NoGap,
         Mutation::CurrentOnArrival,
         Mutation::AnyAge,
-        Mutation::PauseUnnoticed,
-        Mutation::SettledAtOnce,
+        Mutation::SuspensionUnnoticed,
+        Mutation::KnownAtOnce,
     ];
     for mutation in mutations {
         violates(&format!("{mutation:?}"), &World::new(mutation), VIOLATION);
--- a/crates/protocol/tests/call_search.rs
+++ b/crates/protocol/tests/call_search.rs
@@ -1,5 +1,6 @@
-//! Search over the shipped claim, call and gate: entries with the same idempotency key, a table
-//! that loses answers, agents that crash, and a network that repeats, reorders and loses.
+//! Search over the claim, the call and the gate with several entries for one idempotency key, a
+//! table that loses responses, agents that crash, and a network that duplicates, reorders and
+//! loses messages.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod search;
@@ -10,7 +11,7 @@
 use search::{System, find_violation, holds, violates};
 use std::collections::BTreeSet;
 
-/// A guard that is taken away around the shipped machines.
+/// A guard that is removed around the state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mutation {
     None,
@@ -19,11 +20,11 @@
     OfferAfterGrant,
     GrantAgain,
     LinkOutlivesAgent,
-    ForgetIsRefuse,
-    LostIsNotRun,
-    UnsureIsWritten,
-    TakeOver,
-    LeaveClaim,
+    ForgottenIsRefused,
+    LostLinkIsNotRun,
+    UnsureIsApplied,
+    IgnoreOwner,
+    SkipCleanUp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -35,7 +36,7 @@
     Recall,
     Ask,
     Refuse,
-    Forget,
+    Forgotten,
     Started,
     Done,
 }
@@ -51,10 +52,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Claim,
-    Table,
-    TableDown,
-    AnswerLost,
-    WriteLands,
+    TableResponds,
+    TableUnavailable,
+    ResponseLost,
+    WriteApplied,
     Retry,
     ToEntry(Message),
     ToAgent(Message),
@@ -66,28 +67,28 @@
     Leave,
     AgentLosesLink,
     Finish,
-    Forget,
+    Forgotten,
     Crash,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Reported {
     End(Outcome),
     Other,
 }
 
-/// One request: its claim, its call at the entry, its gate at the agent, and what is between.
+/// One request: its claim, its call at the entry, its gate at the agent, and messages in transit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Request {
     claim: Option<Claim>,
-    todo: Option<claim::Action>,
-    open: Option<claim::Action>,
+    next_action: Option<claim::Action>,
+    unsure_write: Option<claim::Action>,
     call: Option<Call>,
     gate: Option<Gate>,
     sent: BTreeSet<Message>,
-    told: Option<Told>,
+    reported: Option<Reported>,
     ran: bool,
-    abandoned: bool,
+    cleanup_skipped: bool,
 }
 
 impl Request {
@@ -112,7 +113,7 @@
 }
 
 impl World {
-    /// `faults` bounds crashes, lost links, lost answers, refusals and impatience in one run.
+    /// `faults` bounds crashes, lost links, lost responses, refusals and abandoned calls in one run.
     fn new(requests: usize, faults: u8, mutation: Mutation) -> Self {
         Self {
             mutation,
@@ -132,7 +133,7 @@
         }
     }
 
-    fn is(&self, mutation: Mutation) -> bool {
+    fn has(&self, mutation: Mutation) -> bool {
         self.mutation == mutation
     }
 
@@ -150,8 +151,8 @@
 
     fn claim(&mut self, i: usize, event: claim::Event) {
         let event = match event {
-            claim::Event::Unsure if self.is(Mutation::UnsureIsWritten) => claim::Event::Written(1),
-            claim::Event::Found(Some(mut kept)) if self.is(Mutation::TakeOver) => {
+            claim::Event::Unsure if self.has(Mutation::UnsureIsApplied) => claim::Event::Written(1),
+            claim::Event::Found(Some(mut kept)) if self.has(Mutation::IgnoreOwner) => {
                 kept.row.progress = Progress::Released;
                 claim::Event::Found(Some(kept))
             }
@@ -159,19 +160,19 @@
         };
         let request = &mut self.requests[i];
         let action = request.claim.as_mut().unwrap().on(event);
-        request.todo = match action {
+        request.next_action = match action {
             claim::Action::Ignore => None,
             claim::Action::Resolve(Decision::Granted) => {
                 request.offer(false);
                 None
             }
             claim::Action::Resolve(Decision::Unavailable) => {
-                request.told = Some(Told::End(Outcome::NotRun));
-                request.abandoned = self.mutation == Mutation::LeaveClaim;
-                (!request.abandoned).then_some(claim::Action::RetryLater)
+                request.reported = Some(Reported::End(Outcome::NotRun));
+                request.cleanup_skipped = self.mutation == Mutation::SkipCleanUp;
+                (!request.cleanup_skipped).then_some(claim::Action::RetryLater)
             }
             claim::Action::Resolve(_) => {
-                request.told = Some(Told::Other);
+                request.reported = Some(Reported::Other);
                 None
             }
             action => Some(action),
@@ -180,15 +181,15 @@
 
     fn call(&mut self, i: usize, event: call::Event) {
         let event = match event {
-            call::Event::Forgotten if self.is(Mutation::ForgetIsRefuse) => call::Event::Refuse,
-            call::Event::LinkLost if self.is(Mutation::LostIsNotRun) => call::Event::Refuse,
+            call::Event::Forgotten if self.has(Mutation::ForgottenIsRefused) => call::Event::Refuse,
+            call::Event::LinkLost if self.has(Mutation::LostLinkIsNotRun) => call::Event::Refuse,
             event => event,
         };
         let before = self.requests[i].call.as_ref().unwrap().state();
         let actions = self.requests[i].call.as_mut().unwrap().on(event);
         let regrant = match before {
-            call::State::Granted => self.is(Mutation::GrantAgain),
-            call::State::Ended(_) => self.is(Mutation::GrantAfterEnd),
+            call::State::Granted => self.has(Mutation::GrantAgain),
+            call::State::Ended(_) => self.has(Mutation::GrantAfterEnd),
             call::State::Offered => false,
         };
         actions
@@ -209,7 +210,7 @@
     }
 
     fn end(&mut self, i: usize, end: Outcome) {
-        self.requests[i].told = Some(Told::End(end));
+        self.requests[i].reported = Some(Reported::End(end));
         if self.repeatable {
             return;
         }
@@ -236,35 +237,35 @@
 
     fn after(&self, i: usize, step: Step) -> Self {
         let mut world = self.clone();
-        world.take(i, step);
+        world.apply(i, step);
         world
     }
 
-    fn take(&mut self, i: usize, step: Step) {
-        let todo = self.requests[i].todo;
+    fn apply(&mut self, i: usize, step: Step) {
+        let next_action = self.requests[i].next_action;
         match step {
             Step::Claim if self.repeatable => self.requests[i].offer(true),
             Step::Claim => {
                 let (claim, action) = Claim::open(i as u128 + 1, i as u128, 0);
                 self.requests[i].claim = Some(claim);
-                self.requests[i].todo = Some(action);
+                self.requests[i].next_action = Some(action);
             }
-            Step::Table => {
-                let event = self.write(todo.unwrap());
+            Step::TableResponds => {
+                let event = self.write(next_action.unwrap());
                 self.claim(i, event);
             }
-            Step::TableDown => self.fault(|world| world.claim(i, claim::Event::Unavailable)),
-            Step::AnswerLost => self.fault(|world| {
-                world.requests[i].open = todo;
+            Step::TableUnavailable => self.fault(|world| world.claim(i, claim::Event::Unavailable)),
+            Step::ResponseLost => self.fault(|world| {
+                world.requests[i].unsure_write = next_action;
                 world.claim(i, claim::Event::Unsure);
             }),
-            Step::WriteLands => {
-                let open = self.requests[i].open.take().unwrap();
-                self.write(open);
+            Step::WriteApplied => {
+                let unsure_write = self.requests[i].unsure_write.take().unwrap();
+                self.write(unsure_write);
             }
             Step::Retry => self.claim(i, claim::Event::Retry),
             Step::ToEntry(message) => self.call(i, entry_event(message)),
-            Step::ToAgent(Message::Offer) => self.requests[i].gate = Some(self.hold()),
+            Step::ToAgent(Message::Offer) => self.requests[i].gate = Some(self.new_gate()),
             Step::ToAgent(message) => self.gate(i, agent_event(message)),
             Step::Recall => self.send(i, Message::Recall),
             Step::OfferAgain => self.send(i, Message::Offer),
@@ -274,13 +275,13 @@
             Step::Leave => self.fault(|world| world.gate(i, gate::Event::Leave)),
             Step::AgentLosesLink => self.fault(|world| world.gate(i, gate::Event::LinkLost)),
             Step::Finish => self.gate(i, gate::Event::Finished),
-            Step::Forget => self.send(i, Message::Forget),
+            Step::Forgotten => self.send(i, Message::Forgotten),
             Step::Crash => self.fault(|world| world.crash(i)),
         }
     }
 
-    fn hold(&self) -> Gate {
-        Gate::new(!self.repeatable && !self.is(Mutation::StartUngranted))
+    fn new_gate(&self) -> Gate {
+        Gate::new(!self.repeatable && !self.has(Mutation::StartUngranted))
     }
 
     fn fault(&mut self, act: impl FnOnce(&mut Self)) {
@@ -290,7 +291,7 @@
 
     fn crash(&mut self, i: usize) {
         self.requests[i].gate = None;
-        if !self.is(Mutation::LinkOutlivesAgent) {
+        if !self.has(Mutation::LinkOutlivesAgent) {
             TO_AGENT.iter().for_each(|message| {
                 self.requests[i].sent.remove(message);
             });
@@ -298,16 +299,18 @@
     }
 
     fn table_steps(&self, request: &Request, steps: &mut Vec<Step>) {
-        match request.todo {
+        match request.next_action {
             Some(claim::Action::RetryLater) => steps.push(Step::Retry),
-            Some(_) => steps.extend([Step::Table, Step::TableDown]),
+            Some(_) => steps.extend([Step::TableResponds, Step::TableUnavailable]),
             None => {}
         }
-        if matches!(request.todo, Some(claim::Action::Write { .. })) && request.open.is_none() {
-            steps.push(Step::AnswerLost);
+        if matches!(request.next_action, Some(claim::Action::Write { .. }))
+            && request.unsure_write.is_none()
+        {
+            steps.push(Step::ResponseLost);
         }
-        if request.open.is_some() {
-            steps.push(Step::WriteLands);
+        if request.unsure_write.is_some() {
+            steps.push(Step::WriteApplied);
         }
     }
 
@@ -325,7 +328,7 @@
             return;
         }
         steps.extend([Step::GiveUp, Step::EntryLosesLink]);
-        let again = self.is(Mutation::OfferAfterGrant) || self.is(Mutation::GrantAgain);
+        let again = self.has(Mutation::OfferAfterGrant) || self.has(Mutation::GrantAgain);
         if call.state() == call::State::Granted {
             steps.push(Step::Recall);
             steps.extend(again.then_some(Step::OfferAgain));
@@ -337,7 +340,7 @@
         let Some(gate) = &request.gate else {
             steps.extend(sent(Message::Offer).then_some(Step::ToAgent(Message::Offer)));
             let asked = sent(Message::Revoke) || sent(Message::Recall);
-            steps.extend(asked.then_some(Step::Forget));
+            steps.extend(asked.then_some(Step::Forgotten));
             return;
         };
         steps.push(Step::Crash);
@@ -347,9 +350,9 @@
             gate::State::Running => steps.push(Step::Finish),
             gate::State::Ended => {}
         }
-        let words = [Message::Grant, Message::Deny, Message::Revoke];
-        let words = words.into_iter().filter(|message| sent(*message));
-        steps.extend(words.map(Step::ToAgent));
+        let messages = [Message::Grant, Message::Deny, Message::Revoke];
+        let messages = messages.into_iter().filter(|message| sent(*message));
+        steps.extend(messages.map(Step::ToAgent));
     }
 }
 
@@ -357,7 +360,7 @@
     match message {
         Message::Ask => call::Event::Ask,
         Message::Refuse => call::Event::Refuse,
-        Message::Forget => call::Event::Forgotten,
+        Message::Forgotten => call::Event::Forgotten,
         Message::Started => call::Event::Started,
         _ => call::Event::Done {
             chunks: 0,
@@ -374,11 +377,11 @@
     }
 }
 
-fn costs(step: Step) -> bool {
+fn is_fault(step: Step) -> bool {
     matches!(
         step,
-        Step::TableDown
-            | Step::AnswerLost
+        Step::TableUnavailable
+            | Step::ResponseLost
             | Step::GiveUp
             | Step::EntryLosesLink
             | Step::Leave
@@ -400,48 +403,49 @@
             self.agent_steps(request, &mut steps);
             let affordable = steps
                 .into_iter()
-                .filter(|step| self.faults > 0 || !costs(*step));
+                .filter(|step| self.faults > 0 || !is_fault(*step));
             all.extend(affordable.map(|step| ((i, step), self.after(i, step))));
         }
         all
     }
 
     fn violation(&self) -> Option<&'static str> {
-        let not_run = Some(Told::End(Outcome::NotRun));
-        let untrue = |r: &Request| r.ran && r.told == not_run;
-        let unfounded = |r: &Request| !r.ran && r.told == Some(Told::End(Outcome::Complete));
+        let not_run = Some(Reported::End(Outcome::NotRun));
+        let wrongly_not_run = |r: &Request| r.ran && r.reported == not_run;
+        let wrongly_answered =
+            |r: &Request| !r.ran && r.reported == Some(Reported::End(Outcome::Complete));
         let row = self.row.map(|kept| kept.row);
-        let left = |(i, r): (usize, &Request)| {
-            let settled = r.abandoned || r.claim.as_ref().is_some_and(Claim::is_settled);
+        let left_behind = |(i, r): (usize, &Request)| {
+            let settled = r.cleanup_skipped || r.claim.as_ref().is_some_and(Claim::is_settled);
             let mine = |row: Row| row.token == i as u128 + 1 && row.progress == Progress::Claimed;
-            settled && r.told == not_run && row.is_some_and(mine)
+            settled && r.reported == not_run && row.is_some_and(mine)
         };
         match self {
             _ if self.runs > 1 => Some("ran twice"),
-            _ if self.requests.iter().any(untrue) => Some("not run, but ran"),
-            _ if self.requests.iter().any(unfounded) => Some("answered, but did not run"),
-            _ if self.requests.iter().enumerate().any(left) => Some("claim left behind"),
+            _ if self.requests.iter().any(wrongly_not_run) => Some("not run, but ran"),
+            _ if self.requests.iter().any(wrongly_answered) => Some("answered, but did not run"),
+            _ if self.requests.iter().enumerate().any(left_behind) => Some("claim left behind"),
             _ => None,
         }
     }
 }
 
-/// One label print meets up to twelve faults in any order. Whatever happens, it is printed at most
-/// once, and the fitter is told 'not run' only if it is never printed.
+/// A call that may not be repeated meets up to twelve faults in any order. It runs at most once,
+/// and 'not run' is reported only if it never runs.
 #[test]
-fn one_request() {
+fn one_request_runs_once() {
     holds("one request, 12 faults", &World::new(1, 12, Mutation::None));
 }
 
-/// A drawing check, which may be repeated, runs without a grant. It is told 'not run' only if this
-/// attempt never ran, whatever up to twelve faults do.
+/// A call that may be repeated runs without a grant and meets up to twelve faults. 'Not run' is
+/// reported only if this attempt never ran.
 #[test]
-fn repeatable_call() {
+fn repeatable_call_not_run_is_true() {
     holds(
         "repeatable call, 12 faults",
         &World::repeatable(12, Mutation::None),
     );
-    [Mutation::ForgetIsRefuse, Mutation::LostIsNotRun]
+    [Mutation::ForgottenIsRefused, Mutation::LostLinkIsNotRun]
         .into_iter()
         .for_each(|mutation| {
             let world = World::repeatable(4, mutation);
@@ -453,25 +457,25 @@
         });
 }
 
-/// A payout is sent to two entries under one key, with up to three faults in any order.
+/// A call is sent to two entries under one key, with up to three faults in any order.
 #[test]
-fn two_requests() {
+fn two_requests_run_once() {
     holds("two requests, 3 faults", &World::new(2, 3, Mutation::None));
 }
 
-/// Each guard around a single call is needed: without it the payout is made twice, or made after
-/// the freelancer was told that it was not.
+/// Each guard around a single call is needed: without it, the call runs twice, or runs after 'not
+/// run' was reported.
 #[test]
-fn call_guards() {
-    let untrue = "not run, but ran";
+fn each_call_guard_is_needed() {
+    let wrongly_not_run = "not run, but ran";
     [
-        (Mutation::StartUngranted, untrue),
-        (Mutation::GrantAfterEnd, untrue),
-        (Mutation::OfferAfterGrant, untrue),
+        (Mutation::StartUngranted, wrongly_not_run),
+        (Mutation::GrantAfterEnd, wrongly_not_run),
+        (Mutation::OfferAfterGrant, wrongly_not_run),
         (Mutation::GrantAgain, "ran twice"),
         (Mutation::LinkOutlivesAgent, "ran twice"),
-        (Mutation::ForgetIsRefuse, untrue),
-        (Mutation::LostIsNotRun, untrue),
+        (Mutation::ForgottenIsRefused, wrongly_not_run),
+        (Mutation::LostLinkIsNotRun, wrongly_not_run),
     ]
     .into_iter()
     .for_each(|(mutation, what)| {
@@ -481,14 +485,14 @@
     assert_eq!(find_violation(&denied, |what| what == "ran twice"), None);
 }
 
-/// Each guard of the claim is needed: without it two entries run the same payout, or the key can
+/// Each guard of the claim is needed: without it, two entries run the same call, or the key can
 /// never be used again.
 #[test]
-fn claim_guards() {
+fn each_claim_guard_is_needed() {
     [
-        (Mutation::UnsureIsWritten, "ran twice"),
-        (Mutation::TakeOver, "ran twice"),
-        (Mutation::LeaveClaim, "claim left behind"),
+        (Mutation::UnsureIsApplied, "ran twice"),
+        (Mutation::IgnoreOwner, "ran twice"),
+        (Mutation::SkipCleanUp, "claim left behind"),
     ]
     .into_iter()
     .for_each(|(mutation, what)| {
--- a/crates/protocol/tests/counterexamples.rs
+++ b/crates/protocol/tests/counterexamples.rs
@@ -1,4 +1,4 @@
-//! Counterexamples that the model checks found, as plain tests of the shipped machines.
+//! Counterexamples that the model checks found, as tests of the state machines.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use protocol::call::{Action, Call, Event, Outcome, State};
@@ -10,11 +10,11 @@
 use protocol::member::{self, MemberUpdate, Members};
 use std::time::Duration;
 
-/// An agent starts a label print, dies and is started again. The entry asks for the answer, and
-/// the new process says that it knows no such call. Were that taken for a refusal, the caller
-/// would be told that nothing ran and would print the label a second time.
+/// An agent starts a call, crashes and restarts. The entry asks for the response, and the new
+/// process reports that it does not know the call. If the entry treated this as a refusal, the
+/// client would be told *not run* and would repeat the call.
 #[test]
-fn restart_forgets() {
+fn restarted_agent_does_not_know_call() {
     let mut call = Call::offer(false, 0);
     let mut gate = Gate::new(true);
     assert_eq!(gate.on(gate::Event::SlotFree), gate::Action::Ask);
@@ -25,12 +25,12 @@
     assert_eq!(call.state(), State::Ended(Outcome::Unknown));
 }
 
-/// A first caller's payout was not run and its key is free again. A second caller's claim gets no
-/// answer, the table goes down, and the caller is told that nothing ran. When the table is back,
-/// the row still shows the first claim; were that taken for the end of it, the second claim's
-/// write could take effect after all, and nobody could ever run the payout.
+/// A first request did not run and its key is free again. A second request's claim gets no
+/// response, the table becomes unavailable, and the client is told *not run*. Once the table is
+/// available again, the row still shows the first claim. If the second claim settled then, its write
+/// could still take effect, and the call could never run.
 #[test]
-fn late_insert() {
+fn released_claim_written_late() {
     let (mut claim, _) = Claim::open(2, 20, 0);
     let row = Row {
         token: 1,
@@ -56,10 +56,10 @@
     );
 }
 
-/// An agent is frozen with the offer while the entry gives up and tells the caller that nothing
-/// ran. The agent wakes and asks; a grant now would print the label after all.
+/// An agent is suspended with the offer while the entry gives up and reports *not run*. The agent
+/// resumes and requests a grant; if it got one, the call would run after all.
 #[test]
-fn frozen_offer() {
+fn suspended_agent_is_denied() {
     let mut call = Call::offer(false, 0);
     let not_run = [Some(Action::Revoke), Some(Action::End(Outcome::NotRun))];
     assert_eq!(call.on(Event::GiveUp), not_run);
@@ -70,10 +70,10 @@
     assert_eq!(gate.on(gate::Event::Grant), gate::Action::Ignore);
 }
 
-/// The link breaks while the permit is on its way. The agent may have got it, so the caller must
-/// not be told that nothing ran.
+/// The link is lost while the grant is in transit. The agent may have received it, so the entry must
+/// not report *not run*.
 #[test]
-fn lost_permit() {
+fn lost_grant() {
     let mut call = Call::offer(false, 0);
     let mut gate = Gate::new(true);
     gate.on(gate::Event::SlotFree);
@@ -85,19 +85,19 @@
     assert_eq!(gate.on(gate::Event::Grant), gate::Action::Start);
 }
 
-/// An agent crashes after it has started the call, and by mistake the call is offered again. Its
-/// second question must be denied, or the label is printed twice.
+/// An agent crashes after it has started the call, and the call is offered again by mistake. The
+/// second request for a grant must be denied, or the call runs twice.
 #[test]
-fn offered_again() {
+fn duplicate_offer_is_denied() {
     let mut call = Call::offer(false, 0);
     assert_eq!(call.on(Event::Ask), [Some(Action::Grant), None]);
     assert_eq!(call.on(Event::Ask), [Some(Action::Deny), None]);
 }
 
-/// The insert of a second claim gets no answer, and the row shows the first claim. Were the lost
-/// answer taken for success, or the first claim for free, the payout would be made twice.
+/// The insert of a second claim gets no response, and the row shows the first claim. If the lost
+/// response counted as success, or the first claim as released, the call would run twice.
 #[test]
-fn lost_insert() {
+fn lost_claim_response() {
     let (mut claim, _) = Claim::open(2, 20, 0);
     assert_eq!(claim.on(claim::Event::Unsure), claim::Action::Read);
     let row = Row {
@@ -107,21 +107,21 @@
         progress: Progress::Claimed,
     };
     let found = claim::Event::Found(Some(StoredRow { row, revision: 1 }));
-    let told = claim::Action::Resolve(Decision::Running(10));
-    assert_eq!(claim.on(found), told);
+    let resolved = claim::Action::Resolve(Decision::Running(10));
+    assert_eq!(claim.on(found), resolved);
 }
 
-/// The table goes down right after the insert's answer was lost. The caller is told that nothing
-/// ran, and the claim is cleaned up later; otherwise the key could never be used again.
+/// The table becomes unavailable right after the insert's response was lost. The entry reports *not
+/// run* and releases the claim later; otherwise the key could never be used again.
 #[test]
-fn claim_left_behind() {
+fn unsure_claim_is_released() {
     let (mut claim, write) = Claim::open(1, 10, 0);
     let claim::Action::Write { row, .. } = write else {
         panic!("{write:?}");
     };
     claim.on(claim::Event::Unsure);
-    let told = claim::Action::Resolve(Decision::Unavailable);
-    assert_eq!(claim.on(claim::Event::Unavailable), told);
+    let resolved = claim::Action::Resolve(Decision::Unavailable);
+    assert_eq!(claim.on(claim::Event::Unavailable), resolved);
     assert!(!claim.is_settled());
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
     let found = claim::Event::Found(Some(StoredRow { row, revision: 4 }));
@@ -135,11 +135,11 @@
     assert_eq!(claim.on(found), release);
 }
 
-/// A renewal's answer is lost for longer than the lease lasts. The holder counts from when it
-/// sent the renewal, as the contender may have seen it then; counted from the reading back, two
-/// processes would hold the lease at once.
+/// The response to a renewal is lost, and the row is read back only later. The holder counts from
+/// when it sent the renewal, since the contender may have seen it then. If it counted from the read,
+/// two processes would hold the lease at once.
 #[test]
-fn late_renewal() {
+fn renewal_counts_from_sending() {
     let second = Duration::from_secs(1);
     let timing = Timing {
         duration: 10 * second,
@@ -160,10 +160,10 @@
     assert_eq!(lease.may_act(7 * second), None);
 }
 
-/// A frozen holder wakes and sends its order to an agent that has just been restarted. The agent
-/// does not know yet that there is a newer holder, so it must let nothing pass.
+/// A suspended holder resumes and sends its order to an agent that has just restarted. The agent
+/// does not know yet that there is a newer holder, so it must let no order pass.
 #[test]
-fn restarted_fence() {
+fn restarted_agent_rejects_old_order() {
     let mut fence = Fence::new();
     assert_eq!(fence.admit(1), fence::Decision::Unknown);
     fence.learn(2);
@@ -171,10 +171,10 @@
     assert_eq!(fence.admit(2), fence::Decision::Pass);
 }
 
-/// A process starts afresh after a change was accepted, and an old push and a peer that lags
-/// reach it first. It must not serve by what was replaced.
+/// A process restarts after a change was accepted, and first receives an outdated push and the
+/// revision of a lagging peer. It must not serve the replaced configuration.
 #[test]
-fn stale_push() {
+fn outdated_push_does_not_make_ready() {
     let mut follower = Follower::new();
     follower.on(follower::Event::Push(1));
     follower.on(follower::Event::Entry(1));
@@ -186,20 +186,21 @@
     assert!(follower.is_ready());
 }
 
-/// A target says that it leaves; the platform's list, an old word and a restart's word arrive.
-/// Only the new life gets work again, and none while an operator drains the VM.
+/// A target reports that it is leaving, then the platform's list, an outdated update and the update
+/// of a restart arrive. Only the new incarnation gets work again, and none while an operator drains
+/// the VM.
 #[test]
-fn stale_list() {
-    let news = |incarnation, leaving| MemberUpdate {
+fn outdated_list_keeps_vm_leaving() {
+    let update = |incarnation, leaving| MemberUpdate {
         incarnation,
         leaving,
     };
     let mut members = Members::new();
-    members.observe("vm", news(2, true));
-    members.set_listed([("vm", news(2, false))]);
-    members.observe("vm", news(1, false));
+    members.observe("vm", update(2, true));
+    members.set_listed([("vm", update(2, false))]);
+    members.observe("vm", update(1, false));
     assert_eq!(members.state("vm"), member::State::Leaving);
-    members.observe("vm", news(3, false));
+    members.observe("vm", update(3, false));
     assert_eq!(members.state("vm"), member::State::Live);
     members.set_drained("vm", true);
     assert_eq!(members.state("vm"), member::State::Leaving);
--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -1,5 +1,5 @@
-//! Search over the shipped lease and fence: two processes with clocks of their own, a table that
-//! loses answers, orders that arrive at any later time, and an agent that restarts.
+//! Search over the lease and the fence with two processes whose clocks differ, a table that loses
+//! responses, orders that arrive at any later time, and an agent that restarts.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod search;
@@ -10,10 +10,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// By how much two clocks may drift against each other, in seconds; the margin covers it.
+/// Maximum drift between the two clocks in seconds; the margin covers it.
 const DRIFT: u8 = 1;
 
-/// A guard that is taken away around the shipped machines.
+/// A guard that is removed around the state machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mutation {
     None,
@@ -37,7 +37,7 @@
     AgentCrashes,
 }
 
-/// An order of a holder; `holder` counts holders and is seen by no guard.
+/// An order of a holder; `holder` numbers the holders and is not used by any guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Order {
     holder: u8,
@@ -50,7 +50,7 @@
     clock: u8,
     next_action: Option<Action>,
     unsure: Option<Action>,
-    /// Which holder in turn the process was when it last got the lease.
+    /// Number of the term in which the process last held the lease.
     term: u8,
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl World {
-    /// `with_orders` brings in orders and the agent, `end` bounds the clocks in seconds, `faults`
-    /// lost answers, restarts and planned stops.
+    /// `with_orders` includes orders and the agent, `end` bounds the clocks in seconds, and
+    /// `faults` bounds lost responses, restarts and planned stops.
     fn new(with_orders: bool, end: u8, faults: u8, mutation: Mutation) -> Self {
         let margin = if mutation == Mutation::NoMargin { 0 } else { 1 };
         let timing = Timing {
@@ -131,7 +131,7 @@
         process.lease.on(event, seconds(process.clock));
     }
 
-    /// A read is answered at once: a slow one only delays its reader.
+    /// A read completes immediately, since a slow one only delays its reader.
     fn tick(&mut self, i: usize) {
         let process = &mut self.processes[i];
         process.next_action = process.lease.tick(seconds(process.clock));
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The second clock is never behind the first nor ahead by more than the drift.
+    /// The second clock is never behind the first one, nor ahead by more than the drift.
     fn may_advance(&self, i: usize) -> bool {
         let [first, second] = [0, 1].map(|i| self.processes[i].clock);
         let limit = [second, first + DRIFT][i].min(self.end);
@@ -254,21 +254,21 @@
     }
 }
 
-/// A lease's holder is frozen, its clock is slow, and answers are lost. Two processes never act
-/// at once.
+/// The holder of a lease is suspended, its clock is slow, and responses are lost. Two processes
+/// never act at once.
 #[test]
 fn one_holder_at_a_time() {
     holds("lease", &World::new(false, 5, 1, Mutation::None));
 }
 
-/// A holder that was frozen past the lapse sends its order late, and the agent restarts. No
-/// engine is turned back by it.
+/// A holder that was suspended until its lease expired sends its order late, and the agent
+/// restarts. The order does not revert the engine.
 #[test]
 fn outdated_orders_rejected() {
     holds("lease and fence", &World::new(true, 4, 1, Mutation::None));
 }
 
-/// Each guard is needed: without it two processes move the same model at once, or an old order
+/// Each guard is needed: without it, two processes move the same model at once, or an old order
 /// undoes a newer one.
 #[test]
 fn each_guard_is_needed() {
