--- a/crates/protocol/tests/quarantine_availability.rs
+++ b/crates/protocol/tests/quarantine_availability.rs
@@ -1,48 +1,54 @@
-//! A request that ends runners, sent again as soon as it may be, at a service of few runners: every order
-//! of attempts, ends and returns.
+//! Search over a service with few runners and a request that crashes them and is sent again as soon as
+//! allowed, with every order of attempts, crashes and restarts.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use pathfinding::prelude::bfs_reach;
 use protocol::quarantine::{Availability, CRASH_THRESHOLD};
 
-/// Runners of the service at most.
+/// Maximum number of runners of the service.
 const RUNNERS: usize = 6;
 
-/// Whether an attempt is sent, by the guards that are left.
+/// Whether an attempt is sent, by the remaining guards.
 type Rule = fn(Availability, u32) -> bool;
 
-/// What is left of the service, and how many runners have ended under the request.
+/// Availability of the service, and the number of runners that have crashed under the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
-    standing: Availability,
+    availability: Availability,
     crashes: u32,
 }
 
 fn steps(state: &State, rule: Rule) -> Vec<State> {
-    let Availability { up, down } = state.standing;
+    let Availability { up, down } = state.availability;
     let mut next = Vec::new();
-    if up > 0 && state.crashes < CRASH_THRESHOLD && rule(state.standing, state.crashes) {
-        let standing = Availability {
+    if up > 0 && state.crashes < CRASH_THRESHOLD && rule(state.availability, state.crashes) {
+        let availability = Availability {
             up: up - 1,
             down: down + 1,
         };
         let crashes = state.crashes + 1;
-        next.push(State { standing, crashes });
+        next.push(State {
+            availability,
+            crashes,
+        });
     }
     if down > 0 {
-        let standing = Availability {
+        let availability = Availability {
             up: up + 1,
             down: down - 1,
         };
-        next.push(State { standing, ..*state });
+        next.push(State {
+            availability,
+            ..*state
+        });
     }
     next
 }
 
-/// All that can become of a service whose runners are all there.
-fn reach(runners: usize, rule: Rule) -> Vec<State> {
+/// All reachable states of a service whose runners are all up.
+fn reachable_states(runners: usize, rule: Rule) -> Vec<State> {
     let start = State {
-        standing: Availability {
+        availability: Availability {
             up: runners,
             down: 0,
         },
@@ -51,43 +57,43 @@
     bfs_reach(start, |state| steps(state, rule)).collect()
 }
 
-/// Whether the request can end the last runner of a service of several.
-fn ends_last(rule: Rule) -> bool {
+/// Whether the request can crash the last runner of a service with several runners.
+fn crashes_last(rule: Rule) -> bool {
     let mut sizes = 2..=RUNNERS;
     sizes.any(|runners| {
-        let states = reach(runners, rule);
-        states.iter().any(|state| state.standing.up == 0)
+        let states = reachable_states(runners, rule);
+        states.iter().any(|state| state.availability.up == 0)
     })
 }
 
-/// Whether it can end, with its second runner or a later one, more than half of a service.
-fn ends_most(rule: Rule) -> bool {
+/// Whether the request can crash more than half of a service with its second or a later runner.
+fn crashes_majority(rule: Rule) -> bool {
     let mut sizes = 3..=RUNNERS;
     sizes.any(|runners| {
-        let states = reach(runners, rule);
+        let states = reachable_states(runners, rule);
         let third = states
             .iter()
             .filter(|state| state.crashes == CRASH_THRESHOLD);
         third
             .into_iter()
-            .any(|state| state.standing.up * 2 < runners - 1)
+            .any(|state| state.availability.up * 2 < runners - 1)
     })
 }
 
-/// Guards against one request that takes down all of the few runners of a service, and with them
-/// everybody else's requests.
+/// Guards against one request that takes down all of the few runners of a service, so that all other
+/// requests fail.
 #[test]
-fn last_one_stands() {
-    assert!(!ends_last(Availability::allows_attempt));
-    assert!(!ends_most(Availability::allows_attempt));
+fn last_runner_is_spared() {
+    assert!(!crashes_last(Availability::allows_attempt));
+    assert!(!crashes_majority(Availability::allows_attempt));
 }
 
-/// Guards against a request that is never tried again, and so never cleared, since too few runners are
-/// there even when all are.
+/// Guards against a request that is never tried again, and so never cleared, because the service has
+/// too few runners even when all are up.
 #[test]
-fn tried_again() {
+fn poison_request_reaches_threshold() {
     for runners in 1..=RUNNERS {
-        let states = reach(runners, Availability::allows_attempt);
+        let states = reachable_states(runners, Availability::allows_attempt);
         assert!(
             states.iter().any(|state| state.crashes == CRASH_THRESHOLD),
             "{runners}"
@@ -95,26 +101,26 @@
     }
 }
 
-/// The first crash costs nothing: a request under which one runner ended by chance goes on at once.
+/// A request under which one runner exited by chance continues at once.
 #[test]
-fn first_crash_free() {
+fn request_continues_after_one_crash() {
     for runners in 3..=RUNNERS {
-        let standing = Availability {
+        let availability = Availability {
             up: runners - 1,
             down: 1,
         };
-        assert!(standing.allows_attempt(1), "{runners}");
+        assert!(availability.allows_attempt(1), "{runners}");
     }
 }
 
-/// Each guard that is taken away shows.
+/// Each guard is needed: its removal causes a violation.
 #[test]
-fn guards() {
-    assert!(ends_last(|_, _| true));
-    assert!(ends_last(|Availability { up, down }, crashes| {
+fn each_guard_is_needed() {
+    assert!(crashes_last(|_, _| true));
+    assert!(crashes_last(|Availability { up, down }, crashes| {
         crashes < 2 || down == 0 || up > 1 && down < up
     }));
-    assert!(ends_most(|Availability { up, down }, crashes| {
+    assert!(crashes_majority(|Availability { up, down }, crashes| {
         crashes == 0 || down == 0 || up > 1
     }));
 }
--- a/crates/protocol/tests/quarantine_rules.rs
+++ b/crates/protocol/tests/quarantine_rules.rs
@@ -1,4 +1,4 @@
-//! What one process believes of requests that end runners.
+//! Rules by which one process quarantines requests that crash runners.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use protocol::quarantine::{Admission, Crash, Merge, Quarantine, Report, TRIAL_STAGGER};
@@ -7,7 +7,7 @@
 const POISON: u64 = 7;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Three runners ended under the request, one a second; the last one just now.
+/// Three runners crashed under the request, one per second; the last one just now.
 fn held() -> Quarantine<u32> {
     let mut quarantine = Quarantine::default();
     for runner in 1..=3 {
@@ -18,7 +18,7 @@
     quarantine
 }
 
-/// Time from the last crash of [`held`] until the request is due for a trial.
+/// When the request of [`held`] is due for a trial.
 fn due(quarantine: &Quarantine<u32>) -> Duration {
     match quarantine.admission(POISON, 0, SECOND * 3) {
         Admission::Held(left) => SECOND * 3 + left,
@@ -26,9 +26,9 @@
     }
 }
 
-/// Guards against a request that stays held back since the process which would try it is gone.
+/// Guards against a request that stays quarantined because the process that would try it is gone.
 #[test]
-fn trial_passes_on() {
+fn next_process_makes_trial() {
     let quarantine = held();
     let due = due(&quarantine);
     assert_eq!(quarantine.admission(POISON, 0, due), Admission::Trial);
@@ -42,9 +42,9 @@
     );
 }
 
-/// Guards against a trial at each process in turn: one that is under way is known to all.
+/// Guards against a trial by each process in turn: all processes know of a trial in progress.
 #[test]
-fn one_trial() {
+fn trial_is_known_to_others() {
     let (mut one, mut other) = (held(), held());
     let due = due(&one);
     let report = one.begin_trial(POISON, due).unwrap();
@@ -55,9 +55,9 @@
     ));
 }
 
-/// Guards against long holds after trials that were lost for other reasons.
+/// Guards against long holds after trials that failed for other reasons.
 #[test]
-fn trial_without_outcome() {
+fn trial_without_outcome_is_repeated() {
     let mut quarantine = held();
     let due = due(&quarantine);
     quarantine.begin_trial(POISON, due);
@@ -65,39 +65,39 @@
         quarantine.admission(POISON, 0, due + SECOND * 4),
         Admission::Trial
     );
-    // One that ends a runner makes the next hold four times as long.
+    // A trial that crashes a runner makes the next hold four times as long.
     quarantine.answer_lost(POISON, 4, due, due + SECOND);
     quarantine.runner_exited(&4, due + SECOND);
     let left = quarantine.admission(POISON, 0, due + SECOND);
     assert_eq!(left, Admission::Held(SECOND * 20));
 }
 
-/// Guards against blame for the end of a runner that had ended before the request came.
+/// Guards against attributing the exit of a runner to a request that was sent after the exit.
 #[test]
-fn came_later() {
+fn later_request_is_not_blamed() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
     quarantine.answer_lost(POISON, 1, SECOND, SECOND * 2);
     quarantine.answer_lost(8, 1, SECOND * 3, SECOND * 3);
-    let blamed = quarantine.runner_exited(&1, SECOND * 4);
-    let blamed: Vec<u64> = blamed.iter().map(|report| report.content).collect();
-    assert_eq!(blamed, [POISON]);
+    let suspects = quarantine.runner_exited(&1, SECOND * 4);
+    let suspects: Vec<u64> = suspects.iter().map(|report| report.content).collect();
+    assert_eq!(suspects, [POISON]);
 }
 
-/// Guards against a poison request that goes free since an answer was lost before, at a runner that
-/// lived on.
+/// Guards against a poison request that is not blamed because a response was lost before, at a runner
+/// that kept running.
 #[test]
-fn lost_before() {
+fn loss_before_response_is_forgotten() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
     quarantine.answer_lost(8, 1, SECOND, SECOND);
     quarantine.answered(9, &1, SECOND * 2);
     quarantine.answer_lost(POISON, 1, SECOND * 3, SECOND * 3);
-    let blamed = quarantine.runner_exited(&1, SECOND * 4);
-    assert_eq!(blamed.first().map(|report| report.content), Some(POISON));
+    let suspects = quarantine.runner_exited(&1, SECOND * 4);
+    assert_eq!(suspects.first().map(|report| report.content), Some(POISON));
 }
 
-/// Guards against a crash that is told late, after the answer which voids it.
+/// Guards against a crash that is reported late, after the response that voids it.
 #[test]
-fn late_report() {
+fn late_report_is_void() {
     let mut quarantine = held();
     let now = SECOND * 4;
     assert!(matches!(
@@ -121,10 +121,10 @@
     assert_eq!(quarantine.admission(POISON, 0, now), Admission::Free);
 }
 
-/// Guards against messages that go round for ever: what is known is not told again, and processes that
-/// know the same compare as such.
+/// Guards against reports that circulate forever: known facts are not reported again, and processes with
+/// equal views have equal digests.
 #[test]
-fn merged_again() {
+fn merging_twice_changes_nothing() {
     let one = held();
     let mut other = Quarantine::default();
     let report = one.report(POISON, SECOND * 3).unwrap();
@@ -136,9 +136,9 @@
     assert_eq!(one.digest(), other.digest());
 }
 
-/// What was kept holds without the runners' names, until it is kept no more.
+/// Stored crashes whose runners are unknown quarantine a request until they are discarded.
 #[test]
-fn kept() {
+fn restored_crashes_hold_until_discarded() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
     quarantine.restore(POISON, 3, SECOND);
     assert!(matches!(
@@ -149,10 +149,10 @@
     assert_eq!(quarantine.admission(POISON, 0, SECOND * 2), Admission::Free);
 }
 
-/// Guards against a request that ends its runner and is taken for one that came after the end: shortly
-/// before, the runner lost the answer of another one and lived on.
+/// Guards against a request that crashes its runner but is treated as sent after the exit, because the
+/// runner had lost the response to another request shortly before and had kept running.
 #[test]
-fn loss_before_end() {
+fn loss_before_exit_is_not_the_exit() {
     let mut quarantine = Quarantine::default();
     let half = SECOND / 2;
     quarantine.answer_lost(8, 1, SECOND, SECOND + half);
--- a/crates/protocol/tests/quarantine_silence.rs
+++ b/crates/protocol/tests/quarantine_silence.rs
@@ -1,4 +1,4 @@
-//! Runners from which nothing comes while they hold a request unanswered.
+//! Runners that become unresponsive under a request.
 
 use protocol::quarantine::{Admission, CRASH_THRESHOLD, Merge, Quarantine, Report};
 use std::time::Duration;
@@ -8,8 +8,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 const RUNNERS: [&str; 3] = ["a", "b", "c"];
 
-/// The request has waited for a second at each of these runners, one after the other.
-fn waited(known: &mut Known, runners: &[&'static str]) -> Option<Report<&'static str>> {
+/// Lets the request wait for a second at each of these runners, one after another.
+fn wait_at_runners(known: &mut Known, runners: &[&'static str]) -> Option<Report<&'static str>> {
     let mut last = None;
     for (number, runner) in (0..).zip(runners) {
         let sent = SECOND * number;
@@ -18,13 +18,14 @@
     last
 }
 
-/// Guards against a request that silences one runner after the other before the list tells of the first.
+/// Guards against a request that makes one runner after another unresponsive before the platform's list
+/// shows the exit of the first.
 #[test]
-fn held_at_three() {
+fn three_silent_runners_quarantine() {
     let mut known = Known::default();
-    waited(&mut known, &RUNNERS[..2]);
+    wait_at_runners(&mut known, &RUNNERS[..2]);
     assert_eq!(known.admission(7, 0, SECOND * 3), Admission::Free);
-    waited(&mut known, &RUNNERS);
+    wait_at_runners(&mut known, &RUNNERS);
     assert!(matches!(
         known.admission(7, 0, SECOND * 3),
         Admission::Held(_)
@@ -33,31 +34,31 @@
     assert_eq!(known.admission(7, 0, SECOND * 9), Admission::Free);
 }
 
-/// Guards against a request that is held back since runners were slow for it and answered others.
+/// Guards against quarantining a request for which runners are slow while they answer others.
 #[test]
-fn signs_of_life() {
+fn signs_of_life_end_silence() {
     let mut known = Known::default();
-    waited(&mut known, &RUNNERS);
+    wait_at_runners(&mut known, &RUNNERS);
     known.runner_observed(&"b", SECOND * 3);
     assert_eq!(known.admission(7, 0, SECOND * 3), Admission::Free);
     assert_eq!(known.exposure(7, SECOND * 3), CRASH_THRESHOLD - 1);
 }
 
-/// Guards against a request that stays held back although a runner has answered it.
+/// Guards against a request that stays quarantined although a runner has answered it.
 #[test]
-fn answer_clears() {
+fn response_clears() {
     let mut known = Known::default();
-    waited(&mut known, &RUNNERS);
+    wait_at_runners(&mut known, &RUNNERS);
     let merged = known.answered(7, &"d", SECOND * 3);
     assert!(matches!(merged, Merge::New { .. }));
     assert_eq!(known.exposure(7, SECOND * 3), 0);
 }
 
-/// Guards against reports that processes announce to one another without end.
+/// Guards against reports that processes announce to one another endlessly.
 #[test]
-fn announced_once() {
+fn reports_are_announced_once() {
     let mut known = Known::default();
-    let report = waited(&mut known, &RUNNERS).expect("new");
+    let report = wait_at_runners(&mut known, &RUNNERS).expect("new");
     let mut other = Known::default();
     assert!(matches!(
         other.merge(&report, SECOND * 3),
@@ -70,7 +71,7 @@
     assert_eq!(other.merge(&cleared, SECOND * 3), Merge::Known);
     assert_eq!(other.merge(&report, SECOND * 3), Merge::Known);
     assert_eq!(other.exposure(7, SECOND * 3), 0);
-    // One that learns of the answer first.
+    // A process that learns of the response first.
     let mut newcomer = Known::default();
     newcomer.merge(
         &Report {
@@ -82,9 +83,9 @@
     assert_eq!(newcomer.merge(&report, SECOND * 3), Merge::Known);
 }
 
-/// Guards against the blame of requests that came to a runner which another one had silenced.
+/// Guards against blaming requests that reached a runner that was already unresponsive.
 #[test]
-fn came_later() {
+fn later_requests_are_not_blamed() {
     let mut known = Known::default();
     known.runner_unresponsive(7, &"a", Duration::ZERO, SECOND);
     known.runner_unresponsive(8, &"a", SECOND, SECOND * 2);
@@ -92,9 +93,9 @@
     assert_eq!(known.exposure(8, SECOND * 2), 0);
 }
 
-/// Guards against attempts that are on their way to further runners while one is silent already.
+/// Guards against further attempts while others are in progress and one runner is unresponsive already.
 #[test]
-fn attempts_in_progress() {
+fn attempts_in_progress_count() {
     let mut known = Known::default();
     known.attempt_started(7, "b");
     known.attempt_started(7, "c");
@@ -105,9 +106,9 @@
     assert!(known.may_spread(7, SECOND));
 }
 
-/// Guards against the end of a runner that nobody is blamed for, since the request still waited there.
+/// Guards against an exit that is not attributed to any request, because the request was still waiting.
 #[test]
-fn ends_unanswered() {
+fn exit_of_silent_runner_is_attributed() {
     let mut known = Known::default();
     known.runner_unresponsive(7, &"a", Duration::ZERO, SECOND);
     assert_eq!(known.runner_exited(&"a", SECOND * 3).len(), 1);
@@ -115,9 +116,9 @@
     assert_eq!(known.exposure(7, SECOND * 3), 0);
 }
 
-/// Guards against a wait that moves the end of its runner to before what ended it.
+/// Guards against a wait that dates the exit of its runner before the request that crashed it.
 #[test]
-fn wait_then_crash() {
+fn wait_does_not_predate_crash() {
     let mut known = Known::default();
     known.runner_unresponsive(8, &"a", Duration::ZERO, SECOND);
     known.answer_lost(7, "a", SECOND * 3 - SECOND / 10, SECOND * 3);
