--- a/crates/protocol/tests/quarantine_simulation.rs
+++ b/crates/protocol/tests/quarantine_simulation.rs
@@ -1,8 +1,8 @@
-//! Processes that tell one another of poison requests, in virtual time: messages are lost, late and
-//! repeated, processes start in the middle, are paused and are cut off.
+//! Seeded simulation of processes that exchange reports about poison requests, in virtual time.
+//! Messages are lost, late and duplicated; processes start late, are paused and are partitioned.
 //!
-//! A request that ends runners comes again and again at any process, beside requests of others that run
-//! at the same runners. Each guard that is taken away shows in some seed.
+//! A request that crashes runners is sent again and again to any process, while other requests run
+//! at the same runners. The removal of any guard causes a violation for some seed.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use protocol::ContentId;
@@ -13,51 +13,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Milliseconds from the start of the play.
+/// Milliseconds since the start of the simulation.
 type Millis = u64;
 /// One start of a runner.
-type Start = (usize, u32);
+type RunnerInstance = (usize, u32);
 
-const PLAYS: u64 = 150;
-const PLAY: Millis = 45_000;
+const SEEDS: u64 = 150;
+const DURATION: Millis = 45_000;
 const RUNNERS: usize = 4;
-/// Time after which a runner ends that works for the request which ends it, and that it is gone then.
-const WORK: Millis = 10;
-const DOWN: Millis = 2_000;
-/// Time that a runner works for a request of others.
-const OTHER_WORK: std::ops::Range<Millis> = 600..2_500;
-/// Time between two attempts of the request that ends runners, and between two others.
-const POISON_EVERY: Millis = 400;
-const OTHER_EVERY: Millis = 60;
-/// When the last attempt comes that ends runners.
+/// Time after which a runner crashes that runs the poison request, and time until it has restarted.
+const POISON_RUN_TIME: Millis = 10;
+const RESTART_TIME: Millis = 2_000;
+/// Run time of other requests.
+const OTHER_RUN_TIME: std::ops::Range<Millis> = 600..2_500;
+/// Interval between attempts of the poison request, and of other requests.
+const POISON_INTERVAL: Millis = 400;
+const OTHER_INTERVAL: Millis = 60;
+/// When the last poison request is sent.
 const POISON_END: Millis = 20_000;
-/// Time between two comparisons of neighbours, and the longest time that a message takes.
-const BEAT: Millis = 1_000;
-const DELAY: Millis = 40;
-/// Messages that are lost, of a hundred.
-const LOST: u32 = 10;
+/// Interval between exchanges of digests, and maximum delay of a message.
+const DIGEST_INTERVAL: Millis = 1_000;
+const MAX_DELAY: Millis = 40;
+/// Percentage of messages that are lost.
+const LOST_PERCENT: u32 = 10;
 const POISON: ContentId = 0;
 const OTHERS: std::ops::RangeInclusive<ContentId> = 1..=3;
-/// Runs of a poison request beyond the last crash that makes it one: those under way by then, and its
-/// trials.
-const LATER_RUNS: u32 = 3;
-/// Time for a crash to be known everywhere, after which a run counts as later.
-const KNOWN: Millis = 3_000;
-/// Time after its last crash, and after that of anything that keeps processes apart, by which a request
-/// of others is free.
-const FREE: Millis = 10_000;
+/// Maximum number of runs of a poison request after the crash that quarantines it: those in
+/// progress at that time, and its trials.
+const MAX_LATER_RUNS: u32 = 3;
+/// Time in which a crash becomes known everywhere; runs after that count as later runs.
+const PROPAGATION: Millis = 3_000;
+/// Time after the last crash of another request, and after the last fault of a process, by which
+/// the request must no longer be quarantined.
+const RELEASE: Millis = 10_000;
 
-/// A guard that is taken away.
+/// A guard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// Nobody is told of an answer unless the request was held back where it came, and what neighbours
-    /// know is never compared.
-    ClearedAlone,
-    /// Each process counts its own crashes.
-    CountAlone,
-    /// Requests that came after the end of a runner count as those that ended it.
-    LateBlamed,
+    /// Responses are announced only if the request was quarantined at that process, and digests are
+    /// not exchanged.
+    KeepClearsLocal,
+    /// Each process counts only its own crashes.
+    KeepCrashesLocal,
+    /// Requests that were sent after the exit of a runner count as if they had crashed it.
+    BlameLaterRequests,
 }
 
 struct Message {
@@ -68,17 +68,17 @@
 }
 
 enum Body {
-    Report(Report<Start>),
-    Beat(u64),
+    Report(Report<RunnerInstance>),
+    Digest(u64),
 }
 
 struct Process {
-    known: Quarantine<Start>,
+    known: Quarantine<RunnerInstance>,
     links: Vec<usize>,
-    born: Millis,
+    started_at: Millis,
     paused_until: Millis,
-    cut_until: Millis,
-    /// Until when it was paused, cut off or new.
+    partitioned_until: Millis,
+    /// Until when the process was paused, partitioned or restarting.
     disturbed_until: Millis,
 }
 
@@ -86,7 +86,7 @@
 struct Run {
     process: usize,
     content: ContentId,
-    runner: Start,
+    runner: RunnerInstance,
     sent: Millis,
     ends: Millis,
 }
@@ -98,16 +98,17 @@
     processes: Vec<Process>,
     messages: Vec<Message>,
     runs: Vec<Run>,
-    /// Start of each runner, and until when it is gone.
+    /// Instance number of each runner, and until when it is down.
     runners: [(u32, Millis); RUNNERS],
-    /// Crashes by content, and of runners.
+    /// Times of crashes by request, and of all exits of runners.
     crashes: BTreeMap<ContentId, Vec<Millis>>,
     ended: Vec<Millis>,
-    /// Runs that ended runners, and whether their process could know what the others knew.
+    /// Times of runs that crashed runners, and whether their process could know what the others
+    /// knew.
     poison_runs: Vec<(Millis, bool)>,
     disturbed: Millis,
     violations: Vec<String>,
-    /// Requests of others that were refused.
+    /// Number of other requests that were refused.
     refused: usize,
 }
 
@@ -121,10 +122,10 @@
         let count: usize = *[2, 4, 7, 12].choose(&mut rng).unwrap();
         let process = |number: usize, rng: &mut StdRng| Process {
             known: Quarantine::default(),
-            links: links(number, &(0..count).collect::<Vec<_>>(), rng),
-            born: 0,
+            links: choose_links(number, &(0..count).collect::<Vec<_>>(), rng),
+            started_at: 0,
             paused_until: 0,
-            cut_until: 0,
+            partitioned_until: 0,
             disturbed_until: 0,
         };
         Self {
@@ -144,38 +145,40 @@
         }
     }
 
-    /// What went wrong, and how many requests of others were refused.
-    fn play(mut self) -> (Vec<String>, usize) {
-        while self.now < PLAY {
-            self.end_runs();
+    /// Returns the violations, and the number of other requests that were refused.
+    fn run(mut self) -> (Vec<String>, usize) {
+        while self.now < DURATION {
+            self.finish_runs();
             self.deliver();
-            if self.now % POISON_EVERY == 0 && self.now < POISON_END {
-                self.attempt(POISON);
+            if self.now % POISON_INTERVAL == 0 && self.now < POISON_END {
+                self.send_attempt(POISON);
             }
-            if self.now % OTHER_EVERY == 0 {
+            if self.now % OTHER_INTERVAL == 0 {
                 let content = self.rng.random_range(OTHERS);
-                self.attempt(content);
+                self.send_attempt(content);
             }
-            if self.now % BEAT == 0 {
-                self.compare();
+            if self.now % DIGEST_INTERVAL == 0 {
+                self.send_digests();
             }
-            self.disturb();
-            self.now += WORK;
+            self.inject_fault();
+            self.now += POISON_RUN_TIME;
         }
-        let third = self.poison_runs.get(CRASH_THRESHOLD as usize - 1);
-        let known = third.map_or(PLAY, |(third, _)| third + KNOWN);
+        let threshold_run = self.poison_runs.get(CRASH_THRESHOLD as usize - 1);
+        let known =
+            threshold_run.map_or(DURATION, |(threshold_run, _)| threshold_run + PROPAGATION);
         let later = self.poison_runs.iter();
         let later = later.filter(|(run, is_sound)| *is_sound && *run > known);
         let later = later.count() as u32;
-        if later > LATER_RUNS {
+        if later > MAX_LATER_RUNS {
             self.violations
                 .push(format!("{later} runs of a poison request"));
         }
         (self.violations, self.refused)
     }
 
-    /// Pauses, cuts and starts, for the first half of the play in some of the plays.
-    fn disturb(&mut self) {
+    /// Injects pauses, partitions and restarts at random during the first half of the poison
+    /// requests.
+    fn inject_fault(&mut self) {
         if self.now > POISON_END / 2 || !self.rng.random_ratio(1, 150) {
             return;
         }
@@ -185,12 +188,12 @@
         let process = &mut self.processes[number];
         match self.rng.random_range(0..4) {
             0 => process.paused_until = until,
-            1 => process.cut_until = until,
-            // It is gone for good.
-            2 => process.paused_until = 2 * PLAY,
+            1 => process.partitioned_until = until,
+            // The process is gone for good.
+            2 => process.paused_until = 2 * DURATION,
             _ => {
                 process.known = Quarantine::default();
-                process.born = self.now;
+                process.started_at = self.now;
                 self.runs.retain(|run| run.process != number);
             }
         }
@@ -198,11 +201,11 @@
     }
 
     fn clock(&self, process: usize) -> Duration {
-        time(self.now - self.processes[process].born)
+        time(self.now - self.processes[process].started_at)
     }
 
-    /// A caller sends a request to any process.
-    fn attempt(&mut self, content: ContentId) {
+    /// A client sends a request to any process.
+    fn send_attempt(&mut self, content: ContentId) {
         let number = self.rng.random_range(0..self.processes.len());
         if self.processes[number].paused_until > self.now {
             return;
@@ -212,7 +215,7 @@
         let known = &self.processes[number].known;
         let admission = known.admission(content, order as u32, now);
         if let Admission::Held(_) = admission {
-            self.judge_hold(content);
+            self.check_hold(content);
             return;
         }
         if admission == Admission::Trial {
@@ -222,15 +225,15 @@
         let runner = self.rng.random_range(0..RUNNERS);
         let (start, gone_until) = self.runners[runner];
         let lost = gone_until > self.now;
-        // One that is gone is known by its last start.
+        // A runner that is down is known by its previous instance.
         let start = start - u32::from(lost);
-        let is_sound = self.processes[number].disturbed_until + KNOWN <= self.now;
+        let is_sound = self.processes[number].disturbed_until + PROPAGATION <= self.now;
         if content == POISON && !lost {
             self.poison_runs.push((self.now, is_sound));
         }
         let work = match content {
-            POISON => WORK,
-            _ => self.rng.random_range(OTHER_WORK) / WORK * WORK,
+            POISON => POISON_RUN_TIME,
+            _ => self.rng.random_range(OTHER_RUN_TIME) / POISON_RUN_TIME * POISON_RUN_TIME,
         };
         self.runs.push(Run {
             process: number,
@@ -241,71 +244,78 @@
         });
     }
 
-    /// Requests of others must be free again some time after all that speaks against them.
-    fn judge_hold(&mut self, content: ContentId) {
+    /// Other requests must be admitted again some time after the last crash attributed to them.
+    fn check_hold(&mut self, content: ContentId) {
         if content != POISON {
             self.refused += 1;
         }
         let last = self.crashes.get(&content).and_then(|all| all.last());
         let last = last.copied().unwrap_or(0).max(self.disturbed);
-        if content != POISON && last + FREE < self.now {
-            let found = format!("{content} held at {} after {last}", self.now);
-            self.violations.push(found);
+        if content != POISON && last + RELEASE < self.now {
+            let violation = format!(
+                "request {content} quarantined at {} ms, last crash or fault at {last} ms",
+                self.now
+            );
+            self.violations.push(violation);
         }
     }
 
-    /// Ends the runs that are over, and the runners that a poison request has reached.
-    fn end_runs(&mut self) {
+    /// Finishes runs whose time is over, and crashes the runners that a poison request has reached.
+    fn finish_runs(&mut self) {
         let now = self.now;
-        let (over, rest) = std::mem::take(&mut self.runs)
+        let (finished, rest) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|run| run.ends <= now);
         self.runs = rest;
-        let over: Vec<Run> = over;
+        let finished: Vec<Run> = finished;
         for (number, runner) in self.runners.iter_mut().enumerate() {
-            let is_ended = over
+            let is_crashed = finished
                 .iter()
                 .any(|run| run.content == POISON && run.runner == (number, runner.0));
-            if is_ended && runner.1 <= now {
-                *runner = (runner.0 + 1, now + DOWN);
+            if is_crashed && runner.1 <= now {
+                *runner = (runner.0 + 1, now + RESTART_TIME);
                 self.ended.push(now);
             }
         }
-        for run in over {
-            self.end_run(&run);
+        for run in finished {
+            self.finish_run(&run);
         }
     }
 
-    fn end_run(&mut self, run: &Run) {
+    fn finish_run(&mut self, run: &Run) {
         let now = self.clock(run.process);
-        let born = self.processes[run.process].born;
+        let started_at = self.processes[run.process].started_at;
         if self.runners[run.runner.0].0 == run.runner.1 && run.ends > run.sent {
             let known = &mut self.processes[run.process].known;
             let merged = known.answered(run.content, &run.runner, now);
-            let told = match merged {
+            let should_announce = match merged {
                 Merge::Known => false,
-                Merge::New { was_held, .. } => was_held || self.mutation != Mutation::ClearedAlone,
+                Merge::New { was_held, .. } => {
+                    was_held || self.mutation != Mutation::KeepClearsLocal
+                }
             };
-            let report = told.then(|| known.report(run.content, now)).flatten();
+            let report = should_announce
+                .then(|| known.report(run.content, now))
+                .flatten();
             self.announce(run.process, report);
             return;
         }
         let known = &mut self.processes[run.process].known;
         let sent = match self.mutation {
-            Mutation::LateBlamed => time(0),
-            _ => time(run.sent - born),
+            Mutation::BlameLaterRequests => time(0),
+            _ => time(run.sent - started_at),
         };
         known.answer_lost(run.content, run.runner, sent, now);
         let reports = known.runner_exited(&run.runner, now);
         self.crashes.entry(run.content).or_default().push(self.now);
         for report in reports {
-            if self.mutation != Mutation::CountAlone {
+            if self.mutation != Mutation::KeepCrashesLocal {
                 self.announce(run.process, Some(report));
             }
         }
     }
 
-    fn announce(&mut self, from: usize, report: Option<Report<Start>>) {
+    fn announce(&mut self, from: usize, report: Option<Report<RunnerInstance>>) {
         let Some(report) = report else { return };
         for to in self.processes[from].links.clone() {
             self.send(from, to, Body::Report(report.clone()));
@@ -313,11 +323,11 @@
     }
 
     fn send(&mut self, from: usize, to: usize, body: Body) {
-        let cut = |number: usize| self.processes[number].cut_until > self.now;
-        if cut(from) || cut(to) || self.rng.random_ratio(LOST, 100) {
+        let is_partitioned = |number: usize| self.processes[number].partitioned_until > self.now;
+        if is_partitioned(from) || is_partitioned(to) || self.rng.random_ratio(LOST_PERCENT, 100) {
             return;
         }
-        let due = self.now + self.rng.random_range(1..DELAY);
+        let due = self.now + self.rng.random_range(1..MAX_DELAY);
         self.messages.push(Message {
             due,
             to,
@@ -336,11 +346,11 @@
             .partition(awake);
         self.messages = rest;
         for message in due {
-            self.take(message);
+            self.deliver_message(message);
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn deliver_message(&mut self, message: Message) {
         let Message { to, from, body, .. } = message;
         let now = self.clock(to);
         match body {
@@ -348,12 +358,12 @@
                 let known = &mut self.processes[to].known;
                 if let Merge::New { .. } = known.merge(&report, now) {
                     let report = known.report(report.content, now);
-                    if self.mutation != Mutation::CountAlone {
+                    if self.mutation != Mutation::KeepCrashesLocal {
                         self.announce(to, report);
                     }
                 }
             }
-            Body::Beat(digest) => {
+            Body::Digest(digest) => {
                 let known = &self.processes[to].known;
                 if known.digest() != digest {
                     for report in known.reports(now) {
@@ -364,59 +374,65 @@
         }
     }
 
-    /// Links to processes that are gone for good are replaced by others.
-    fn replace_gone(&mut self) {
-        let lives = |process: &Process| process.paused_until < PLAY;
-        let living = |number: &usize| lives(&self.processes[*number]);
-        let living: Vec<usize> = (0..self.processes.len()).filter(living).collect();
-        for own in living.clone() {
+    /// Replaces links to processes that are gone for good.
+    fn replace_gone_links(&mut self) {
+        let runs_on = |process: &Process| process.paused_until < DURATION;
+        let running = |number: &usize| runs_on(&self.processes[*number]);
+        let running: Vec<usize> = (0..self.processes.len()).filter(running).collect();
+        for own in running.clone() {
             let process = &mut self.processes[own];
-            if !process.links.iter().all(|link| living.contains(link)) {
-                process.links = links(own, &living, &mut self.rng);
+            if !process.links.iter().all(|link| running.contains(link)) {
+                process.links = choose_links(own, &running, &mut self.rng);
             }
         }
     }
 
-    fn compare(&mut self) {
-        if matches!(self.mutation, Mutation::CountAlone | Mutation::ClearedAlone) {
+    fn send_digests(&mut self) {
+        if matches!(
+            self.mutation,
+            Mutation::KeepCrashesLocal | Mutation::KeepClearsLocal
+        ) {
             return;
         }
-        self.replace_gone();
+        self.replace_gone_links();
         for from in 0..self.processes.len() {
             if self.processes[from].paused_until > self.now {
                 continue;
             }
             let digest = self.processes[from].known.digest();
             for to in self.processes[from].links.clone() {
-                self.send(from, to, Body::Beat(digest));
+                self.send(from, to, Body::Digest(digest));
             }
         }
     }
 }
 
-/// Neighbours of a process among those that live: the ones beside it, so that all hang together, and
-/// some others.
-fn links(own: usize, living: &[usize], rng: &mut StdRng) -> Vec<usize> {
-    let place = living.iter().position(|number| *number == own).unwrap_or(0);
-    let count = living.len();
+/// Chooses a process's links among the running ones: its neighbors, so that all processes are
+/// connected, and some others.
+fn choose_links(own: usize, running: &[usize], rng: &mut StdRng) -> Vec<usize> {
+    let place = running
+        .iter()
+        .position(|number| *number == own)
+        .unwrap_or(0);
+    let count = running.len();
     let mut links = vec![
-        living[(place + 1) % count],
-        living[(place + count - 1) % count],
+        running[(place + 1) % count],
+        running[(place + count - 1) % count],
     ];
-    links.extend((0..2).filter_map(|_| living.choose(rng)));
+    links.extend((0..2).filter_map(|_| running.choose(rng)));
     links.sort_unstable();
     links.dedup();
     links.retain(|link| *link != own);
     links
 }
 
-/// What went wrong in all plays, and how many requests of others were refused.
-fn plays(mutation: Mutation) -> (Vec<String>, usize) {
+/// Violations of all seeds, and the number of other requests that were refused.
+fn run_all(mutation: Mutation) -> (Vec<String>, usize) {
     let mut all = Vec::new();
     let mut refusals = 0;
-    for seed in 0..PLAYS {
-        let (found, refused) = World::new(mutation, seed).play();
-        all.extend(found.into_iter().map(|what| format!("{seed}: {what}")));
+    for seed in 0..SEEDS {
+        let (violations, refused) = World::new(mutation, seed).run();
+        all.extend(violations.into_iter().map(|what| format!("{seed}: {what}")));
         refusals += refused;
     }
     println!(
@@ -427,27 +443,35 @@
     (all, refusals)
 }
 
-/// Guards against innocent requests that stay held back, and a poison request that goes on to end
+/// Guards against harmless requests that stay quarantined, and a poison request that keeps crashing
 /// runners.
 #[test]
-fn beliefs_agree() {
-    let (found, _) = plays(Mutation::None);
-    assert!(found.is_empty(), "{} of them: {found:#?}", found.len());
+fn views_converge() {
+    let (violations, _) = run_all(Mutation::None);
+    assert!(
+        violations.is_empty(),
+        "{} violations: {violations:#?}",
+        violations.len()
+    );
 }
 
-/// Each guard is needed: without it requests of others stay held back, or the poison request runs on.
+/// Each guard is needed: without it, other requests stay quarantined, or the poison request runs
+/// on.
 #[test]
-fn guards_needed() {
-    for mutation in [Mutation::CountAlone, Mutation::LateBlamed] {
-        let (found, _) = plays(mutation);
-        assert!(!found.is_empty(), "{mutation:?}");
+fn each_guard_is_needed() {
+    for mutation in [Mutation::KeepCrashesLocal, Mutation::BlameLaterRequests] {
+        let (violations, _) = run_all(mutation);
+        assert!(!violations.is_empty(), "{mutation:?}");
     }
 }
 
-/// Guards against refusals of requests that other processes know to be harmless.
+/// Guards against refusing requests that other processes know to be harmless.
 #[test]
-fn answers_announced() {
-    let (_, with) = plays(Mutation::None);
-    let (_, without) = plays(Mutation::ClearedAlone);
-    assert!(without > 3 * with, "{with} refused, {without} without");
+fn announced_responses_prevent_refusals() {
+    let (_, with) = run_all(Mutation::None);
+    let (_, without) = run_all(Mutation::KeepClearsLocal);
+    assert!(
+        without > 3 * with,
+        "{with} refused with announcements, {without} without"
+    );
 }
