--- a/crates/protocol/examples/grant.rs
+++ b/crates/protocol/examples/grant.rs
@@ -1,5 +1,5 @@
-//! A call that may not be repeated starts only under a grant, so that an entry that has given up can
-//! say *not run* in truth: `cargo run -p protocol --example permit`.
+//! A call that may not be repeated starts only after a grant, so that an entry that has given up can
+//! truthfully report *not run*: `cargo run -p protocol --example grant`.
 
 use protocol::{Call, Gate, call, gate};
 
@@ -10,10 +10,10 @@
         "a slot is free:    agent {:?}",
         gate.on(gate::Event::SlotFree)
     );
-    println!("the agent asks:    entry {:?}", call.on(call::Event::Ask));
+    println!("grant requested:   entry {:?}", call.on(call::Event::Ask));
     println!("granted:           agent {:?}", gate.on(gate::Event::Grant));
 
-    // The agent was frozen with the offer; the entry has given up meanwhile.
+    // The agent is suspended with the offer, and the entry gives up.
     let mut call = Call::offer(false, 0);
     let mut gate = Gate::new(true);
     println!(
@@ -21,10 +21,10 @@
         call.on(call::Event::GiveUp)
     );
     println!(
-        "the agent wakes:   agent {:?}",
+        "the agent resumes: agent {:?}",
         gate.on(gate::Event::SlotFree)
     );
-    println!("it asks too late:  entry {:?}", call.on(call::Event::Ask));
+    println!("late request:      entry {:?}", call.on(call::Event::Ask));
     println!("denied:            agent {:?}", gate.on(gate::Event::Deny));
-    println!("told to the caller: {:?}", call.state());
+    println!("final state:       {:?}", call.state());
 }
--- a/crates/protocol/examples/takeover.rs
+++ b/crates/protocol/examples/takeover.rs
@@ -1,4 +1,4 @@
-//! A lease changes hands, and the fence stops the former holder's order: `cargo run -p protocol
+//! A lease is taken over, and the fence rejects the former holder's order: `cargo run -p protocol
 //! --example takeover`.
 
 use protocol::Lease;
@@ -22,9 +22,10 @@
         return;
     };
     first.on(Event::Written(1), SECOND);
-    println!("the first acts under {:?}", first.may_act(SECOND));
+    println!("the first acts under token {:?}", first.may_act(SECOND));
 
-    // It is paused; the second sees the row unchanged for the whole duration and takes over.
+    // The first process is paused; the second one sees the row unchanged for the whole duration and
+    // takes over.
     let kept = StoredRow { row, revision: 1 };
     for now in (1..=13).map(|seconds| SECOND * seconds) {
         match second.tick(now) {
@@ -34,13 +35,19 @@
         }
     }
     let now = SECOND * 13;
-    println!("at 13 s the second acts under {:?}", second.may_act(now));
-    println!("by then the first acts under {:?}", first.may_act(now));
+    println!(
+        "at 13 s the second acts under token {:?}",
+        second.may_act(now)
+    );
+    println!(
+        "at 13 s the first acts under token {:?}",
+        first.may_act(now)
+    );
 
-    // The agent has started anew; it reads the table before it lets an order pass.
+    // The agent has restarted, and reads the table before it lets an order pass.
     let mut fence = Fence::new();
     println!("before the table is read: {:?}", fence.admit(1));
     fence.learn(2);
-    println!("order under 2: {:?}", fence.admit(2));
-    println!("late order under 1: {:?}", fence.admit(1));
+    println!("order with token 2: {:?}", fence.admit(2));
+    println!("late order with token 1: {:?}", fence.admit(1));
 }
--- a/crates/protocol/tests/quarantine_simulation.rs
+++ b/crates/protocol/tests/quarantine_simulation.rs
@@ -79,7 +79,7 @@
     paused_until: Millis,
     partitioned_until: Millis,
     /// Until when the process was paused, partitioned or restarting.
-    disturbed_until: Millis,
+    faulty_until: Millis,
 }
 
 /// A request at a runner.
@@ -106,7 +106,7 @@
     /// Times of runs that crashed runners, and whether their process could know what the others
     /// knew.
     poison_runs: Vec<(Millis, bool)>,
-    disturbed: Millis,
+    last_fault_until: Millis,
     violations: Vec<String>,
     /// Number of other requests that were refused.
     refused: usize,
@@ -126,7 +126,7 @@
             started_at: 0,
             paused_until: 0,
             partitioned_until: 0,
-            disturbed_until: 0,
+            faulty_until: 0,
         };
         Self {
             processes: (0..count).map(|number| process(number, &mut rng)).collect(),
@@ -139,7 +139,7 @@
             crashes: BTreeMap::new(),
             ended: Vec::new(),
             poison_runs: Vec::new(),
-            disturbed: 0,
+            last_fault_until: 0,
             violations: Vec::new(),
             refused: 0,
         }
@@ -184,7 +184,7 @@
         }
         let number = self.rng.random_range(0..self.processes.len());
         let until = self.now + self.rng.random_range(100..2_500);
-        self.disturbed = self.disturbed.max(until);
+        self.last_fault_until = self.last_fault_until.max(until);
         let process = &mut self.processes[number];
         match self.rng.random_range(0..4) {
             0 => process.paused_until = until,
@@ -197,7 +197,7 @@
                 self.runs.retain(|run| run.process != number);
             }
         }
-        process.disturbed_until = until;
+        process.faulty_until = until;
     }
 
     fn clock(&self, process: usize) -> Duration {
@@ -227,7 +227,7 @@
         let lost = gone_until > self.now;
         // A runner that is down is known by its previous instance.
         let start = start - u32::from(lost);
-        let is_sound = self.processes[number].disturbed_until + PROPAGATION <= self.now;
+        let is_sound = self.processes[number].faulty_until + PROPAGATION <= self.now;
         if content == POISON && !lost {
             self.poison_runs.push((self.now, is_sound));
         }
@@ -250,7 +250,7 @@
             self.refused += 1;
         }
         let last = self.crashes.get(&content).and_then(|all| all.last());
-        let last = last.copied().unwrap_or(0).max(self.disturbed);
+        let last = last.copied().unwrap_or(0).max(self.last_fault_until);
         if content != POISON && last + RELEASE < self.now {
             let violation = format!(
                 "request {content} quarantined at {} ms, last crash or fault at {last} ms",
--- a/crates/protocol/tests/search/mod.rs
+++ b/crates/protocol/tests/search/mod.rs
@@ -24,7 +24,7 @@
     let mut states = 0;
     for state in pathfinding::directed::bfs::bfs_reach(start.clone(), next) {
         states += 1;
-        assert!(states < MAX_STATES, "{name}: search cut short");
+        assert!(states < MAX_STATES, "{name}: search truncated");
         if state.violation().is_some() {
             let (what, trace) = find_violation(start, |_| true).unwrap();
             panic!("{name}: {what} after\n{trace}");
--- a/crates/protocol/tests/spin_models.rs
+++ b/crates/protocol/tests/spin_models.rs
@@ -1,19 +1,19 @@
-//! Model checks of the specifications under `spec/` by spin.
+//! Model checks of the specifications in `spec/` with Spin.
 //!
-//! Each specification must hold as it stands, within the search bounds, and each of its guards
-//! must be needed: with the guard removed spin has to find a counterexample. Run with
-//! `cargo test -p protocol --test spin_models -- --nocapture` to see counts and bounds.
+//! Each specification must hold within the search bounds, and each of its guards must be needed:
+//! with the guard removed, Spin must find a counterexample. Run
+//! `cargo test -p protocol --test spin_models -- --nocapture` to see state counts and bounds.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Longest path that the search follows; a longer one fails the test.
-const DEPTH: u32 = 200_000;
-/// Memory for the search in MB; a search that needs more fails the test.
-const MEMORY: u32 = 2_000;
+/// Maximum depth of the search; a longer path fails the test.
+const MAX_DEPTH: u32 = 200_000;
+/// Memory limit of the search; a search that needs more fails the test.
+const MAX_MEMORY_MB: u32 = 2_000;
 
-/// What a search found.
+/// Result of a search.
 struct Search {
     errors: u32,
     states: String,
@@ -21,10 +21,10 @@
     message: String,
 }
 
-/// Where a specification is searched: its file, the part that is checked, and its guards.
+/// A specification: its file, the defines that select the checked part, and its guards.
 struct Model {
     file: &'static str,
-    part: &'static [&'static str],
+    defines: &'static [&'static str],
     guards: &'static [&'static str],
 }
 
@@ -42,9 +42,9 @@
 
     fn print(&self, name: &str, search: &Search) {
         println!(
-            "{} {} {name}: errors {}, states {}, depth {} of {DEPTH} {}",
+            "{} {} {name}: errors {}, states {}, depth {} of {MAX_DEPTH} {}",
             self.file,
-            self.part.join(" "),
+            self.defines.join(" "),
             search.errors,
             search.states,
             search.depth,
@@ -55,30 +55,30 @@
     fn search(&self, mutation: &[&str]) -> Search {
         let spec = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../spec");
         let spec = spec.join(self.file).canonicalize().unwrap();
-        let flags: Vec<&str> = self.part.iter().chain(mutation).copied().collect();
-        let dir = directory(self.file, &flags);
+        let flags: Vec<&str> = self.defines.iter().chain(mutation).copied().collect();
+        let dir = work_directory(self.file, &flags);
         run(&dir, Command::new("spin").arg("-a").args(&flags).arg(spec));
-        let memory = format!("-DMEMLIM={MEMORY}");
+        let memory = format!("-DMEMLIM={MAX_MEMORY_MB}");
         let compile = ["-O1", "-w", "-DSAFETY", "-DCOLLAPSE", &memory];
         let files = ["-o", "pan", "pan.c"];
         run(&dir, Command::new("cc").args(compile).args(files));
-        let depth = format!("-m{DEPTH}");
+        let depth = format!("-m{MAX_DEPTH}");
         let output = run(&dir, Command::new(dir.join("pan")).args(["-E", &depth]));
         ["search depth too small", "reached -DMEMLIM", "self-loop"]
             .iter()
-            .for_each(|cut| assert!(!output.contains(cut), "search cut short: {output}"));
-        read(&output)
+            .for_each(|reason| assert!(!output.contains(reason), "search truncated: {output}"));
+        parse(&output)
     }
 }
 
-fn directory(file: &str, flags: &[&str]) -> PathBuf {
+fn work_directory(file: &str, flags: &[&str]) -> PathBuf {
     let name = format!("{file}{}", flags.concat());
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-/// Output of a command, which must succeed; `pan` succeeds whether or not it finds errors.
+/// Runs a command, which must succeed, and returns its output; `pan` succeeds even if it finds errors.
 fn run(dir: &Path, command: &mut Command) -> String {
     let name = command.get_program().to_owned();
     let output = command.current_dir(dir).output();
@@ -93,7 +93,7 @@
     text
 }
 
-fn read(output: &str) -> Search {
+fn parse(output: &str) -> Search {
     let before = |mark: &str| {
         let (head, _) = output.split_once(mark).unwrap();
         head.split_whitespace().last().unwrap().to_owned()
@@ -112,122 +112,122 @@
     }
 }
 
-/// An agent freezes, crashes or is cut off with a label print, and the entry gives up. A missing
-/// guard prints the label twice, or prints it after the fitter was told that nothing ran.
+/// An agent is suspended, crashes or is cut off with a call, and the entry gives up. Without one of
+/// the guards, the call runs twice, or runs after *not run* was reported.
 #[test]
-fn permit_call() {
+fn grant_for_one_call() {
     Model {
-        file: "permit.pml",
-        part: &["-DCLAIMS=1"],
+        file: "grant.pml",
+        defines: &["-DCLAIMS=1"],
         guards: &[
-            "NO_GUARD_PERMIT",
+            "NO_GUARD_GRANT",
             "NO_GUARD_DENY",
-            "NO_GUARD_WORD",
-            "NO_GUARD_FORGET",
-            "NO_GUARD_LINK",
-            "NO_GUARD_OFFER",
+            "NO_GUARD_UNKNOWN",
+            "NO_GUARD_FORGOTTEN",
+            "NO_GUARD_LINK_RESET",
+            "NO_GUARD_SINGLE_OFFER",
         ],
     }
     .check();
 }
 
-/// A call is offered again after its permit by mistake. The second permit would run it twice.
+/// A call is offered again after its grant by mistake. A second grant would run it twice.
 #[test]
-fn permit_once() {
+fn grant_only_once() {
     Model {
-        file: "permit.pml",
-        part: &["-DCLAIMS=1", "-DSTAYS", "-DNO_GUARD_OFFER"],
-        guards: &["NO_GUARD_ONCE"],
+        file: "grant.pml",
+        defines: &["-DCLAIMS=1", "-DNEVER_LEAVES", "-DNO_GUARD_SINGLE_OFFER"],
+        guards: &["NO_GUARD_SINGLE_GRANT"],
     }
     .check();
 }
 
-/// Two entries get the same payout while the table loses answers. A missing guard pays twice, or
-/// leaves a key that can never be used.
+/// Two entries get the same call while the table loses responses. Without one of the guards, the call
+/// runs twice, or its key can never be used again.
 #[test]
-fn permit_claim() {
+fn claim_for_one_key() {
     Model {
-        file: "permit.pml",
-        part: &["-DCLAIMS=2", "-DSHORT_CALL"],
+        file: "grant.pml",
+        defines: &["-DCLAIMS=2", "-DSHORT_CALL"],
         guards: &[
             "NO_GUARD_CLAIM",
             "NO_GUARD_CHECK",
             "NO_GUARD_UNSURE",
             "NO_GUARD_TAKEOVER",
             "NO_GUARD_CLEANUP",
-            "NO_GUARD_MOVED",
+            "NO_GUARD_REVISION_MOVED",
         ],
     }
     .check();
 }
 
-/// A lease's holder and a contender disagree on how much time has passed. A missing guard lets
-/// both act at once.
+/// The holder of a lease and a contender disagree on how much time has passed. Without one of the
+/// guards, both act at once.
 #[test]
-fn lease_clock() {
+fn lease_clocks() {
     Model {
         file: "lease.pml",
-        part: &[],
+        defines: &[],
         guards: &[
             "NO_GUARD_MARGIN",
             "NO_GUARD_SENT",
-            "NO_GUARD_WATCH",
+            "NO_GUARD_UNCHANGED",
             "NO_GUARD_CHECK",
         ],
     }
     .check();
 }
 
-/// A frozen holder wakes and sends an order to an engine that checks nothing. A missing guard
-/// undoes what the next holder has done.
+/// A suspended holder resumes and sends an order to an engine that does not check fencing tokens.
+/// Without one of the guards, the order undoes what the next holder has done.
 #[test]
-fn lease_agent() {
+fn lease_fenced_by_agent() {
     Model {
         file: "lease.pml",
-        part: &["-DORDERS"],
+        defines: &["-DORDERS"],
         guards: &[
             "NO_GUARD_FENCE",
             "NO_GUARD_READ",
-            "NO_GUARD_GROW",
+            "NO_GUARD_INCREASE",
             "NO_GUARD_CHECK",
         ],
     }
     .check();
 }
 
-/// The same frozen holder before an engine that compares the numbers itself.
+/// The same suspended holder, with an engine that compares the fencing tokens itself.
 #[test]
-fn lease_engine() {
+fn lease_fenced_by_engine() {
     Model {
         file: "lease.pml",
-        part: &["-DORDERS", "-DCHECKED"],
-        guards: &["NO_GUARD_FENCE", "NO_GUARD_GROW"],
+        defines: &["-DORDERS", "-DCHECKED"],
+        guards: &["NO_GUARD_FENCE", "NO_GUARD_INCREASE"],
     }
     .check();
 }
 
-/// Two operators change one record while answers are lost. A missing guard undoes an accepted
-/// change, or tells an operator that a change was not made which then is.
+/// Two operators change one record while responses are lost. Without one of the guards, an accepted
+/// change is undone, or a change is reported as not made and then takes effect.
 #[test]
 fn config_operators() {
     Model {
         file: "config.pml",
-        part: &["-DOPERATORS"],
+        defines: &["-DOPERATORS"],
         guards: &["NO_GUARD_BASE", "NO_GUARD_UNSURE", "NO_GUARD_READ"],
     }
     .check();
 }
 
-/// Processes start afresh while news of the configuration comes late and out of order. A missing
-/// guard serves requests by a configuration that was replaced before.
+/// Processes restart while messages about the configuration arrive late and out of order. Without
+/// one of the guards, requests are served by a configuration that was replaced before.
 #[test]
 fn config_followers() {
     Model {
         file: "config.pml",
-        part: &["-DFOLLOWERS"],
+        defines: &["-DFOLLOWERS"],
         guards: &[
             "NO_GUARD_GAP",
-            "NO_GUARD_OLDER",
+            "NO_GUARD_OUTDATED",
             "NO_GUARD_SNAPSHOT",
             "NO_GUARD_PUSH",
             "NO_GUARD_DOWN",
@@ -237,17 +237,17 @@
     .check();
 }
 
-/// A target says that it leaves, and the platform's list still shows it as live. A missing guard
-/// sends it new work, or cuts off what runs there.
+/// A target reports that it is leaving, and the platform's list still shows it as live. Without one
+/// of the guards, it gets new work, or its running work is interrupted.
 #[test]
-fn drain_target() {
+fn leaving_target() {
     Model {
         file: "drain.pml",
-        part: &[],
+        defines: &[],
         guards: &[
             "NO_GUARD_STICKY",
-            "NO_GUARD_LIFE",
-            "NO_GUARD_OLDER",
+            "NO_GUARD_INCARNATION",
+            "NO_GUARD_OUTDATED",
             "NO_GUARD_DRAIN",
             "NO_GUARD_REFUSE",
             "NO_GUARD_FINISH",
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,52 +1,53 @@
 /*
  * Configuration: two operators change one record, two processes follow the log.
  *
- * A change is one transaction that compares the record's revision, appends to the log and bears
- * the operator's token. The answer may be lost, the write may take effect late, the table may be
- * down. Followers read the log's head, fetch entries or a snapshot, hear of pushes, and ask their
- * peers while the table is down; whatever they were sent arrives late, repeatedly, in any order.
- * A follower may crash and start afresh.
+ * A change is one transaction that compares the record's revision, appends to the log and carries
+ * the operator's token. Its response may be lost, the write may take effect late, and the table may
+ * be unavailable. Followers read the log's head, fetch entries or a snapshot, receive pushes, and
+ * ask their peers while the table is unavailable; whatever was sent to them arrives late,
+ * repeatedly and in any order. A follower may crash and restart.
  *
- * Checked: what was told "accepted" is in the log at that revision; what was told "conflict" or
- * "not run" never is; no change takes effect twice or over a change that its operator had not
- * seen; a follower never goes back and never skips an entry; a fresh one serves only at or after
- * the head at its start, or after what its ready peers had in force while the table is down.
+ * Checked: what was reported "accepted" is in the log at that revision; what was reported "conflict"
+ * or "not run" never is; no change takes effect twice, or over a change that its operator had not
+ * seen; a follower never reverts and never skips an entry; a restarted one serves only at or after
+ * the head at its start, or, while the table is unavailable, at or after the revision that its ready
+ * peers had applied.
  *
- * The two sides meet in the log only and are checked apart: OPERATORS without followers, and
- * FOLLOWERS with a log that grows at any time.
+ * The two sides interact only through the log and are checked separately: OPERATORS without
+ * followers, and FOLLOWERS with a log that grows at any time.
  *
- * Each NO_GUARD_x takes one guard away; spin then finds a counterexample.
+ * Each NO_GUARD_x removes one guard; Spin then finds a counterexample.
  */
 
-#define CHANGES 3 /* one of an earlier operator, one for each of two */
+#define CHANGES 3 /* one by an earlier operator, and one by each of the two */
 
 mtype = { idle, wait, written, found, refused };
 mtype = { none, accepted, conflict, not_run, unknown };
 
-byte head = 1;              /* the record's revision too: every change is to the same record */
+byte head = 1;              /* also the record's revision: all changes are to the same record */
 byte log_owner[CHANGES + 2];
 
 typedef Change {
-  bool open[2];             /* the write, and an earlier one whose fate is open */
+  bool open[2];             /* the pending write, and an earlier one with an unknown result */
   byte base;
-  mtype reply, told;
-  byte landed;              /* revision at which it took effect */
+  mtype reply, reported;
+  byte applied_at;          /* revision at which it took effect */
 };
 Change change[2];
 
 typedef Follower {
   byte applied;
-  byte goal;                /* plus one */
-  bool down, ready, by_peers;
+  byte goal;                /* stored plus one */
+  bool down, ready, ready_by_peers;
   byte floor_head, floor_peer;
 };
 Follower follower[2];
 bool pushed[CHANGES + 2];
 
-inline tell(o, what) {
-  assert(what != accepted || change[o].landed > 0);
-  assert((what != conflict && what != not_run) || change[o].landed == 0);
-  change[o].told = what
+inline report(o, what) {
+  assert(what != accepted || change[o].applied_at > 0);
+  assert((what != conflict && what != not_run) || change[o].applied_at == 0);
+  change[o].reported = what
 }
 
 proctype Table(byte o; byte k) {
@@ -63,12 +64,12 @@
        :: head > CHANGES -> skip
        :: head <= CHANGES ->
 #endif
-            assert(change[o].landed == 0);
+            assert(change[o].applied_at == 0);
             assert(change[o].base == head);
-            assert(change[o].told != conflict && change[o].told != not_run);
+            assert(change[o].reported != conflict && change[o].reported != not_run);
             head++;
             log_owner[head] = o + 1;
-            change[o].landed = head;
+            change[o].applied_at = head;
             if
             :: change[o].reply == wait && k == 0 -> change[o].reply = written
             :: else
@@ -89,18 +90,18 @@
 submit:
   atomic { !change[o].open[0] -> change[o].open[0] = true; change[o].reply = wait }
   if
-  :: atomic { change[o].reply == written -> tell(o, accepted); goto stop }
+  :: atomic { change[o].reply == written -> report(o, accepted); goto finished }
   :: atomic { change[o].reply == found -> goto read }
   :: atomic { change[o].reply == refused ->
        if
-       :: !unsure -> tell(o, not_run)
+       :: !unsure -> report(o, not_run)
 #ifdef NO_GUARD_UNSURE
-       :: unsure -> tell(o, not_run)
+       :: unsure -> report(o, not_run)
 #else
-       :: unsure -> tell(o, unknown)
+       :: unsure -> report(o, unknown)
 #endif
        fi;
-       goto stop }
+       goto finished }
   :: atomic { change[o].reply == wait && !change[o].open[1] ->
        change[o].reply = idle;
        change[o].open[1] = change[o].open[0];
@@ -109,48 +110,48 @@
   fi;
 read:
   if
-  :: atomic { change[o].landed > 0 -> tell(o, accepted); goto stop }
-  :: atomic { change[o].landed == 0 && head != change[o].base -> tell(o, conflict); goto stop }
-  :: atomic { change[o].landed == 0 && head == change[o].base ->
+  :: atomic { change[o].applied_at > 0 -> report(o, accepted); goto finished }
+  :: atomic { change[o].applied_at == 0 && head != change[o].base -> report(o, conflict); goto finished }
+  :: atomic { change[o].applied_at == 0 && head == change[o].base ->
 #ifdef NO_GUARD_READ
-       tell(o, conflict); goto stop
+       report(o, conflict); goto finished
 #else
        goto submit
 #endif
      }
-  :: atomic { change[o].landed == 0 -> tell(o, unknown); goto stop }   /* table down */
+  :: atomic { change[o].applied_at == 0 -> report(o, unknown); goto finished }   /* table unavailable */
   fi;
-stop:
-  atomic { change[o].told == accepted -> pushed[change[o].landed] = true }
+finished:
+  atomic { change[o].reported == accepted -> pushed[change[o].applied_at] = true }
 }
 
 #define F follower[f]
 #define peer follower[1 - f]
 
-inline settle() {
+inline update_ready() {
   if
-  :: F.goal > 0 && F.applied + 1 >= F.goal && !F.ready -> F.ready = true; F.by_peers = F.down
+  :: F.goal > 0 && F.applied + 1 >= F.goal && !F.ready -> F.ready = true; F.ready_by_peers = F.down
   :: else
   fi
 }
 
-inline aim(revision) {
+inline raise_goal(revision) {
   if
   :: F.goal < revision + 1 -> F.goal = revision + 1
   :: else
   fi;
-  settle()
+  update_ready()
 }
 
 proctype Follow(byte f) {
 end:
   do
-  /* the table is down */
+  /* the table becomes unavailable */
   :: atomic { !F.down -> F.down = true }
 #ifdef NO_GUARD_DOWN
-  :: atomic { peer.ready -> aim(peer.applied) }
+  :: atomic { peer.ready -> raise_goal(peer.applied) }
 #else
-  :: atomic { F.down && peer.ready -> aim(peer.applied) }
+  :: atomic { F.down && peer.ready -> raise_goal(peer.applied) }
 #endif
   /* serves */
 #ifdef NO_GUARD_READY
@@ -158,11 +159,11 @@
 #else
   :: atomic { F.applied > 0 && F.ready ->
 #endif
-       assert(F.by_peers || F.applied >= F.floor_head);
+       assert(F.ready_by_peers || F.applied >= F.floor_head);
        assert(F.applied >= F.floor_peer) }
-  /* crashes and starts afresh */
+  /* crashes and restarts */
   :: atomic { F.applied > 0 ->
-       F.applied = 0; F.goal = 0; F.down = false; F.ready = false; F.by_peers = false;
+       F.applied = 0; F.goal = 0; F.down = false; F.ready = false; F.ready_by_peers = false;
        F.floor_head = head; F.floor_peer = 0;
        if
        :: peer.ready -> F.floor_peer = peer.applied
@@ -178,10 +179,10 @@
 proctype Deliver(byte f; byte r) {
 end:
   do
-  :: atomic { r <= head && r >= F.floor_head -> F.down = false; aim(r) }
-  :: atomic { r <= head && r > F.applied -> F.applied = r; settle() }
+  :: atomic { r <= head && r >= F.floor_head -> F.down = false; raise_goal(r) }
+  :: atomic { r <= head && r > F.applied -> F.applied = r; update_ready() }
 #ifdef NO_GUARD_SNAPSHOT
-  :: atomic { r <= head -> assert(r >= F.applied); F.applied = r; settle() }
+  :: atomic { r <= head -> assert(r >= F.applied); F.applied = r; update_ready() }
 #endif
   :: atomic { r <= head ->
        if
@@ -192,14 +193,14 @@
 #endif
             assert(r == F.applied + 1);
             F.applied = r;
-            settle()
-#ifdef NO_GUARD_OLDER
+            update_ready()
+#ifdef NO_GUARD_OUTDATED
        :: r <= F.applied -> assert(r > F.applied); F.applied = r
 #endif
        :: else
        fi }
 #ifdef NO_GUARD_PUSH
-  :: atomic { pushed[r] -> aim(r) }
+  :: atomic { pushed[r] -> raise_goal(r) }
 #endif
   od
 }
@@ -217,8 +218,8 @@
     log_owner[1] = 3;
     follower[0].floor_head = 1;
     follower[1].floor_head = 1;
-    change[0].reply = idle; change[0].told = none;
-    change[1].reply = idle; change[1].told = none;
+    change[0].reply = idle; change[0].reported = none;
+    change[1].reply = idle; change[1].reported = none;
 #ifdef OPERATORS
     run Table(0, 0);
     run Table(0, 1);
--- a/spec/drain.pml
+++ b/spec/drain.pml
@@ -1,84 +1,85 @@
 /*
- * A target that leaves gets no new work, and its planned stop cuts off nothing.
+ * A target that is leaving gets no new work, and its planned stop interrupts no work.
  *
- * The target lives LIVES lives in turn on one VM. It tells the entry directly that it lives or
- * leaves; the platform's list says so late. Every word that was ever true may arrive at any later
- * time, repeatedly and in any order, from either source. An operator's drain record is set and
- * lifted; the entry hears of it as configuration revisions, late and out of order. Offers arrive
- * late, also at a later life.
+ * The target runs INCARNATIONS incarnations in turn on one VM. It reports directly to the entry that
+ * it is live or leaving; the platform's list shows the same late. Every update that was ever true
+ * may arrive at any later time, repeatedly and in any order, from either source. An operator's drain
+ * record is set and removed; the entry receives this as configuration revisions, late and out of
+ * order. Offers arrive late, also at a later incarnation.
  *
- * Checked: after the entry has heard that a life leaves, it offers that life nothing; while a
- * drain record that it has heard of is in force, it offers nothing; an agent that leaves starts
- * nothing that it had not accepted before; it stops only when nothing runs or waits.
+ * Checked: after the entry has received that an incarnation is leaving, it offers that incarnation
+ * nothing; while a drain record that it has received is in force, it offers nothing; an agent that
+ * is leaving starts nothing that it had not accepted before; it stops only when nothing is running
+ * or queued.
  *
- * Each NO_GUARD_x takes one guard away; spin then finds a counterexample.
+ * Each NO_GUARD_x removes one guard; Spin then finds a counterexample.
  */
 
-#define LIVES 2
+#define INCARNATIONS 2
 #define CALLS 2
-#define REVISIONS 3 /* odd ones set the drain record, even ones lift it */
+#define REVISIONS 3 /* odd ones set the drain record, even ones remove it */
 
-mtype = { fresh, offered, held, running, over };
+mtype = { new, offered, queued, running, ended };
 
-byte life = 1;
+byte incarnation = 1;
 bool leaving, stopped;
 
-/* Words that were true once, by life and source. */
-bool says_live[LIVES + 1], says_leaving[LIVES + 1];
-bool lists_live[LIVES + 1], lists_leaving[LIVES + 1];
+/* Updates that were true once, by incarnation and source. */
+bool reported_live[INCARNATIONS + 1], reported_leaving[INCARNATIONS + 1];
+bool listed_live[INCARNATIONS + 1], listed_leaving[INCARNATIONS + 1];
 byte revision;
 
-/* What the entry knows, and what it has heard of, which no guard sees. */
+/* What the entry knows, and what it has received, which is not used by any guard. */
 byte known;
 bool known_leaving;
-byte drain;
-bool heard_leaving[LIVES + 1];
-byte heard_revision;
+byte drain_revision;
+bool received_leaving[INCARNATIONS + 1];
+byte received_revision;
 
 mtype call[CALLS];
-byte to[CALLS];       /* life that the call was offered to */
-bool late[CALLS];     /* accepted by an agent that was leaving */
+byte offered_to[CALLS];   /* incarnation that the call was offered to */
+bool accepted_while_leaving[CALLS];
 
-inline merge(l, leaves) {
+inline merge(l, is_leaving) {
   if
-#ifndef NO_GUARD_LIFE
-  :: l > known -> known = l; known_leaving = leaves
-  :: l == known -> known_leaving = known_leaving || leaves
+#ifndef NO_GUARD_INCARNATION
+  :: l > known -> known = l; known_leaving = is_leaving
+  :: l == known -> known_leaving = known_leaving || is_leaving
   :: l < known
 #else
-  :: l != known -> known = l; known_leaving = leaves
-  :: l == known -> known_leaving = known_leaving || leaves
+  :: l != known -> known = l; known_leaving = is_leaving
+  :: l == known -> known_leaving = known_leaving || is_leaving
 #endif
   fi
 }
 
-inline hear(l, leaves) {
+inline receive(l, is_leaving) {
   if
-  :: leaves -> heard_leaving[l] = true
+  :: is_leaving -> received_leaving[l] = true
   :: else
   fi;
-  merge(l, leaves)
+  merge(l, is_leaving)
 }
 
-inline read_list(l, leaves) {
+inline read_list(l, is_leaving) {
 #ifdef NO_GUARD_STICKY
   if
-  :: l == known -> known_leaving = leaves
-  :: else -> merge(l, leaves)
+  :: l == known -> known_leaving = is_leaving
+  :: else -> merge(l, is_leaving)
   fi
 #else
-  merge(l, leaves)
+  merge(l, is_leaving)
 #endif
 }
 
-/* Words about life `l` reach the entry. */
-proctype Words(byte l) {
+/* Updates about incarnation `l` reach the entry. */
+proctype Updates(byte l) {
 end:
   do
-  :: atomic { says_live[l] -> hear(l, false) }
-  :: atomic { says_leaving[l] -> hear(l, true) }
-  :: atomic { lists_live[l] -> read_list(l, false) }
-  :: atomic { lists_leaving[l] -> read_list(l, true) }
+  :: atomic { reported_live[l] -> receive(l, false) }
+  :: atomic { reported_leaving[l] -> receive(l, true) }
+  :: atomic { listed_live[l] -> read_list(l, false) }
+  :: atomic { listed_leaving[l] -> read_list(l, true) }
   od
 }
 
@@ -88,16 +89,16 @@
   do
   :: atomic { r <= revision ->
        if
-       :: r > heard_revision -> heard_revision = r
+       :: r > received_revision -> received_revision = r
        :: else
        fi;
-#ifndef NO_GUARD_OLDER
+#ifndef NO_GUARD_OUTDATED
        if
-       :: r > drain -> drain = r
+       :: r > drain_revision -> drain_revision = r
        :: else
        fi
 #else
-       drain = r
+       drain_revision = r
 #endif
      }
   od
@@ -108,56 +109,56 @@
 end:
   do
 #ifdef NO_GUARD_DRAIN
-  :: atomic { call[c] == fresh && known > 0 && !known_leaving ->
+  :: atomic { call[c] == new && known > 0 && !known_leaving ->
 #else
-  :: atomic { call[c] == fresh && known > 0 && !known_leaving && drain % 2 == 0 ->
+  :: atomic { call[c] == new && known > 0 && !known_leaving && drain_revision % 2 == 0 ->
 #endif
-       assert(!heard_leaving[known]);
-       assert(heard_revision % 2 == 0);
+       assert(!received_leaving[known]);
+       assert(received_revision % 2 == 0);
        call[c] = offered;
-       to[c] = known }
+       offered_to[c] = known }
   od
 }
 
 proctype Agent() {
 end:
   do
-  :: atomic { !stopped && !leaving -> says_live[life] = true }
-  :: atomic { !stopped && !leaving -> lists_live[life] = true }
-  :: atomic { leaving -> says_leaving[life] = true }
-  :: atomic { leaving -> lists_leaving[life] = true }
-  /* a planned stop: what waits is handed back, what runs is finished */
+  :: atomic { !stopped && !leaving -> reported_live[incarnation] = true }
+  :: atomic { !stopped && !leaving -> listed_live[incarnation] = true }
+  :: atomic { leaving -> reported_leaving[incarnation] = true }
+  :: atomic { leaving -> listed_leaving[incarnation] = true }
+  /* a planned stop: queued calls are returned, running calls are finished */
   :: atomic { !leaving -> leaving = true }
   :: atomic { leaving && !stopped &&
 #ifndef NO_GUARD_FINISH
-       call[0] != held && call[0] != running && call[1] != held && call[1] != running &&
+       call[0] != queued && call[0] != running && call[1] != queued && call[1] != running &&
 #endif
        true ->
        assert(call[0] != running && call[1] != running);
-       assert(call[0] != held && call[1] != held);
+       assert(call[0] != queued && call[1] != queued);
        stopped = true }
-  :: atomic { stopped && life < LIVES -> life++; leaving = false; stopped = false }
+  :: atomic { stopped && incarnation < INCARNATIONS -> incarnation++; leaving = false; stopped = false }
   od
 }
 
-/* The agent's way with call `c`. */
+/* The agent's handling of call `c`. */
 proctype Call(byte c) {
 end:
   do
   /* an offer arrives */
   :: atomic { call[c] == offered && !stopped ->
        if
-       :: to[c] != life -> call[c] = over
+       :: offered_to[c] != incarnation -> call[c] = ended
 #ifndef NO_GUARD_REFUSE
-       :: to[c] == life && leaving -> call[c] = over
-       :: to[c] == life && !leaving -> call[c] = held
+       :: offered_to[c] == incarnation && leaving -> call[c] = ended
+       :: offered_to[c] == incarnation && !leaving -> call[c] = queued
 #else
-       :: to[c] == life -> call[c] = held; late[c] = leaving
+       :: offered_to[c] == incarnation -> call[c] = queued; accepted_while_leaving[c] = leaving
 #endif
        fi }
-  :: atomic { call[c] == held && !stopped -> assert(!late[c]); call[c] = running }
-  :: atomic { call[c] == running && !stopped -> call[c] = over }
-  :: atomic { leaving && call[c] == held -> call[c] = over }
+  :: atomic { call[c] == queued && !stopped -> assert(!accepted_while_leaving[c]); call[c] = running }
+  :: atomic { call[c] == running && !stopped -> call[c] = ended }
+  :: atomic { leaving && call[c] == queued -> call[c] = ended }
   od
 }
 
@@ -170,9 +171,9 @@
 
 init {
   atomic {
-    call[0] = fresh; call[1] = fresh;
-    run Words(1);
-    run Words(2);
+    call[0] = new; call[1] = new;
+    run Updates(1);
+    run Updates(2);
     run Drain(1);
     run Drain(2);
     run Drain(3);
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,21 +1,23 @@
 /*
- * Lease and fencing numbers.
+ * Lease and fencing tokens.
  *
- * Two processes contend for a row of the table. The holder renews it; the other takes over once
- * it has seen the row unchanged for DURATION on its own clock, which may run fast by DRIFT over
- * that time. A holder acts until MARGIN before the lease could lapse, counted from when its last
- * write was sent. Processes may pause anywhere, also between the look at the clock and the order.
- * Writes may be refused, lose their answer or take effect late. Reads are in one step: a slow one
- * only delays the reader. Orders are delivered at any time, in any order and repeatedly. The agent may crash and forget.
+ * Two processes contend for a row of the table. The holder renews it; the other one takes it over
+ * once it has seen the row unchanged for DURATION on its own clock, which may run fast by DRIFT
+ * over that time. A holder acts until MARGIN before the lease could expire, counted from when its
+ * last write was sent. Processes may pause anywhere, also between reading the clock and sending an
+ * order. Writes may be rejected, lose their response or take effect late. Reads take one step,
+ * since a slow one only delays the reader. Orders are delivered at any time, in any order and
+ * repeatedly. The agent may crash and forget.
  *
- * Checked: never may two processes act at once by their own clocks; the engine never carries out
- * an order of an earlier holder after one of a later holder. With CHECKED the engine compares the
- * numbers, without it the agent is the fence.
+ * Checked: two processes never act at once by their own clocks; the engine never carries out an
+ * order of an earlier holder after one of a later holder. With CHECKED, the engine compares the
+ * fencing tokens; without it, the agent does.
  *
- * The two are checked apart, since the second needs no clock: with ORDERS a process may take over
- * at any time, and a holder may send an order however long ago it lapsed.
+ * The two properties are checked separately, since the second one needs no clock: with ORDERS, a
+ * process may take over at any time, and a holder may send an order however long ago its lease
+ * expired.
  *
- * Each NO_GUARD_x takes one guard away; spin then finds a counterexample.
+ * Each NO_GUARD_x removes one guard; Spin then finds a counterexample.
  */
 
 #define DURATION 3
@@ -28,71 +30,71 @@
 #ifndef END
 #define END 5      /* last tick of the clock */
 #endif
-#ifndef REVISIONS
-#define REVISIONS 4 /* writes that take effect at most */
+#ifndef MAX_REVISIONS
+#define MAX_REVISIONS 4 /* maximum number of writes that take effect */
 #endif
-#define HOLDERS 5  /* upper bound of holders in turn within END, plus one */
+#define MAX_HOLDERS 5  /* upper bound of successive holders within END, plus one */
 
 mtype = { idle, wait, written, found };
 
 byte now;
 
-/* The row; revision 0: there is none. `epoch` counts holders and is seen by no guard. */
+/* The row; at revision 0 there is none. `epoch` counts holders and is not used by any guard. */
 byte row_revision, row_holder, row_fence, row_epoch;
 
 typedef Process {
-  /* the write on its way */
+  /* the pending write */
   bool open;
   byte check, fence;
   mtype reply;
-  byte got, got_epoch;      /* revision and epoch that the table's answer bears */
-  /* the row as it was last received */
+  byte reply_revision, reply_epoch;   /* revision and epoch in the table's reply */
+  /* the row as last received */
   bool known;
-  byte revision, holder, seen_fence, epoch, since;
-  /* times are kept plus one; zero: none */
-  byte asked, sent, held;
+  byte revision, holder, seen_fence, epoch, unchanged_since;
+  /* times are stored plus one; zero means none */
+  byte sent_at, unsure_since, renewed;
 };
 Process process[2];
 
-bool order[HOLDERS];
-byte order_fence[HOLDERS];
+bool order[MAX_HOLDERS];
+byte order_fence[MAX_HOLDERS];
 
 #ifdef CHECKED
-byte engine;
+byte engine_token;
 #else
-bool agent_knows;
-byte agent, agent_read;
+bool agent_has_token;
+byte agent_token, read_token;
 #endif
-byte carried_out;
+byte executed_epoch;
 
 #ifdef ORDERS
 #define may_act(p) (process[p].known && process[p].holder == p + 1)
-#define lapsed(p) true
-#define due(p) false
+#define expired(p) true
+#define renewal_due(p) false
 #else
-#define lapsed(p) (now >= process[p].since + DURATION - DRIFT)
-#define due(p) (now + 1 > process[p].held)
-#define may_act(p) (process[p].held > 0 && process[p].known && \
-  process[p].holder == p + 1 && now + 1 < process[p].held + DURATION - MARGIN)
+#define expired(p) (now >= process[p].unchanged_since + DURATION - DRIFT)
+#define renewal_due(p) (now + 1 > process[p].renewed)
+#define may_act(p) (process[p].renewed > 0 && process[p].known && \
+  process[p].holder == p + 1 && now + 1 < process[p].renewed + DURATION - MARGIN)
 #endif
 
-inline take_row(p) {
+inline apply_row(p) {
   if
   :: process[p].revision != row_revision || !process[p].known ->
-#ifndef NO_GUARD_WATCH
+#ifndef NO_GUARD_UNCHANGED
        if
-       :: process[p].revision != row_revision -> process[p].since = now
+       :: process[p].revision != row_revision -> process[p].unchanged_since = now
        :: else
        fi;
 #endif
        if
        :: process[p].revision != row_revision ->
 #ifdef NO_GUARD_SENT
-            process[p].held = now + 1;
+            process[p].renewed = now + 1;
 #else
-            process[p].held = process[p].sent;
+            process[p].renewed = process[p].unsure_since;
 #endif
-            process[p].sent = 0
+            process[p].unsure_since = 0
        :: else
        fi
   :: else
@@ -105,7 +107,7 @@
   process[p].epoch = row_epoch;
 #endif
   if
-  :: row_holder == p + 1 -> process[p].since = 0
+  :: row_holder == p + 1 -> process[p].unchanged_since = 0
   :: else
   fi
 }
@@ -115,9 +117,9 @@
   process[p].check = process[p].revision;
   process[p].fence = number;
   process[p].reply = wait;
-  process[p].asked = now + 1;
+  process[p].sent_at = now + 1;
   if
-  :: process[p].sent == 0 -> process[p].sent = now + 1
+  :: process[p].unsure_since == 0 -> process[p].unsure_since = now + 1
   :: else
   fi
 }
@@ -126,7 +128,7 @@
 end:
   do
   :: atomic {
-       process[p].open && row_revision < REVISIONS ->
+       process[p].open && row_revision < MAX_REVISIONS ->
        process[p].open = false;
        if
 #ifndef NO_GUARD_CHECK
@@ -146,7 +148,7 @@
             row_holder = p + 1;
             if
             :: process[p].reply == wait -> process[p].reply = written;
-                 process[p].got = row_revision; process[p].got_epoch = row_epoch
+                 process[p].reply_revision = row_revision; process[p].reply_epoch = row_epoch
             :: else
             fi
        fi;
@@ -164,18 +166,18 @@
 end:
   do
   /* read, or read back */
-  :: atomic { process[p].reply == idle -> take_row(p) }
+  :: atomic { process[p].reply == idle -> apply_row(p) }
   /* renew */
   :: atomic { process[p].reply == idle && !process[p].open && process[p].known &&
-       process[p].revision > 0 && process[p].holder == p + 1 && due(p) ->
+       process[p].revision > 0 && process[p].holder == p + 1 && renewal_due(p) ->
        send_write(p, process[p].seen_fence) }
   /* take over */
   :: atomic { process[p].reply == idle && !process[p].open && process[p].known &&
-       process[p].holder != p + 1 && (process[p].revision == 0 || lapsed(p)) ->
+       process[p].holder != p + 1 && (process[p].revision == 0 || expired(p)) ->
 #ifndef ORDERS
        send_write(p, 0)
 #else
-#ifdef NO_GUARD_GROW
+#ifdef NO_GUARD_INCREASE
        send_write(p, 1)
 #else
        send_write(p, process[p].seen_fence + 1)
@@ -185,25 +187,25 @@
   :: atomic { process[p].reply == written ->
        process[p].reply = idle;
        process[p].known = true;
-       process[p].revision = process[p].got;
+       process[p].revision = process[p].reply_revision;
        process[p].holder = p + 1;
        process[p].seen_fence = process[p].fence;
-       process[p].epoch = process[p].got_epoch;
-       process[p].since = 0;
-       process[p].got = 0;
-       process[p].got_epoch = 0;
+       process[p].epoch = process[p].reply_epoch;
+       process[p].unchanged_since = 0;
+       process[p].reply_revision = 0;
+       process[p].reply_epoch = 0;
 #ifdef NO_GUARD_SENT
-       process[p].held = now + 1;
+       process[p].renewed = now + 1;
 #else
-       process[p].held = process[p].asked;
+       process[p].renewed = process[p].sent_at;
 #endif
-       process[p].sent = 0;
-       process[p].asked = 0 }
-  :: atomic { process[p].reply == found -> process[p].reply = idle; take_row(p) }
-  /* the answer is lost */
+       process[p].unsure_since = 0;
+       process[p].sent_at = 0 }
+  :: atomic { process[p].reply == found -> process[p].reply = idle; apply_row(p) }
+  /* the response is lost */
   :: atomic { process[p].reply == wait -> process[p].reply = idle; process[p].known = false }
 #ifdef ORDERS
-  /* looks at its clock, and sends the order at any later time */
+  /* reads its clock, and sends the order at any later time */
   :: atomic { fence == 0 && may_act(p) ->
        fence = process[p].seen_fence; epoch = process[p].epoch }
   :: atomic { fence > 0 ->
@@ -213,9 +215,9 @@
   od
 }
 
-inline carry_out(e) {
-  assert(e >= carried_out);
-  carried_out = e
+inline execute(e) {
+  assert(e >= executed_epoch);
+  executed_epoch = e
 }
 
 /* Delivers the orders of holder `e`. */
@@ -224,34 +226,34 @@
   do
 #ifdef CHECKED
 #ifdef NO_GUARD_FENCE
-  :: atomic { order[e] -> carry_out(e) }
+  :: atomic { order[e] -> execute(e) }
 #else
-  :: atomic { order[e] && order_fence[e] >= engine -> engine = order_fence[e]; carry_out(e) }
+  :: atomic { order[e] && order_fence[e] >= engine_token -> engine_token = order_fence[e]; execute(e) }
 #endif
 #else
 #ifdef NO_GUARD_FENCE
-  :: atomic { order[e] && agent_knows -> carry_out(e) }
+  :: atomic { order[e] && agent_has_token -> execute(e) }
 #else
 #ifdef NO_GUARD_READ
-  :: atomic { order[e] && order_fence[e] >= agent ->
+  :: atomic { order[e] && order_fence[e] >= agent_token ->
 #else
-  :: atomic { order[e] && agent_knows && order_fence[e] >= agent ->
+  :: atomic { order[e] && agent_has_token && order_fence[e] >= agent_token ->
 #endif
-       agent_knows = true; agent = order_fence[e]; agent_read = 0; carry_out(e) }
+       agent_has_token = true; agent_token = order_fence[e]; read_token = 0; execute(e) }
 #endif
 #endif
   od
 }
 
 #ifndef CHECKED
-/* The agent reads the current number, learns it at any later time, and crashes. */
+/* The agent reads the current token, learns it at any later time, and crashes. */
 proctype Agent() {
 end:
   do
-  :: atomic { !agent_knows && agent_read == 0 -> agent_read = row_fence }
-  :: atomic { !agent_knows && agent_read > 0 ->
-       agent_knows = true; agent = agent_read; agent_read = 0 }
-  :: atomic { agent_knows -> agent_knows = false; agent = 0; agent_read = 0 }
+  :: atomic { !agent_has_token && read_token == 0 -> read_token = row_fence }
+  :: atomic { !agent_has_token && read_token > 0 ->
+       agent_has_token = true; agent_token = read_token; read_token = 0 }
+  :: atomic { agent_has_token -> agent_has_token = false; agent_token = 0; read_token = 0 }
   od
 }
 #endif
