--- a/crates/relay/src/batch/state.rs
+++ b/crates/relay/src/batch/state.rs
@@ -1,4 +1,4 @@
-//! What waits in a cell and what its runners do.
+//! State of a cell: the pending orders and its runners.
 
 use super::batch_call::BatchCall;
 use super::pending::PendingOrder;
@@ -20,23 +20,23 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Speed of a cell below which its runners are taken to be as slow as that, compared to one that
-/// works as configured: an expected wait must stay finite.
+/// Lower bound on the total speed of a cell's runners, as a multiple of the configured speed of one
+/// runner. It keeps expected waits finite.
 const MIN_SPEED: f64 = 0.1;
 
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) batch_queue: Option<ConfiguredQueue>,
-    /// Pieces under which runners have ended.
+    /// Pieces during which runners have exited.
     pub(super) isolation: Isolation,
-    pub(super) waiting: Map<GroupId, PendingOrder>,
+    pub(super) pending: Map<GroupId, PendingOrder>,
     pub(super) runner_states: Vec<RunnerState>,
-    next: GroupId,
-    /// When calls are looked for next without a cause.
+    next_group_id: GroupId,
+    /// When the next dispatch without another cause is scheduled.
     next_wake: Option<Instant>,
-    /// How much larger than the configuration says results are taken to be.
+    /// Ratio of the assumed to the configured size of results.
     inflation: Inflation,
-    /// Whether results that are over are about to be given back.
+    /// Whether a task that drops released results is scheduled.
     release_scheduled: bool,
 }
 
@@ -50,28 +50,28 @@
         small_first: policy.small_first == Policy::Shipped,
         give_up: policy.admission == Policy::Shipped,
     };
-    ConfiguredQueue::with(shape, rules)
+    ConfiguredQueue::with_rules(shape, rules)
 }
 
 impl State {
-    /// Whether the cell has no runner that takes work.
+    /// Whether the cell has no runner that accepts work.
     pub(super) fn is_empty(&self) -> bool {
         self.runner_states.is_empty()
     }
 
-    /// A result is needed no more.
-    pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, until: Instant) {
+    /// Marks a result as no longer needed.
+    pub(super) fn release(&mut self, address: SocketAddr, handle: &Handle, expires_at: Instant) {
         if let Some(state) = self.at(address) {
-            state.release(handle, until);
+            state.release(handle, expires_at);
         }
     }
 
-    /// Whether nobody else is about to give back what is over.
+    /// Whether the caller has to schedule the task that drops released results.
     pub(super) fn schedule_release(&mut self) -> bool {
         !std::mem::replace(&mut self.release_scheduled, true)
     }
 
-    /// The results that are over, by the runner that holds them.
+    /// Takes the released results, by the runner that stores them.
     pub(super) fn take_released(&mut self) -> Vec<(Arc<Runner>, Vec<Handle>)> {
         self.release_scheduled = false;
         let released = |state: &mut RunnerState| {
@@ -81,7 +81,7 @@
         self.runner_states.iter_mut().filter_map(released).collect()
     }
 
-    /// A result has been fetched by the call that needs it.
+    /// Marks a result as fetched by the call that needs it.
     pub(super) fn fetched(&mut self, address: SocketAddr, handle: &Handle) {
         if let Some(state) = self.at(address) {
             state.fetched(handle);
@@ -93,30 +93,30 @@
         runner_states.find(|state| state.runner.address == address)
     }
 
-    /// The inputs of a call's orders that have no pieces left which might fetch them.
+    /// Inputs of a call's orders that have no pieces left that might fetch them.
     pub(super) fn inputs(&self, batch_call: &BatchCall) -> Vec<Results> {
-        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
-        let orders = batch_call.portions.iter().filter_map(waiting);
-        let sent = orders.filter(|waiting| waiting.unsent.is_empty());
-        sent.flat_map(|waiting| waiting.order.inputs.clone())
+        let pending = |(group_id, _): &(GroupId, Vec<u32>)| self.pending.get(group_id);
+        let orders = batch_call.portions.iter().filter_map(pending);
+        let sent = orders.filter(|pending| pending.unsent.is_empty());
+        sent.flat_map(|pending| pending.order.inputs.clone())
             .collect()
     }
 
-    /// Results that another process asked for and may still hold.
+    /// Records a result that another process requested and that may still be stored.
     pub(super) fn record_result(
         &mut self,
         address: SocketAddr,
         handle: &Handle,
         bytes: u64,
-        until: Instant,
+        expires_at: Instant,
     ) {
         if let Some(state) = self.at(address) {
-            let held = StoredResult { bytes, until };
-            state.results.entry(handle.clone()).or_insert(held);
+            let stored = StoredResult { bytes, expires_at };
+            state.results.entry(handle.clone()).or_insert(stored);
         }
     }
 
-    /// Time that the runners take for each piece that waits.
+    /// Time that the runners take per waiting piece.
     pub(super) fn piece_time(&self, batches: &BatchSettings) -> Duration {
         let shape = batches.shape;
         let now = Instant::now();
@@ -126,14 +126,14 @@
         full.div_f64(speed.max(MIN_SPEED) * f64::from(shape.size.max(1)))
     }
 
-    /// Expected times until pieces that come now are made, by the rank of their request.
+    /// Expected times until pieces that arrive now are done, by the rank of their request.
     pub(super) fn expected(
         &self,
         started: Instant,
         batches: &BatchSettings,
     ) -> Option<WaitEstimates> {
-        let runner_states = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
-        if runner_states == 0 {
+        let runner_count = u32::try_from(self.runner_states.len()).unwrap_or(u32::MAX);
+        if runner_count == 0 {
             return None;
         }
         let shape = batches.shape;
@@ -143,7 +143,7 @@
             .all(|state| !state.calls.is_empty());
         let full = shape.full();
         let rest = if busy {
-            full / 2 / runner_states
+            full / 2 / runner_count
         } else {
             Duration::ZERO
         };
@@ -157,11 +157,11 @@
         Some(WaitEstimates::new(|rank| work + piece * ahead(rank)))
     }
 
-    /// Names of the requests whose pieces a call carries.
+    /// Ids of the requests whose pieces a call carries.
     pub(super) fn requests(&self, batch_call: &BatchCall) -> String {
-        let waiting = |(group_id, _): &(GroupId, Vec<u32>)| self.waiting.get(group_id);
-        let ids = batch_call.portions.iter().filter_map(waiting);
-        ids.map(|waiting| &*waiting.order.id)
+        let pending = |(group_id, _): &(GroupId, Vec<u32>)| self.pending.get(group_id);
+        let ids = batch_call.portions.iter().filter_map(pending);
+        ids.map(|pending| &*pending.order.id)
             .collect::<Vec<_>>()
             .join(",")
     }
@@ -173,46 +173,46 @@
         order: Order,
         reply: oneshot::Sender<Outcome>,
     ) {
-        let group_id = self.next;
-        self.next += 1;
-        let waiting = PendingOrder {
+        let group_id = self.next_group_id;
+        self.next_group_id += 1;
+        let pending = PendingOrder {
             unsent: (0..order.pieces).rev().collect(),
-            made: vec![None; order.pieces as usize],
-            since: Instant::now(),
+            results: vec![None; order.pieces as usize],
+            arrived_at: Instant::now(),
             max_suspects: 1,
             order,
             reply,
         };
-        let group = self.group(&waiting, group_id, relay);
+        let group = self.group(&pending, group_id, relay);
         let policy = relay.options.policy;
         let batch_queue = || batch_queue(policy, batches.shape);
         let batch_queue = self.batch_queue.get_or_insert_with(batch_queue);
-        batch_queue.reshape(batches.shape);
+        batch_queue.set_shape(batches.shape);
         batch_queue.push(group);
-        self.waiting.insert(group_id, waiting);
+        self.pending.insert(group_id, pending);
     }
 
-    /// The pieces of an order that still wait, as the former sees them.
+    /// The waiting pieces of an order, as a group for the batch queue.
     pub(super) fn group<D: Downstream>(
         &self,
-        waiting: &PendingOrder,
+        pending: &PendingOrder,
         group_id: GroupId,
         relay: &Relay<D>,
     ) -> Group {
-        let order = &waiting.order;
+        let order = &pending.order;
         let domain = order.domain.clone().filter(|domain| {
-            let there = |state: &RunnerState| state.runner.domain == *domain;
-            self.runner_states.iter().any(there)
+            let in_domain = |state: &RunnerState| state.runner.domain == *domain;
+            self.runner_states.iter().any(in_domain)
         });
         Group {
             group_id,
-            pieces: u32::try_from(waiting.unsent.len()).unwrap_or(u32::MAX),
+            pieces: u32::try_from(pending.unsent.len()).unwrap_or(u32::MAX),
             result_bytes: self.inflation.apply(order.result_bytes),
             due: relay.at(order.due),
             expires_at: relay.at(order.expires_at),
             rank: order.rank,
             domain,
-            arrived_at: relay.at(waiting.since),
+            arrived_at: relay.at(pending.arrived_at),
             max_domain_wait: order.max_domain_wait,
         }
     }
@@ -231,41 +231,41 @@
         }
     }
 
-    /// Drops the orders whose requests are gone, and ends those that cannot be made in time.
+    /// Drops the orders whose requests are gone, and ends those that cannot be completed in time.
     pub(super) fn drop_expired(&mut self, at: Duration, piece: Duration) {
         let Some(batch_queue) = self.batch_queue.as_mut() else {
             return;
         };
-        let gone: Vec<GroupId> = self
-            .waiting
+        let cancelled: Vec<GroupId> = self
+            .pending
             .iter()
-            .filter(|(_, waiting)| waiting.reply.is_closed())
+            .filter(|(_, pending)| pending.reply.is_closed())
             .map(|(group_id, _)| *group_id)
             .collect();
-        for group_id in gone {
+        for group_id in cancelled {
             batch_queue.withdraw(group_id);
             self.isolation.withdraw(group_id);
-            self.waiting.remove(&group_id);
+            self.pending.remove(&group_id);
         }
         let shortest = batch_queue.shortest();
-        let late = batch_queue.expire(at, piece).into_iter();
-        for group_id in late.chain(self.isolation.expire(at, shortest)) {
+        let expired = batch_queue.expire(at, piece).into_iter();
+        for group_id in expired.chain(self.isolation.expire(at, shortest)) {
             self.finish_order(group_id, Err(StageError::Late));
         }
     }
 
-    /// Ends an order; whoever waited for it may be gone by now, which is no matter.
+    /// Ends an order. Its receiver may be gone by now, which is harmless.
     pub(super) fn finish_order(&mut self, group_id: GroupId, outcome: Outcome) {
         if let Some(batch_queue) = self.batch_queue.as_mut() {
             batch_queue.withdraw(group_id);
         }
         self.isolation.withdraw(group_id);
-        if let Some(waiting) = self.waiting.remove(&group_id) {
-            let _ = waiting.reply.send(outcome);
+        if let Some(pending) = self.pending.remove(&group_id) {
+            let _ = pending.reply.send(outcome);
         }
     }
 
-    /// Takes in what became of a call; gives what the orders asked for of which all is made now.
+    /// Processes the outcome of a call; returns the content ids of the orders that it completed.
     pub(super) fn finish<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -281,36 +281,41 @@
             .portions
             .iter()
             .flat_map(|(group_id, pieces)| pieces.iter().map(move |&piece| (*group_id, piece)));
-        // Nothing was sent: the pieces wait for another runner, and no repeat is counted.
-        let unmade = match &result {
+        // Nothing was sent, so the pieces wait for another runner and no retry is charged.
+        let default_outcome = match &result {
             Err(failure) if failure.is_withdrawn() => PieceOutcome::NoRoom,
             _ => PieceOutcome::Failed,
         };
-        let mut made = result
+        let mut outcomes = result
             .map_or_else(|_| Vec::new(), std::convert::identity)
             .into_iter();
         for (group_id, piece) in pieces {
-            let made = made.next().unwrap_or_else(|| unmade.clone());
+            let piece_outcome = outcomes.next().unwrap_or_else(|| default_outcome.clone());
             if let Some(outcome) =
-                self.settle_piece(relay, service, batch_call, (group_id, piece), made)
+                self.settle_piece(relay, service, batch_call, (group_id, piece), piece_outcome)
             {
-                let waiting = self.waiting.get(&group_id).filter(|_| outcome.is_ok());
-                complete.extend(waiting.map(|waiting| waiting.order.content));
+                let pending = self.pending.get(&group_id).filter(|_| outcome.is_ok());
+                complete.extend(pending.map(|pending| pending.order.content));
                 self.finish_order(group_id, outcome);
             }
         }
         complete
     }
 
-    /// Leaves a runner alone that asks for this time between its calls, the last of which began then.
-    /// This process alone forms the calls of the cell.
-    pub(super) fn apply_spacing(&mut self, id: &str, begun: Instant, spacing: Option<Duration>) {
+    /// Applies the interval between calls that a runner asks for; the last began at `started_at`.
+    /// Only this process forms the calls of the cell.
+    pub(super) fn apply_spacing(
+        &mut self,
+        id: &str,
+        started_at: Instant,
+        spacing: Option<Duration>,
+    ) {
         let state = self
             .runner_states
             .iter_mut()
             .find(|state| *state.runner.id == *id);
         if let (Some(state), Some(spacing)) = (state, spacing) {
-            state.apply_spacing(begun, spacing);
+            state.apply_spacing(started_at, spacing);
         }
     }
 
@@ -320,10 +325,10 @@
         result: &Result<Vec<PieceOutcome>, Failure>,
         elapsed: Duration,
     ) {
-        if let Ok(made) = result {
-            let had_room = !made.contains(&PieceOutcome::NoRoom);
-            // Where all that is over had been given back, the runner holds what nobody here knows of,
-            // which says nothing of the size of results.
+        if let Ok(outcomes) = result {
+            let had_room = !outcomes.contains(&PieceOutcome::NoRoom);
+            // If all results that were no longer needed had been dropped, the runner stores results
+            // unknown to this process, which tells nothing about the size of results.
             if had_room || !batch_call.release_first {
                 self.inflation.update(had_room);
             }
@@ -338,34 +343,34 @@
             elapsed,
             expected: batch_call.expected,
             slowness: batch_call.slowness,
-            until: batch_call.until,
+            expected_end: batch_call.expected_end,
             release_first: batch_call.release_first,
             needed_bytes: batch_call.needed_bytes,
             room: batch_call.room,
             keep: batch_call.batches.keep,
         };
-        // A runner that is listed no more has nothing to learn of.
+        // A runner that is no longer listed has no state to update.
         if let Some(state) = state {
             state.record_call(&call, Instant::now());
         }
     }
 
-    /// Takes in what became of one piece; gives the outcome of the order if that ends it.
+    /// Processes the outcome of one piece; returns the outcome of the order if the piece ends it.
     fn settle_piece<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
         service: &ServiceId,
         batch_call: &BatchCall,
         (group_id, piece): (GroupId, u32),
-        made: PieceOutcome,
+        piece_outcome: PieceOutcome,
     ) -> Option<Outcome> {
-        if let PieceOutcome::Done(handle) = &made {
+        if let PieceOutcome::Done(handle) = &piece_outcome {
             let bytes = self
-                .waiting
+                .pending
                 .get(&group_id)
-                .map_or(0, |waiting| waiting.order.result_bytes);
+                .map_or(0, |pending| pending.order.result_bytes);
             let bytes = self.inflation.apply(bytes);
-            let wanted = self.waiting.contains_key(&group_id);
+            let wanted = self.pending.contains_key(&group_id);
             self.store_result(
                 &batch_call.runner.id,
                 handle,
@@ -374,12 +379,12 @@
                 wanted,
             );
         }
-        let waiting = self.waiting.get_mut(&group_id)?;
-        match made {
+        let pending = self.pending.get_mut(&group_id)?;
+        match piece_outcome {
             PieceOutcome::Done(handle) => {
-                waiting.made[piece as usize] = Some(handle);
-                waiting
-                    .made
+                pending.results[piece as usize] = Some(handle);
+                pending
+                    .results
                     .iter()
                     .cloned()
                     .collect::<Option<Vec<_>>>()
@@ -387,12 +392,12 @@
             }
             PieceOutcome::Late => Some(Err(StageError::Late)),
             PieceOutcome::InputGone => Some(Err(StageError::InputGone)),
-            // One without room has not been worked on.
+            // A piece without room has not been processed.
             PieceOutcome::Failed if !relay.try_retry(service) => Some(Err(StageError::Failed)),
             PieceOutcome::NoRoom | PieceOutcome::Failed => {
-                waiting.unsent.push(piece);
-                let waiting = self.waiting.get(&group_id)?;
-                let group = self.group(waiting, group_id, relay);
+                pending.unsent.push(piece);
+                let pending = self.pending.get(&group_id)?;
+                let group = self.group(pending, group_id, relay);
                 self.isolation.withdraw(group_id);
                 let batch_queue = self.batch_queue.as_mut()?;
                 batch_queue.withdraw(group_id);
@@ -402,7 +407,7 @@
         }
     }
 
-    /// Counts a result at its runner; one that nobody waits for is released.
+    /// Records a result at its runner; one that no order waits for is released at once.
     fn store_result(
         &mut self,
         id: &RunnerId,
@@ -418,19 +423,19 @@
         else {
             return;
         };
-        let until = Instant::now() + batches.keep;
+        let expires_at = Instant::now() + batches.keep;
         state
             .results
-            .insert(handle.clone(), StoredResult { bytes, until });
+            .insert(handle.clone(), StoredResult { bytes, expires_at });
         if !wanted {
             state.released.push(handle.clone());
         }
     }
 
-    /// When a result lapses or an order is over, if no call is in progress.
+    /// When the next result expires or the next order ends, if no call is in progress.
     ///
-    /// With the room of all runners taken there is nothing whose end would tell. Orders would wait
-    /// until their callers give up, beside runners that have long had room again.
+    /// With the room of all runners taken, no call ends that would cause a dispatch. Orders would
+    /// wait until their requests time out although runners have had room again for a long time.
     fn stalled_until(&self, now: Instant) -> Option<Instant> {
         if self
             .runner_states
@@ -441,13 +446,13 @@
         }
         let expiries = self.runner_states.iter().flat_map(RunnerState::expiries);
         let orders = self
-            .waiting
+            .pending
             .values()
-            .map(|waiting| waiting.order.expires_at);
+            .map(|pending| pending.order.expires_at);
         expiries.chain(orders).filter(|until| *until > now).min()
     }
 
-    /// When something may change that no call or order tells; once for each such moment.
+    /// Time of the next dispatch that no call or order causes; returned once for each such time.
     pub(super) fn next_wake_time(&mut self, started: Instant) -> Option<Instant> {
         let now = Instant::now();
         let pauses = self
@@ -461,9 +466,9 @@
             return None;
         }
         let at = now.saturating_duration_since(started);
-        let moved = batch_queue.next_wakeup(at).map(|moment| started + moment);
-        let stuck = self.stalled_until(now);
-        let wakes = pause.into_iter().chain(moved).chain(stuck);
+        let queue_wake = batch_queue.next_wakeup(at).map(|moment| started + moment);
+        let stall_end = self.stalled_until(now);
+        let wakes = pause.into_iter().chain(queue_wake).chain(stall_end);
         let wake = wakes.chain(suspects).min()?;
         if self
             .next_wake
