--- a/crates/protocol/src/reader.rs
+++ b/crates/protocol/src/reader.rs
@@ -43,8 +43,8 @@
 /// let mut reader = Reader::new(second * 2);
 /// reader.read(7, second);
 /// assert_eq!(reader.trusts_peers_until(), Some(second * 3));
-/// let told = PeerUpdate { before: 7, revision: 9, current: second * 2 };
-/// assert_eq!(reader.on_peer_update(told), UpdateAction::Apply);
+/// let update = PeerUpdate { before: 7, revision: 9, current: second * 2 };
+/// assert_eq!(reader.on_peer_update(update), UpdateAction::Apply);
 /// assert_eq!(reader.after(), Some(9));
 /// assert_eq!(reader.trusts_peers_until(), Some(second * 4));
 /// ```
@@ -116,20 +116,20 @@
     /// Processes an update from another process.
     ///
     /// An update that is behind says nothing about what this process knows, nor about its age.
-    pub fn on_peer_update(&mut self, told: PeerUpdate) -> UpdateAction {
+    pub fn on_peer_update(&mut self, update: PeerUpdate) -> UpdateAction {
         let Some(after) = self.after else {
             return UpdateAction::Gap;
         };
-        if told.revision < after {
+        if update.revision < after {
             return UpdateAction::Ignore;
         }
-        if told.before > after {
+        if update.before > after {
             return UpdateAction::Gap;
         }
-        self.after = Some(told.revision);
-        self.current = self.current.max(told.current);
+        self.after = Some(update.revision);
+        self.current = self.current.max(update.current);
         self.failed = None;
-        if told.revision == after {
+        if update.revision == after {
             return UpdateAction::Ignore;
         }
         UpdateAction::Apply
