--- a/crates/protocol/examples/takeover.rs
+++ b/crates/protocol/examples/takeover.rs
@@ -26,10 +26,10 @@
 
     // The first process is paused; the second one sees the row unchanged for the whole duration and
     // takes over.
-    let kept = StoredRow { row, revision: 1 };
+    let stored = StoredRow { row, revision: 1 };
     for now in (1..=13).map(|seconds| SECOND * seconds) {
         match second.tick(now) {
-            Some(Action::Read) => second.on(Event::Found(Some(kept)), now),
+            Some(Action::Read) => second.on(Event::Found(Some(stored)), now),
             Some(Action::Write { .. }) => second.on(Event::Written(2), now),
             None => {}
         }
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -177,7 +177,7 @@
     fn on_claiming(&mut self, event: Event) -> Action {
         match event {
             Event::Written(revision) => self.granted(revision),
-            Event::Found(kept) => self.found(kept),
+            Event::Found(stored) => self.found(stored),
             Event::Unsure => self.read(),
             Event::Unavailable => self.on_unavailable(),
             Event::NotRun | Event::Answered | Event::Retry => Action::Ignore,
@@ -186,22 +186,22 @@
 
     /// If there is no row, the first write may still take effect. The same row is therefore written
     /// again, and whichever write arrives second does nothing.
-    fn found(&mut self, kept: Option<StoredRow>) -> Action {
-        let Some(kept) = kept else {
+    fn found(&mut self, stored: Option<StoredRow>) -> Action {
+        let Some(stored) = stored else {
             self.check = None;
             return self.write(Progress::Claimed);
         };
-        if kept.row.token == self.row.token {
-            return self.granted(kept.revision);
+        if stored.row.token == self.row.token {
+            return self.granted(stored.revision);
         }
-        let decision = match kept.row.progress {
+        let decision = match stored.row.progress {
             Progress::Released => {
-                self.check = Some(kept.revision);
+                self.check = Some(stored.revision);
                 return self.write(Progress::Claimed);
             }
-            _ if kept.row.digest != self.row.digest => Decision::Mismatch,
-            Progress::Claimed => Decision::Running(kept.row.request),
-            Progress::Answered => Decision::Answered(kept.row.request),
+            _ if stored.row.digest != self.row.digest => Decision::Mismatch,
+            Progress::Claimed => Decision::Running(stored.row.request),
+            Progress::Answered => Decision::Answered(stored.row.request),
         };
         self.state = State::Settled;
         Action::Resolve(decision)
@@ -234,7 +234,7 @@
     fn on_closing(&mut self, progress: Progress, event: Event) -> Action {
         match event {
             Event::Written(_) => self.settle(),
-            Event::Found(kept) => self.found_closing(progress, kept),
+            Event::Found(stored) => self.found_closing(progress, stored),
             Event::Unsure => self.read(),
             Event::Unavailable => Action::RetryLater,
             Event::Retry => Action::Read,
@@ -245,9 +245,9 @@
     /// Leaves another claim's row alone once the row has moved on from the revision that this
     /// claim's pending writes expect. Until then, such a write may still take effect and leave a
     /// claim whose call nobody runs, so the row is overwritten at exactly that revision.
-    fn found_closing(&mut self, progress: Progress, kept: Option<StoredRow>) -> Action {
-        let revision = kept.map(|kept| kept.revision);
-        match kept.map(|kept| kept.row) {
+    fn found_closing(&mut self, progress: Progress, stored: Option<StoredRow>) -> Action {
+        let revision = stored.map(|stored| stored.revision);
+        match stored.map(|stored| stored.row) {
             Some(row) if row.token == self.row.token && row.progress == progress => self.settle(),
             Some(row) if row.token != self.row.token && revision != self.check => self.settle(),
             _ => {
--- a/crates/protocol/src/lease.rs
+++ b/crates/protocol/src/lease.rs
@@ -168,7 +168,7 @@
         self.pending = Some(Pending::Write(row));
         self.unsure_since.get_or_insert(now);
         Some(Action::Write {
-            check: self.seen.map(|kept| kept.revision),
+            check: self.seen.map(|stored| stored.revision),
             row,
         })
     }
@@ -182,14 +182,15 @@
             (Pending::Write(row), Event::Written(revision)) => {
                 self.on_written(StoredRow { row, revision }, now);
             }
-            (_, Event::Found(kept)) => self.on_found(kept, now),
+            (_, Event::Found(stored)) => self.on_found(stored, now),
             (Pending::Write(_), Event::Unsure) => self.known = false,
             _ => {}
         }
     }
 
     fn own_row(&self) -> Option<StoredRow> {
-        self.seen.filter(|kept| kept.row.holder == Some(self.own))
+        self.seen
+            .filter(|stored| stored.row.holder == Some(self.own))
     }
 
     fn is_due(&self, now: Duration) -> bool {
@@ -225,8 +226,8 @@
         }
     }
 
-    fn on_written(&mut self, kept: StoredRow, now: Duration) {
-        self.seen = Some(kept);
+    fn on_written(&mut self, stored: StoredRow, now: Duration) {
+        self.seen = Some(stored);
         self.unchanged_since = now;
         self.renewed = self.requested;
         self.unsure_since = None;
@@ -235,11 +236,11 @@
     /// A renewal whose response was lost counts from when it was sent, because a contender may have
     /// seen its effect at that moment and may count the duration from there. Of several such writes
     /// the earliest counts, since the row does not show which one took effect.
-    fn on_found(&mut self, kept: Option<StoredRow>, now: Duration) {
-        let revision = |kept: Option<StoredRow>| kept.map(|kept| kept.revision);
-        let changed = revision(kept) != revision(self.seen);
+    fn on_found(&mut self, stored: Option<StoredRow>, now: Duration) {
+        let revision = |stored: Option<StoredRow>| stored.map(|stored| stored.revision);
+        let changed = revision(stored) != revision(self.seen);
         self.known = true;
-        self.seen = kept;
+        self.seen = stored;
         if changed {
             self.unchanged_since = now;
             self.renewed = self.unsure_since.take();
--- a/crates/protocol/src/quarantine.rs
+++ b/crates/protocol/src/quarantine.rs
@@ -131,7 +131,7 @@
             sent: sent + EPOCH_OFFSET,
             lost: now + EPOCH_OFFSET,
         };
-        self.losses.note(Loss {
+        self.losses.record(Loss {
             content,
             runner,
             span,
@@ -169,12 +169,12 @@
     pub fn merge(&mut self, report: &Report<R>, now: Duration) -> Merge {
         for crash in &report.crashes {
             let lost = (now + EPOCH_OFFSET).saturating_sub(crash.lost);
-            let end = self.exits.entry(crash.runner.clone()).or_insert(lost);
-            *end = lost.min(*end);
+            let exit = self.exits.entry(crash.runner.clone()).or_insert(lost);
+            *exit = lost.min(*exit);
         }
-        let is_exposed = self.take_silences(report, now);
+        let has_new_silences = self.merge_silences(report, now);
         if report.crashes.is_empty() && report.cleared.is_none() && report.tried.is_none() {
-            return match is_exposed {
+            return match has_new_silences {
                 true => Merge::New {
                     was_held: self.is_held(report.content),
                     is_held: self.is_held(report.content),
@@ -196,9 +196,9 @@
                 new |= suspect.add(&crash.runner, span, crash.isolated);
             }
             if let Some(ago) = report.tried {
-                new |= suspect.note_trial(report.trials, at(ago));
+                new |= suspect.record_trial(report.trials, at(ago));
             }
-            new || is_exposed
+            new || has_new_silences
         })
     }
 
@@ -275,13 +275,14 @@
             };
             self.exits.retain(|runner, _| is_named(runner));
         }
-        let suspect_count = self.suspects.values();
-        self.suspect_count = suspect_count
+        let suspects = self.suspects.values();
+        self.suspect_count = suspects
             .filter(|suspect| suspect.is_suspect(&self.exits))
             .count();
     }
 
-    /// Evicts the suspect whose last report or request is the oldest, if there are too many.
+    /// Evicts the suspect whose last report or request is the oldest, if there are too many;
+    /// quarantined ones last.
     fn make_room(&mut self, content: ContentId) {
         if self.suspects.len() < CAPACITY || self.suspects.contains_key(&content) {
             return;
--- a/crates/protocol/src/quarantine/exposure.rs
+++ b/crates/protocol/src/quarantine/exposure.rs
@@ -32,7 +32,7 @@
             sent: sent + EPOCH_OFFSET,
             lost: now + EPOCH_OFFSET,
         };
-        self.losses.note(Loss {
+        self.losses.record(Loss {
             content,
             runner: runner.clone(),
             span,
@@ -40,7 +40,7 @@
             provisional: true,
         });
         let (sent, now) = (sent + EPOCH_OFFSET, now + EPOCH_OFFSET);
-        let new = self.silences.note(content, runner, sent, now, now);
+        let new = self.silences.record(content, runner, sent, now, now);
         new.then(|| self.report_at(content, now))
     }
 
@@ -71,8 +71,8 @@
     #[must_use]
     pub fn may_spread(&self, content: ContentId, now: Duration) -> bool {
         let risk = self.risk(content, now);
-        let open = || self.silences.in_progress(content, now + EPOCH_OFFSET);
-        risk == 0 || risk >= CRASH_THRESHOLD || risk + open() < CRASH_THRESHOLD
+        let in_progress = || self.silences.in_progress(content, now + EPOCH_OFFSET);
+        risk == 0 || risk >= CRASH_THRESHOLD || risk + in_progress() < CRASH_THRESHOLD
     }
 
     /// Unresponsive runners; a runner may occur more than once.
@@ -81,7 +81,7 @@
     }
 
     /// Merges reported unresponsive runners; returns whether any of them is new.
-    pub(super) fn take_silences(&mut self, report: &Report<R>, now: Duration) -> bool {
+    pub(super) fn merge_silences(&mut self, report: &Report<R>, now: Duration) -> bool {
         let now = now + EPOCH_OFFSET;
         let at = |ago: Duration| now.saturating_sub(ago);
         let known = self.suspects.get(&report.content);
@@ -98,7 +98,7 @@
             }
             new |= self
                 .silences
-                .note(report.content, &silence.runner, sent, noted, now);
+                .record(report.content, &silence.runner, sent, noted, now);
         }
         new
     }
--- a/crates/protocol/src/quarantine/loss.rs
+++ b/crates/protocol/src/quarantine/loss.rs
@@ -39,7 +39,7 @@
         self.0.is_empty()
     }
 
-    pub(super) fn note(&mut self, loss: Loss<R>) {
+    pub(super) fn record(&mut self, loss: Loss<R>) {
         self.0
             .retain(|known| known.span.lost + TTL >= loss.span.lost);
         if self.0.len() >= CAPACITY {
--- a/crates/protocol/src/quarantine/silence.rs
+++ b/crates/protocol/src/quarantine/silence.rs
@@ -17,7 +17,7 @@
 const TTL: Duration = Duration::from_secs(5);
 /// A request sent to an unresponsive runner within this time after the first unanswered one may
 /// have caused the silence. Later requests reached a runner that was already unresponsive.
-const SILENT_ON_ARRIVAL: Duration = Duration::from_millis(250);
+const CAUSE_WINDOW: Duration = Duration::from_millis(250);
 /// Time after its last sign of life for which a runner counts as alive.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
 /// Maximum number of remembered silences, and a quarter of that of signs of life.
@@ -67,9 +67,7 @@
 impl<R: Clone + Eq + Hash> Silences<R> {
     /// Whether no runner is known to be unresponsive.
     pub(super) fn is_empty(&self) -> bool {
-        self.unanswered
-            .iter()
-            .all(|unanswered| unanswered.is_cleared)
+        self.unanswered.iter().all(|entry| entry.is_cleared)
     }
 
     /// Records a sign of life from a runner, which ends its silence.
@@ -82,15 +80,15 @@
             }
             self.last_activity.insert(runner.clone(), at);
         }
-        self.clear_where(|unanswered| unanswered.runner == *runner && unanswered.sent < at);
+        self.clear_where(|entry| entry.runner == *runner && entry.sent < at);
         if self.since.get(runner).is_some_and(|since| *since < at) {
             self.since.remove(runner);
         }
     }
 
     fn clear_where(&mut self, is_cleared: impl Fn(&Unanswered<R>) -> bool) {
-        for unanswered in &mut self.unanswered {
-            unanswered.is_cleared |= is_cleared(unanswered);
+        for entry in &mut self.unanswered {
+            entry.is_cleared |= is_cleared(entry);
         }
     }
 
@@ -103,7 +101,7 @@
 
     /// Records that a runner has been unresponsive since a request was sent there; returns whether
     /// that is new.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         content: ContentId,
         runner: &R,
@@ -112,9 +110,9 @@
         now: Moment,
     ) -> bool {
         self.expire(now);
-        let is_same = |unanswered: &Unanswered<R>| {
-            let is_later = sent > unanswered.sent + CLOCK_TOLERANCE;
-            unanswered.content == content && unanswered.runner == *runner && !is_later
+        let is_same = |entry: &Unanswered<R>| {
+            let is_later = sent > entry.sent + CLOCK_TOLERANCE;
+            entry.content == content && entry.runner == *runner && !is_later
         };
         let is_known = self.unanswered.iter().any(is_same);
         if noted + TTL < now || is_known || !self.is_silent(runner, sent) {
@@ -136,39 +134,34 @@
     }
 
     fn expire(&mut self, now: Moment) {
-        self.unanswered
-            .retain(|unanswered| unanswered.noted + TTL * 2 >= now);
+        self.unanswered.retain(|entry| entry.noted + TTL * 2 >= now);
         let unanswered = &self.unanswered;
-        let is_held = |runner: &R| {
-            unanswered
-                .iter()
-                .any(|unanswered| unanswered.runner == *runner)
-        };
-        self.since.retain(|runner, _| is_held(runner));
+        let is_referenced = |runner: &R| unanswered.iter().any(|entry| entry.runner == *runner);
+        self.since.retain(|runner, _| is_referenced(runner));
     }
 
     /// Clears a request that has been answered: it did not make these runners unresponsive.
     pub(super) fn clear(&mut self, content: ContentId, at: Moment) {
-        self.clear_where(|unanswered| unanswered.content == content && unanswered.sent <= at);
+        self.clear_where(|entry| entry.content == content && entry.sent <= at);
     }
 
     /// Clears a runner that has exited, since its exit is counted separately.
     pub(super) fn runner_exited(&mut self, runner: &R) {
-        self.clear_where(|unanswered| unanswered.runner == *runner);
+        self.clear_where(|entry| entry.runner == *runner);
     }
 
     /// Silences that currently count for a request.
     fn of(&self, content: ContentId, now: Moment) -> impl Iterator<Item = &Unanswered<R>> {
         let unanswered = self.unanswered.iter();
-        unanswered.filter(move |unanswered| {
-            unanswered.content == content && unanswered.counts(now) && self.is_suspect(unanswered)
+        unanswered.filter(move |entry| {
+            entry.content == content && entry.counts(now) && self.is_suspect(entry)
         })
     }
 
     /// Whether a request may have made the runner unresponsive.
-    fn is_suspect(&self, unanswered: &Unanswered<R>) -> bool {
-        let since = self.since.get(&unanswered.runner);
-        since.is_none_or(|since| unanswered.sent <= *since + SILENT_ON_ARRIVAL)
+    fn is_suspect(&self, entry: &Unanswered<R>) -> bool {
+        let since = self.since.get(&entry.runner);
+        since.is_none_or(|since| entry.sent <= *since + CAUSE_WINDOW)
     }
 
     /// Number of runners that have not answered a request.
@@ -198,10 +191,7 @@
     /// excluding those that are known to be.
     pub(super) fn in_progress(&self, content: ContentId, now: Moment) -> u32 {
         let since = now.saturating_sub(RECENTLY_ACTIVE);
-        let is_known = |runner: &R| {
-            self.of(content, now)
-                .any(|unanswered| unanswered.runner == *runner)
-        };
+        let is_known = |runner: &R| self.of(content, now).any(|entry| entry.runner == *runner);
         let in_progress = self.in_progress.get(&content).into_iter().flatten();
         let in_progress =
             in_progress.filter(|runner| self.is_silent(runner, since) && !is_known(runner));
@@ -210,9 +200,7 @@
 
     /// When the first of the request's silences stops counting.
     pub(super) fn until(&self, content: ContentId, now: Moment) -> Option<Moment> {
-        self.of(content, now)
-            .map(|unanswered| unanswered.noted + TTL)
-            .min()
+        self.of(content, now).map(|entry| entry.noted + TTL).min()
     }
 
     /// All unresponsive runners; a runner may occur more than once.
@@ -220,8 +208,8 @@
         let unanswered = self
             .unanswered
             .iter()
-            .filter(move |unanswered| unanswered.counts(now));
-        unanswered.map(|unanswered| &unanswered.runner)
+            .filter(move |entry| entry.counts(now));
+        unanswered.map(|entry| &entry.runner)
     }
 
     /// Requests that unresponsive runners have not answered.
@@ -229,15 +217,15 @@
         let unanswered = self
             .unanswered
             .iter()
-            .filter(move |unanswered| unanswered.counts(now));
-        unanswered.map(|unanswered| unanswered.content)
+            .filter(move |entry| entry.counts(now));
+        unanswered.map(|entry| entry.content)
     }
 
     pub(super) fn report(&self, content: ContentId, now: Moment) -> Vec<Silence<R>> {
-        let silence = |unanswered: &Unanswered<R>| Silence {
-            runner: unanswered.runner.clone(),
-            sent: now.saturating_sub(unanswered.sent),
-            noted: now.saturating_sub(unanswered.noted),
+        let silence = |entry: &Unanswered<R>| Silence {
+            runner: entry.runner.clone(),
+            sent: now.saturating_sub(entry.sent),
+            noted: now.saturating_sub(entry.noted),
         };
         self.of(content, now).map(silence).collect()
     }
--- a/crates/protocol/src/quarantine/suspect.rs
+++ b/crates/protocol/src/quarantine/suspect.rs
@@ -103,14 +103,14 @@
             known.isolated |= isolated;
             return is_new;
         }
-        let ended = CrashRecord {
+        let record = CrashRecord {
             runner: runner.clone(),
             span,
             isolated,
         };
         let earlier = |known: &CrashRecord<R>| known.span.lost <= span.lost;
         let place = self.crashes.partition_point(earlier);
-        self.crashes.insert(place, ended);
+        self.crashes.insert(place, record);
         if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
@@ -131,7 +131,7 @@
     }
 
     /// Merges a trial; returns whether it is new.
-    pub(super) fn note_trial(&mut self, trials: u32, at: Moment) -> bool {
+    pub(super) fn record_trial(&mut self, trials: u32, at: Moment) -> bool {
         let is_later = self.tried.is_none_or(|tried| at > tried + CLOCK_TOLERANCE);
         if self.is_void(at) || !is_later && trials <= self.trials {
             return false;
@@ -159,8 +159,8 @@
     /// Crashes that count: those where the request had been sent before the runner exited.
     fn counted(&self, exits: &ExitTimes<R>) -> impl DoubleEndedIterator<Item = &CrashRecord<R>> {
         let was_there = |crash: &&CrashRecord<R>| {
-            let end = exits.get(&crash.runner);
-            end.is_none_or(|end| crash.span.sent <= *end)
+            let exit = exits.get(&crash.runner);
+            exit.is_none_or(|exit| crash.span.sent <= *exit)
         };
         self.crashes.iter().filter(was_there)
     }
--- a/crates/protocol/tests/call_search.rs
+++ b/crates/protocol/tests/call_search.rs
@@ -141,7 +141,7 @@
         let claim::Action::Write { check, row } = action else {
             return claim::Event::Found(self.row);
         };
-        if check != self.row.map(|kept| kept.revision) {
+        if check != self.row.map(|stored| stored.revision) {
             return claim::Event::Found(self.row);
         }
         let revision = check.unwrap_or(0) + 1;
@@ -152,9 +152,9 @@
     fn claim(&mut self, i: usize, event: claim::Event) {
         let event = match event {
             claim::Event::Unsure if self.has(Mutation::UnsureIsApplied) => claim::Event::Written(1),
-            claim::Event::Found(Some(mut kept)) if self.has(Mutation::IgnoreOwner) => {
-                kept.row.progress = Progress::Released;
-                claim::Event::Found(Some(kept))
+            claim::Event::Found(Some(mut stored)) if self.has(Mutation::IgnoreOwner) => {
+                stored.row.progress = Progress::Released;
+                claim::Event::Found(Some(stored))
             }
             event => event,
         };
@@ -414,7 +414,7 @@
         let wrongly_not_run = |r: &Request| r.ran && r.reported == not_run;
         let wrongly_answered =
             |r: &Request| !r.ran && r.reported == Some(Reported::End(Outcome::Complete));
-        let row = self.row.map(|kept| kept.row);
+        let row = self.row.map(|stored| stored.row);
         let left_behind = |(i, r): (usize, &Request)| {
             let settled = r.cleanup_skipped || r.claim.as_ref().is_some_and(Claim::is_settled);
             let mine = |row: Row| row.token == i as u128 + 1 && row.progress == Progress::Claimed;
--- a/crates/protocol/tests/claim_model.rs
+++ b/crates/protocol/tests/claim_model.rs
@@ -74,7 +74,7 @@
     }
 
     fn execute(&mut self, action: claim::Action) -> claim::Event {
-        let current = self.row.map(|kept| kept.revision);
+        let current = self.row.map(|stored| stored.revision);
         match action {
             claim::Action::RetryLater => claim::Event::Retry,
             claim::Action::Write { check, row } if check == current => {
--- a/crates/protocol/tests/counterexamples.rs
+++ b/crates/protocol/tests/counterexamples.rs
@@ -38,8 +38,8 @@
         digest: 0,
         progress: Progress::Released,
     };
-    let kept = StoredRow { row, revision: 2 };
-    let insert = claim.on(claim::Event::Found(Some(kept)));
+    let stored = StoredRow { row, revision: 2 };
+    let insert = claim.on(claim::Event::Found(Some(stored)));
     assert!(matches!(
         insert,
         claim::Action::Write { check: Some(2), .. }
@@ -50,7 +50,7 @@
         claim::Action::Resolve(Decision::Unavailable)
     );
     assert_eq!(claim.on(claim::Event::Retry), claim::Action::Read);
-    let close = claim.on(claim::Event::Found(Some(kept)));
+    let close = claim.on(claim::Event::Found(Some(stored)));
     assert!(
         matches!(close, claim::Action::Write { check: Some(2), row } if row.progress == Progress::Released)
     );
@@ -154,8 +154,8 @@
     };
     lease.on(lease::Event::Unsure, 5 * second);
     assert_eq!(lease.tick(5 * second), Some(lease::Action::Read));
-    let kept = lease::StoredRow { row, revision: 1 };
-    lease.on(lease::Event::Found(Some(kept)), 6 * second);
+    let stored = lease::StoredRow { row, revision: 1 };
+    lease.on(lease::Event::Found(Some(stored)), 6 * second);
     assert_eq!(lease.may_act(6 * second), Some(1));
     assert_eq!(lease.may_act(7 * second), None);
 }
--- a/crates/protocol/tests/lease_search.rs
+++ b/crates/protocol/tests/lease_search.rs
@@ -112,11 +112,11 @@
         let Action::Write { check, row } = action else {
             return Event::Found(self.row);
         };
-        let current = self.row.map(|kept| kept.revision);
+        let current = self.row.map(|stored| stored.revision);
         if check != current && self.mutation != Mutation::UncheckedWrite {
             return Event::Found(self.row);
         }
-        if self.row.map(|kept| kept.row.holder) != Some(row.holder) {
+        if self.row.map(|stored| stored.row.holder) != Some(row.holder) {
             self.term += 1;
             self.processes[i].term = self.term;
         }
@@ -182,7 +182,7 @@
             }
             Step::OrderArrives(order) => self.order_arrives(order),
             Step::AgentReads => {
-                let current = self.row.map_or(0, |kept| kept.row.fence);
+                let current = self.row.map_or(0, |stored| stored.row.fence);
                 self.fence.learn(current);
             }
             Step::AgentCrashes => {
