--- a/crates/protocol/tests/quarantine_rules.rs
+++ b/crates/protocol/tests/quarantine_rules.rs
@@ -84,7 +84,7 @@
 }
 
 /// Guards against a poison request that is not blamed because a response was lost before, at a runner
-/// that stored running.
+/// that kept running.
 #[test]
 fn loss_before_response_is_forgotten() {
     let mut quarantine: Quarantine<u32> = Quarantine::default();
@@ -150,7 +150,7 @@
 }
 
 /// Guards against a request that crashes its runner but is treated as sent after the exit, because the
-/// runner had lost the response to another request shortly before and had stored running.
+/// runner had lost the response to another request shortly before and had kept running.
 #[test]
 fn loss_before_exit_is_not_the_exit() {
     let mut quarantine = Quarantine::default();
