--- a/crates/protocol/src/follower.rs
+++ b/crates/protocol/src/follower.rs
@@ -1,32 +1,33 @@
-//! A process that follows the log of accepted configuration changes.
+//! Following of the log of accepted configuration changes.
 
 use crate::id::Revision;
 
-/// What reaches the follower.
+/// Events that concern the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Head of the log as read from the table.
     Head(Revision),
     /// The table could not be read.
     Down,
-    /// A process has accepted or applied this revision; the word may be late or lost.
+    /// A process has accepted or applied this revision; the message may be late or lost.
     Push(Revision),
-    /// Highest revision applied by the ready peers that answered; none counts without any.
+    /// Highest revision applied by the ready peers that responded. Not sent if none responded.
     Peers(Revision),
     /// One entry of the log, from the table or from a peer.
     Entry(Revision),
-    /// All records as they are at this revision.
+    /// All records as of this revision.
     Snapshot(Revision),
 }
 
 /// What the process must do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Put the entry or snapshot in force.
+    /// Put the entry or snapshot into force.
     Apply(Revision),
-    /// Get the log's entries after this revision, from the table or, while it is down, a peer.
+    /// Fetch the log's entries after this revision, from the table or, while it is down, from a
+    /// peer.
     Fetch {
-        /// Last revision that is in force here.
+        /// Last revision that is in force in this process.
         after: Revision,
     },
     /// Ask the peers which revision they have applied.
@@ -35,7 +36,7 @@
     Ignore,
 }
 
-/// One process's place in the log.
+/// One process's position in the log.
 ///
 /// # Examples
 ///
@@ -52,48 +53,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Follower {
     applied: Revision,
-    wanted: Revision,
+    latest_known: Revision,
     goal: Option<Revision>,
     down: bool,
     ready: bool,
 }
 
 impl Follower {
-    /// A fresh process: nothing is in force.
+    /// Creates the follower of a newly started process, with nothing in force.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Revision in force here; zero before the first.
+    /// Revision in force in this process; zero before the first.
     #[must_use]
     pub fn applied(&self) -> Revision {
         self.applied
     }
 
-    /// Highest revision heard of.
+    /// Highest known revision.
     #[must_use]
-    pub fn wanted(&self) -> Revision {
-        self.wanted
+    pub fn latest_known(&self) -> Revision {
+        self.latest_known
     }
 
     /// Whether the process may serve.
     ///
-    /// A fresh process that served with whatever it had first would bring back a configuration
-    /// that an operator has replaced, so it waits for the log's head or, while the table is down,
-    /// for what its peers have seen.
+    /// A new process that served with the first configuration it received might revert to one that
+    /// an operator has replaced. So it waits until it has applied the log's head or, while the
+    /// table is down, the revision that its peers have applied.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Takes in an event and says what to do.
+    /// Processes an event and returns the action to take.
     pub fn on(&mut self, event: Event) -> Action {
         match event {
             Event::Head(revision) => self.head(revision),
             Event::Down => self.down(),
-            Event::Peers(revision) if self.down => self.aim(revision),
-            Event::Peers(revision) | Event::Push(revision) => self.want(revision),
+            Event::Peers(revision) if self.down => self.raise_goal(revision),
+            Event::Peers(revision) | Event::Push(revision) => self.note_revision(revision),
             Event::Entry(revision) => self.entry(revision),
             Event::Snapshot(revision) => self.snapshot(revision),
         }
@@ -101,7 +102,7 @@
 
     fn head(&mut self, revision: Revision) -> Action {
         self.down = false;
-        self.aim(revision)
+        self.raise_goal(revision)
     }
 
     fn down(&mut self) -> Action {
@@ -112,17 +113,17 @@
         Action::AskPeers
     }
 
-    /// A push alone never makes a process ready, nor do peers while the table answers: both may
-    /// name an old revision.
-    fn aim(&mut self, revision: Revision) -> Action {
+    /// Neither a push nor, while the table is available, the peers make a process ready: both may
+    /// name an outdated revision.
+    fn raise_goal(&mut self, revision: Revision) -> Action {
         self.goal = self.goal.max(Some(revision));
-        self.settle();
-        self.want(revision)
+        self.update_ready();
+        self.note_revision(revision)
     }
 
-    fn want(&mut self, revision: Revision) -> Action {
-        self.wanted = self.wanted.max(revision);
-        if self.applied < self.wanted {
+    fn note_revision(&mut self, revision: Revision) -> Action {
+        self.latest_known = self.latest_known.max(revision);
+        if self.applied < self.latest_known {
             return Action::Fetch {
                 after: self.applied,
             };
@@ -130,16 +131,17 @@
         Action::Ignore
     }
 
-    /// Entries are applied without gaps: an entry that was lost on the way would otherwise never
-    /// come into force here, while the revision number says that it has.
+    /// Applies entries without gaps: an entry lost in transit would otherwise never come into force
+    /// in this process, although its revision number implies that it has.
     fn entry(&mut self, revision: Revision) -> Action {
         if revision == self.applied + 1 {
             return self.apply(revision);
         }
-        self.want(revision)
+        self.note_revision(revision)
     }
 
-    /// A snapshot read before the latest entry arrived must not turn the process back.
+    /// Ignores a snapshot that was read before the latest entry arrived, which would revert
+    /// changes.
     fn snapshot(&mut self, revision: Revision) -> Action {
         if revision > self.applied {
             return self.apply(revision);
@@ -149,12 +151,12 @@
 
     fn apply(&mut self, revision: Revision) -> Action {
         self.applied = revision;
-        self.wanted = self.wanted.max(revision);
-        self.settle();
+        self.latest_known = self.latest_known.max(revision);
+        self.update_ready();
         Action::Apply(revision)
     }
 
-    fn settle(&mut self) {
+    fn update_ready(&mut self) {
         self.ready |= self.goal.is_some_and(|goal| self.applied >= goal);
     }
 }
