--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of the relay share.
+//! State that the modules of the relay share.
 
 use crate::batch::{Batcher, Cell, Share};
 use crate::configuration::{BatchSettings, Configuration, LAST_RANK, RegionId, ServiceId};
@@ -27,64 +27,64 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Part of the longest patience on a route below which a caller has tried before. One that was refused
-/// for want of capacity is told to let a [`RETRY_PART`] of its time pass; the bound lies midway
-/// between what it has left then and the whole, since callers of one route differ in what they state
-/// from the start.
-const FIRST_LEAST: f64 = 1.0 - 0.5 / RETRY_PART as f64;
+/// Fraction of a route's longest timeout below which a request counts as a retry. A client that is refused
+/// for lack of capacity is told to wait for one [`RETRY_PART`]th of its time. The threshold lies midway
+/// between the remainder and the whole, since clients of one route differ in their initial timeouts.
+const MIN_FIRST_ATTEMPT_FRACTION: f64 = 1.0 - 0.5 / RETRY_PART as f64;
 
-/// Part of the process's memory that bodies of requests may take up, and bodies of answers as much.
-const BODIES_PART: usize = 4;
+/// Request bodies may occupy one `BODY_MEMORY_DIVISOR`th of the process's memory, and response bodies as
+/// much again.
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// What a relay is told at its start.
+/// Options that a relay is started with.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Failure domain that it runs in.
+    /// Failure domain that the relay runs in.
     pub domain: DomainId,
-    /// Bound on second attempts of the whole fleet, until it is changed.
+    /// Initial limit on the retries of all relays together.
     pub retry_bound: Bound,
-    /// Processes that share this bound, as far as they do not know of one another.
+    /// Number of processes that share this limit, used until membership is known.
     pub processes: usize,
-    /// This process, as the others see it.
+    /// Membership entry of this process.
     pub member: Member,
-    /// Shared key of the processes.
+    /// Key that all relay processes share.
     pub key: wire::Key,
-    /// Which decisions it takes.
+    /// Policy for each kind of decision.
     pub policy: setting::relay::Policies,
     /// Region of each failure domain.
     pub regions: Map<DomainId, RegionId>,
-    /// What runners bear that have just started.
+    /// Request limits of runners that have just started.
     pub warmup: setting::relay::Warmup,
-    /// Clock that counts suspensions.
+    /// Clock that also advances while the VM is suspended.
     pub clock: Clock,
-    /// Bytes that the process may take up.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// Time within which a runner that has said that it leaves must get no new work.
+    /// Time within which new work must stop reaching a runner that has announced its shutdown.
     pub drain: Duration,
 }
 
-/// One process that takes requests and passes them on.
+/// A relay process, which accepts requests and forwards them to runners.
 #[derive(Debug)]
 pub struct Relay<D> {
-    /// What it was told.
+    /// Options that the relay was started with.
     pub options: Options,
-    /// Calls to runners.
+    /// Client for calls to runners.
     pub downstream: D,
-    /// Logger of decisions.
+    /// Logger for decisions.
     pub log: Logger,
-    /// Counters and histograms.
+    /// Metrics of the relay.
     pub telemetry: Telemetry,
-    /// The other processes.
+    /// Links to the other relay processes.
     pub peers: Peers,
-    /// Memory for the bodies of requests.
+    /// Memory budget for request bodies.
     pub requests: MemoryBudget,
-    /// Memory for the bodies of answers.
+    /// Memory budget for response bodies.
     pub answers: MemoryBudget,
-    /// Spans in which the process did not run.
+    /// Detects periods in which the process did not run.
     pub(crate) pause: PauseDetector,
-    /// Set shortly before the process ends: what no runner has by then is refused.
+    /// Cancelled shortly before the process exits; requests that no runner has by then are refused.
     pub ending: CancellationToken,
     started: Instant,
     configuration: RwLock<Option<Arc<Configuration>>>,
@@ -98,30 +98,30 @@
     retry_bound: Mutex<Bound>,
     quotas: Mutex<Map<ServiceId, Quota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
-    /// Longest time that a caller of each route has been ready to wait.
-    patience: Mutex<Map<String, Duration>>,
+    /// Longest client timeout seen on each route.
+    longest_timeouts: Mutex<Map<String, Duration>>,
     shares: Mutex<Map<ServiceId, Arc<Vec<Share>>>>,
-    /// When the list of runners was last known to be complete.
-    listed: Mutex<Option<Instant>>,
+    /// When the list of runners was last known to be up to date.
+    list_current_at: Mutex<Option<Instant>>,
     rng: Mutex<SmallRng>,
 }
 
-/// A panic while a lock was held cannot have left the maps behind it half changed in a way that
-/// matters more than serving on.
+/// Locks a mutex even if it is poisoned: a panic cannot have left the maps behind these locks in a state that
+/// would justify ceasing to serve.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<D: Downstream> Relay<D> {
-    /// A relay that knows nothing yet.
+    /// Creates a relay without a configuration or a list of runners.
     #[must_use]
     pub fn new(options: Options, downstream: D, log: Logger, telemetry: Telemetry) -> Arc<Self> {
         Arc::new(Self {
             peers: Peers::new(options.member.clone(), options.key.clone()),
             pause: PauseDetector::new(options.clock),
             ending: CancellationToken::new(),
-            requests: MemoryBudget::new(options.memory / BODIES_PART),
-            answers: MemoryBudget::new(options.memory / BODIES_PART),
+            requests: MemoryBudget::new(options.memory / BODY_MEMORY_DIVISOR),
+            answers: MemoryBudget::new(options.memory / BODY_MEMORY_DIVISOR),
             retry_bound: Mutex::new(options.retry_bound),
             options,
             downstream,
@@ -138,32 +138,32 @@
             pools: Mutex::default(),
             quotas: Mutex::default(),
             batchers: Mutex::default(),
-            patience: Mutex::default(),
+            longest_timeouts: Mutex::default(),
             shares: Mutex::default(),
-            listed: Mutex::default(),
+            list_current_at: Mutex::default(),
             rng: Mutex::new(SmallRng::from_os_rng()),
         })
     }
 
-    /// Time since the start, by the steady clock.
+    /// Time since the relay started, on the monotonic clock.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// When the relay started.
+    /// Moment at which the relay started.
     #[must_use]
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// The same clock's reading at a moment.
+    /// Time from the start of the relay to `moment`.
     #[must_use]
     pub fn at(&self, moment: Instant) -> Duration {
         moment.saturating_duration_since(self.started)
     }
 
-    /// The configuration in force, once one is known.
+    /// The configuration in force, if one has been received.
     #[must_use]
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         let configuration = self
@@ -173,7 +173,7 @@
         configuration.clone()
     }
 
-    /// Takes a configuration into force if it is newer than the one that is; tells whether.
+    /// Puts a configuration into force if it is newer than the current one, and returns whether it is.
     pub fn adopt(&self, configuration: Configuration) -> bool {
         let mut current = self
             .configuration
@@ -195,45 +195,45 @@
         true
     }
 
-    /// Whether configuration and runners are known, so that requests can be served.
+    /// Whether the configuration and the list of runners are known, so that requests can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let fleet = self.fleet.read().unwrap_or_else(PoisonError::into_inner);
         fleet.is_some() && self.configuration().is_some()
     }
 
-    /// Something of the runners that take new work.
+    /// Reads the runners that accept new work; `None` before the first list has arrived.
     pub fn fleet<T>(&self, read: impl FnOnce(&Fleet) -> T) -> Option<T> {
         let fleet = self.fleet.read().unwrap_or_else(PoisonError::into_inner);
         fleet.as_ref().map(read)
     }
 
-    /// Age of what is known of the runners.
+    /// Age of the list of runners.
     #[must_use]
     pub fn runner_list_age(&self) -> Option<Duration> {
-        lock(&self.listed).map(|listed| listed.elapsed())
+        lock(&self.list_current_at).map(|moment| moment.elapsed())
     }
 
-    /// The list of runners was complete at this moment.
+    /// Records that the list of runners was up to date at `moment`.
     pub(crate) fn mark_runner_list_current(&self, moment: Instant) {
-        *lock(&self.listed) = Some(moment);
+        *lock(&self.list_current_at) = Some(moment);
     }
 
-    /// The process that forms a cell's calls, as far as is known now.
+    /// The process that currently owns a cell, and so forms its calls.
     #[must_use]
     pub fn owner(&self, cell: &Cell) -> MemberId {
         self.peers.members(|members| members.owner(&cell.name()).id)
     }
 
-    /// Takes in changes of the list of runners, the first of them even if there are none.
+    /// Applies changes to the list of runners. The first call makes the list known even if it has no changes.
     pub fn update(&self, changes: Vec<Change>) {
-        *lock(&self.listed) = Some(Instant::now());
+        *lock(&self.list_current_at) = Some(Instant::now());
         self.change_fleet(changes);
     }
 
-    /// The runners of the failure domains that are drained by now, and of no others, get no new work.
+    /// Stops new work for the runners of the drained failure domains, and resumes it for all others.
     pub(crate) fn drain_runners(&self) {
-        // Before the first list there are none.
+        // No runners are known before the first list arrives.
         if self.fleet(|_| ()).is_some() {
             self.change_fleet(Vec::new());
         }
@@ -241,30 +241,30 @@
 
     fn change_fleet(&self, changes: Vec<Change>) {
         let mut services = Vec::new();
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         {
             let mut fleet = self.fleet.write().unwrap_or_else(PoisonError::into_inner);
             let fleet = fleet.get_or_insert_default();
             for runner in fleet.drain(self.drains().domains) {
                 let id = runner.id.clone();
                 self.update_one(fleet, Change::Listed(runner), &mut services);
-                if let Some(back) = fleet.get(&id) {
-                    self.note_returned(back);
+                if let Some(returned) = fleet.get(&id) {
+                    self.mark_cold_after_drain(returned);
                 }
             }
             for change in changes {
                 if let Change::Listed(runner) = &change {
-                    self.note_cold(runner);
+                    self.mark_cold_as_listed(runner);
                 }
-                let end = fleet.exited_runner(&change).cloned();
-                if let Some(runner) = &end {
+                let exit = fleet.exited_runner(&change).cloned();
+                if let Some(runner) = &exit {
                     self.record_outage(runner);
                 }
-                ended.extend(end);
+                exited.extend(exit);
                 self.update_one(fleet, change, &mut services);
             }
         }
-        for runner in ended {
+        for runner in exited {
             lock(&self.limits).forget(&runner.id);
             self.record_exit(&runner);
         }
@@ -289,7 +289,7 @@
             return;
         }
         let after = fleet.get(&id).cloned();
-        slog::info!(self.log, "runner";
+        slog::info!(self.log, "runner updated";
             "runner" => &*id,
             "service" => before.as_ref().or(after.as_ref()).map(|runner| runner.service.to_string()),
             "address" => after.as_ref().map(|runner| runner.address.to_string()),
@@ -308,13 +308,13 @@
         }
     }
 
-    /// The runner of that name, if it takes new work.
+    /// The runner of this name, if it accepts new work.
     #[must_use]
     pub fn runner(&self, id: &str) -> Option<Arc<Runner>> {
         self.fleet(|fleet| fleet.get(id).cloned()).flatten()
     }
 
-    /// Whether a runner that was chosen a while ago still takes new work.
+    /// Whether a runner that was chosen earlier still accepts new work under the same start time and address.
     #[must_use]
     pub(crate) fn is_open(&self, runner: &Runner) -> bool {
         let known = self.runner(&runner.id);
@@ -322,18 +322,18 @@
             .is_some_and(|known| known.started == runner.started && known.address == runner.address)
     }
 
-    /// Whether the runner takes work, or would but for a drain, just as this entry says.
+    /// Whether this entry of a runner is current; runners of drained failure domains count too.
     #[must_use]
     pub(crate) fn has_entry(&self, runner: &Runner) -> bool {
         self.fleet(|fleet| fleet.has_entry(runner)).unwrap_or(false)
     }
 
-    /// Works on what is known of a service's runners.
+    /// Runs `work` on the routing state of a service's runners.
     pub fn pool<T>(&self, service: &ServiceId, work: impl FnOnce(&mut Pool) -> T) -> T {
         work(lock(&self.pools).entry(service.clone()).or_default())
     }
 
-    /// The calls that this process has at the services that are sent prompts.
+    /// The load that this process puts on the runners of services that have recently received prompts.
     pub(crate) fn burdens(&self) -> Vec<(ServiceId, Burdens)> {
         let now = self.now();
         let pools = lock(&self.pools);
@@ -343,20 +343,20 @@
             .collect()
     }
 
-    /// Counts first attempts at a service: one of a request, or those of its pieces.
+    /// Counts first attempts at a service: that of a request, or those of its pieces.
     pub fn count_first_attempts(&self, service: &ServiceId, count: u32) {
         let now = self.now();
         self.quota(service, |quota| quota.first(now, count));
     }
 
-    /// Whether a second attempt may be sent to a service now; if so, it is counted.
+    /// Takes a retry from a service's retry budget; returns whether there was one left.
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
         self.quota(service, |quota| quota.repeat(now, processes))
     }
 
-    /// The operator has changed the bound on second attempts.
+    /// Changes the limit on retries, as the operator has set it.
     pub fn set_retry_bound(&self, bound: Bound) {
         *lock(&self.retry_bound) = bound;
         let now = self.now();
@@ -365,7 +365,7 @@
         }
     }
 
-    /// Processes that serve, this one included.
+    /// Number of serving relay processes, including this one.
     #[must_use]
     pub fn processes(&self) -> usize {
         self.peers.count().unwrap_or(self.options.processes)
@@ -380,7 +380,7 @@
         work(quota)
     }
 
-    /// The calls that this process forms for a cell.
+    /// The batcher that forms the calls of a cell in this process.
     pub fn batcher(&self, cell: &Cell) -> Arc<Batcher<D>> {
         if let Some(batcher) = lock(&self.batchers).get(cell) {
             return batcher.clone();
@@ -393,28 +393,28 @@
             .clone()
     }
 
-    /// The cell that makes the pieces of one more request, best in a failure domain, for which they
-    /// may wait `patience`.
+    /// Chooses the cell that makes the pieces of a request. A cell in `domain` is preferred to any other cell
+    /// whose expected wait is not shorter by more than `patience`.
     pub fn cell(&self, service: &ServiceId, domain: Option<&str>, patience: Duration) -> Cell {
         let shares = self.shares(service);
         let near = |share: &Share| domain.is_some_and(|wanted| share.is_near(wanted));
         let cost = |share: &&Share| {
-            let away = domain.is_some() && !near(share);
-            let wait = if away { patience } else { Duration::ZERO };
+            let is_distant = domain.is_some() && !near(share);
+            let wait = if is_distant { patience } else { Duration::ZERO };
             self.peers.expected(self, &share.cell, LAST_RANK) + wait
         };
-        // Two drawn at random, not the best of all: many processes that go by the same news would
-        // all go to the same cell. One near the wanted domain is among them, if there is one.
-        let drawn = (0..2).map(|_| &shares[self.random(|rng| rng.random_range(0..shares.len()))]);
+        // Two random cells are compared rather than all, since many processes with the same load reports would
+        // all choose the same cell. One cell near the wanted domain is added if there is one.
+        let sampled = (0..2).map(|_| &shares[self.random(|rng| rng.random_range(0..shares.len()))]);
         let offset = self.random(|rng| rng.random_range(0..shares.len()));
-        let turned = (0..shares.len()).map(|step| &shares[(offset + step) % shares.len()]);
-        let wanted = turned.filter(|share| near(share)).take(1);
-        let chosen = drawn.chain(wanted).min_by_key(cost);
+        let rotated = (0..shares.len()).map(|step| &shares[(offset + step) % shares.len()]);
+        let wanted = rotated.filter(|share| near(share)).take(1);
+        let chosen = sampled.chain(wanted).min_by_key(cost);
         chosen.map_or_else(|| Cell::first(service), |share| share.cell.clone())
     }
 
-    /// The cell that makes the pieces of requests under which runners have ended: the same for each attempt,
-    /// so that one process sends them to one runner after the other.
+    /// The cell that makes the pieces of requests during which runners have exited. It is the same for each
+    /// attempt, so that a single process sends them to one runner at a time.
     pub(crate) fn suspect_cell(&self, service: &ServiceId, content: ContentId) -> Cell {
         let shares = self.shares(service);
         let place = content as usize % shares.len().max(1);
@@ -422,8 +422,8 @@
         share.map_or_else(|| Cell::first(service), |share| share.cell.clone())
     }
 
-    /// Starts calls to runners of a service that serve again.
-    pub(crate) fn resume(self: &Arc<Self>, service: &ServiceId) {
+    /// Starts waiting calls of a service after one of its runners has come back.
+    pub(crate) fn restart_calls(self: &Arc<Self>, service: &ServiceId) {
         let batchers = lock(&self.batchers);
         let concerned = batchers.iter().filter(|(cell, _)| cell.service == *service);
         let concerned: Vec<_> = concerned.map(|(_, batcher)| batcher.clone()).collect();
@@ -433,11 +433,11 @@
         }
     }
 
-    /// The cells of a service, formed anew only when its runners change: at a thousand runners
-    /// sorting them for each piece took longer than all else.
+    /// The cells of a service. They are cached until its runners change, since at a thousand runners sorting
+    /// them for each piece dominated all other work.
     pub fn shares(&self, service: &ServiceId) -> Arc<Vec<Share>> {
-        // Under one lock: a list that is read before a change and kept after it would hold a runner
-        // that has left.
+        // The lock is held throughout: a list that is read before a change and cached after it would contain a
+        // runner that has left.
         let mut shares = lock(&self.shares);
         let form = || {
             let runners = self.fleet(|fleet| fleet.of(service).to_vec());
@@ -446,33 +446,33 @@
         shares.entry(service.clone()).or_insert_with(form).clone()
     }
 
-    /// How the service's runners take pieces by the configuration in force, if they do.
+    /// The batch settings of a service in the configuration in force, if its runners take pieces.
     #[must_use]
     pub fn batches(&self, service: &str) -> Option<BatchSettings> {
         self.configuration()?.batches(service)
     }
 
-    /// How long a caller has waited before it sent this attempt, as far as its patience tells: one
-    /// that comes back after a refusal has far less left than others of the route.
+    /// Estimates how long a client has waited before it sent this attempt. A client that retries after a
+    /// refusal has a far shorter timeout than others of the route.
     ///
-    /// The time within which an answer is on time counts from the first attempt. Taken from the
-    /// second one, requests that are late already would go before those that can be on time. A small
-    /// difference tells nothing: callers who were merely less patient from the start would be taken
-    /// for late ones, go behind all others and be refused beside runners that could have served them.
+    /// The latency target counts from the first attempt. Counted from the second one, requests that are
+    /// late already would be scheduled before those that can still be on time. Small differences are ignored:
+    /// clients that merely started with a shorter timeout would count as late, be scheduled after all others
+    /// and be refused although runners could have served them.
     pub fn waited_before(&self, route: &str, patience: Duration) -> Duration {
-        let mut longest = lock(&self.patience);
-        let Some(known) = longest.get_mut(route) else {
-            longest.insert(route.to_owned(), patience);
+        let mut timeouts = lock(&self.longest_timeouts);
+        let Some(longest) = timeouts.get_mut(route) else {
+            timeouts.insert(route.to_owned(), patience);
             return Duration::ZERO;
         };
-        *known = patience.max(*known);
-        if patience < known.mul_f64(FIRST_LEAST) {
-            return *known - patience;
+        *longest = patience.max(*longest);
+        if patience < longest.mul_f64(MIN_FIRST_ATTEMPT_FRACTION) {
+            return *longest - patience;
         }
         Duration::ZERO
     }
 
-    /// Works with the source of random choices.
+    /// Runs `work` with the relay's random number generator.
     pub fn random<T>(&self, work: impl FnOnce(&mut SmallRng) -> T) -> T {
         work(&mut lock(&self.rng))
     }
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -151,7 +151,7 @@
         }
         outages.probed.remove(&probed);
         drop(outages);
-        relay.resume(&runner.service);
+        relay.restart_calls(&runner.service);
     });
 }
 
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,8 +1,7 @@
-//! Requests that end the runners that run them, and are held back for it.
+//! Quarantine of poison requests, which crash the runners that serve them.
 //!
-//! What one process sees it announces to the others over the links of the overlay, and writes to the
-//! table of the processes once a request is held back: one that starts later, or that no link leads
-//! to, reads it there.
+//! Each process announces what it observes over the links of the overlay. Once a request is quarantined, it
+//! also writes a row to the membership table, for processes that start later or that no link reaches.
 
 mod silence;
 
@@ -27,40 +26,40 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// One start of a runner: its name, and when it started.
+/// A runner between two of its starts: its name and start time.
 pub type RunnerInstance = (RunnerId, Option<u64>);
-/// What processes tell one another of a suspect.
+/// State of a suspect request, as processes exchange it.
 pub type Suspicion = Report<RunnerInstance>;
 
-/// Beginning of the keys of rows about requests that are held back.
-const PREFIX: &str = "quarantine/";
-/// Time between two looks whether enough runners are there.
-const RUNNERS_LOOK: Duration = Duration::from_millis(50);
-/// When to come back for runners that have ended: about the time that one takes to start.
-const RUNNERS_RETURN: Duration = Duration::from_secs(1);
-/// Pause after a row could not be written.
-const PAUSE: Duration = Duration::from_millis(400);
+/// Key prefix of the rows of quarantined requests.
+const KEY_PREFIX: &str = "quarantine/";
+/// Interval at which a suspect request checks whether enough runners are up.
+const RUNNERS_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Retry delay told to clients while runners are down: about the time that a runner takes to start.
+const RUNNER_START_TIME: Duration = Duration::from_secs(1);
+/// Delay before a failed write of a row is repeated.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// What this process knows of such requests, and what of it is still to be written.
+/// Suspect requests that this process knows of, and the rows that it still has to write.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     known: Mutex<Quarantine<RunnerInstance>>,
     /// Requests whose rows are out of date.
-    unwritten: Mutex<BTreeSet<ContentId>>,
+    outdated: Mutex<BTreeSet<ContentId>>,
     changed: Notify,
 }
 
 impl State {
     fn rewrite(&self, content: ContentId) {
-        lock(&self.unwritten).insert(content);
+        lock(&self.outdated).insert(content);
         self.changed.notify_one();
     }
 }
 
-/// A row about a request that is held back.
+/// Row of a quarantined request.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Row {
-    /// Runners that it ended.
+    /// Number of runners that crashed while they served the request.
     crashes: u32,
 }
 
@@ -69,9 +68,9 @@
 }
 
 impl<D: Downstream> Relay<D> {
-    /// The answer to a request was lost that had been sent to a runner at a moment.
+    /// Records that the response to a request was lost. `sent` is when the runner was sent the request.
     ///
-    /// `isolated` tells whether the runner was sent nothing but such requests under which others had ended.
+    /// `isolated` is whether the runner was serving nothing but suspect requests.
     pub(crate) fn record_lost_answer(
         &self,
         content: ContentId,
@@ -88,12 +87,12 @@
         }
     }
 
-    /// A runner has ended without a word.
+    /// Records that a runner has exited without announcing it.
     pub(crate) fn record_exit(&self, runner: &Runner) {
         let now = self.now();
         let reports = lock(&self.quarantine.known).ended(&instance(runner), now);
         for report in reports {
-            info!(self.log, "runner ended under a request"; "runner" => &*runner.id,
+            info!(self.log, "runner exited during a request"; "runner" => &*runner.id,
                 "content" => content_name(report.content), "crashes" => report.count);
             self.announce(&report);
             if report.is_held() {
@@ -102,13 +101,13 @@
         }
     }
 
-    /// Takes in what another process knows of a suspect.
+    /// Merges what another process knows of a suspect.
     pub fn merge_suspicion(self: &Arc<Self>, report: &Suspicion, origin: &str) {
         let merged = lock(&self.quarantine.known).merge(report, self.now());
-        self.take_in(report.content, merged, origin);
+        self.propagate(report.content, merged, origin);
     }
 
-    /// A runner has answered a request as it should.
+    /// Records that a runner has served a request successfully.
     pub(crate) fn record_answer(self: &Arc<Self>, content: ContentId, runner: &Runner) {
         let merged = {
             let mut known = lock(&self.quarantine.known);
@@ -121,10 +120,11 @@
         if let Merge::New { was_held: true, .. } = merged {
             self.quarantine.rewrite(content);
         }
-        self.take_in(content, merged, "its answer");
+        self.propagate(content, merged, "response");
     }
 
-    /// A runner of a stage has answered a call, after which all is made of what these orders asked for.
+    /// Records that a stage runner has answered a call; `complete` lists the requests whose pieces are all made
+    /// now.
     pub(crate) fn record_batch_answer(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
         {
             let mut known = lock(&self.quarantine.known);
@@ -139,39 +139,39 @@
         }
     }
 
-    /// Whether runners have ended under any request, as far as is known.
+    /// Whether runners are known to have exited or become unresponsive during any request.
     pub(crate) fn has_suspects(&self) -> bool {
         lock(&self.quarantine.known).has_suspects()
     }
 
-    /// Reads what is known of such requests.
+    /// Reads the quarantine state.
     pub(crate) fn suspects<T>(&self, read: impl FnOnce(&Quarantine<RunnerInstance>) -> T) -> T {
         read(&lock(&self.quarantine.known))
     }
 
-    /// Passes on what is new, so that it reaches all processes that links lead to, and has the row of
-    /// the request follow it.
-    fn take_in(self: &Arc<Self>, content: ContentId, merged: Merge, origin: &str) {
+    /// Forwards new information on a suspect, so that it reaches all linked processes, and schedules an update
+    /// of the request's row.
+    fn propagate(self: &Arc<Self>, content: ContentId, merged: Merge, origin: &str) {
         let Merge::New { was_held, is_held } = merged else {
             return;
         };
         let report = lock(&self.quarantine.known).report(content, self.now());
         let Some(report) = report else { return };
-        info!(self.log, "suspect"; "content" => content_name(content), "crashes" => report.count,
+        info!(self.log, "suspect request updated"; "content" => content_name(content), "crashes" => report.count,
             "trials" => report.trials, "cleared_ago_ms" => report.cleared.map(millis),
             "silent" => report.silences.len(), "was_held" => was_held, "held" => is_held,
             "from" => origin);
-        if is_announced(&report) {
+        if must_announce(&report) {
             self.announce(&report);
         }
-        let is_home = || {
+        let owner = || {
             self.peers
                 .members(|members| members.owner(&key(content)).id)
         };
-        if report.silences.len() >= ANNOUNCED as usize && is_home() == self.options.member.id {
+        if report.silences.len() >= ANNOUNCED as usize && owner() == self.options.member.id {
             self.check_silent(&report);
         }
-        if was_held != is_held && self.order(content) == 0 {
+        if was_held != is_held && self.trial_order(content) == 0 {
             self.quarantine.rewrite(content);
         }
     }
@@ -181,66 +181,68 @@
         self.peers.announce_suspicion(report);
     }
 
-    /// What a new peer is told.
+    /// All suspects, as they are sent to a newly linked peer.
     pub(crate) fn suspicions(&self) -> Vec<Suspicion> {
         lock(&self.quarantine.known).reports(self.now())
     }
 
-    /// A hash of what is known of suspects.
+    /// Hash of the quarantine state, for comparison with other processes.
     pub(crate) fn suspicions_digest(&self) -> u64 {
         lock(&self.quarantine.known).digest()
     }
 
-    /// Whether runners have ended under a request.
+    /// Whether a request is a suspect.
     pub(crate) fn is_suspect(&self, content: ContentId) -> bool {
         lock(&self.quarantine.known).is_suspect(content)
     }
 
-    /// Whether a request is held back here.
+    /// Whether this process currently quarantines a request.
     #[must_use]
     pub fn is_quarantined(&self, content: ContentId) -> bool {
         lock(&self.quarantine.known).is_held(content)
     }
 
-    /// The place of this process among those that try a request again.
-    fn order(&self, content: ContentId) -> u32 {
+    /// Position of this process in the order in which processes may retry a quarantined request.
+    fn trial_order(&self, content: ContentId) -> u32 {
         let row = key(content);
         self.peers.members(|members| members.order(&row))
     }
 
     fn pass(&self, content: ContentId) -> Pass {
         let now = self.now();
-        // The place is looked up only where it matters.
+        // The position is computed only if the request is quarantined.
         let pass = lock(&self.quarantine.known).pass(content, 0, now);
         if pass == Pass::Free {
             return pass;
         }
-        let order = self.order(content);
+        let order = self.trial_order(content);
         lock(&self.quarantine.known).pass(content, order, now)
     }
 }
 
-/// Whether all processes must know of it: one silent runner may be slow.
-fn is_announced(report: &Suspicion) -> bool {
+/// Whether a report must be sent to all processes. A single unresponsive runner may merely be slow.
+fn must_announce(report: &Suspicion) -> bool {
     let concerns_all = !report.crashes.is_empty() || report.cleared.is_some();
     concerns_all || report.tried.is_some() || report.silences.len() >= ANNOUNCED as usize
 }
 
-/// Whether a request may be worked for.
+/// Admits a request unless it is quarantined.
 ///
 /// # Errors
 ///
-/// [`Refusal::Poison`] if it, or what it asks for of one of its stages, is held back.
+/// [`Refusal::Poison`] if the request, or its content for one of its stages, is quarantined.
 pub(crate) fn admit<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
-    let held = job.contents().filter_map(|content| held(job, content));
-    match held.max() {
+    let remaining = job
+        .contents()
+        .filter_map(|content| remaining_quarantine(job, content));
+    match remaining.max() {
         Some(retry_after) => Err(Refusal::Poison { retry_after }),
         None => Ok(()),
     }
 }
 
-/// For how long a content of a request is still held back.
-fn held<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
+/// Remaining quarantine time of one of a request's contents; counts the request as demand for it.
+fn remaining_quarantine<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
     let Pass::Held(left) = job.relay.pass(content) else {
         return None;
     };
@@ -248,12 +250,12 @@
     Some(left)
 }
 
-/// Whether the pieces of a stage are sent to a runner only to learn whether they still should be held
-/// back; counts that as the trial.
+/// Admits the pieces of a stage and returns whether they are a trial of a quarantined content. If so, the
+/// trial is recorded.
 ///
 /// # Errors
 ///
-/// [`Spoiled::Poison`] if they are held back.
+/// [`Spoiled::Poison`] if the content is quarantined.
 pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, Spoiled> {
     let content = job.stage_content(stage);
     match job.relay.pass(content) {
@@ -266,14 +268,16 @@
     }
 }
 
-/// When a request may come back whose pieces are held back, as the process knows that makes them.
+/// Retry delay of a request whose pieces were refused as quarantined by the process that makes them.
 pub(crate) fn retry_after<D: Downstream>(job: &Job<D>) -> Duration {
-    let held = job.contents().filter_map(|content| held(job, content));
-    held.max().unwrap_or(RUNNERS_RETURN)
+    let remaining = job
+        .contents()
+        .filter_map(|content| remaining_quarantine(job, content));
+    remaining.max().unwrap_or(RUNNER_START_TIME)
 }
 
 fn begin_trial<D: Downstream>(job: &Job<D>, content: ContentId) {
-    info!(job.relay.log, "poison request tried again"; "request" => &*job.request.id,
+    info!(job.relay.log, "quarantined request retried as a trial"; "request" => &*job.request.id,
         "content" => content_name(content));
     let report = lock(&job.relay.quarantine.known).begin_trial(content, job.relay.now());
     if let Some(report) = report {
@@ -281,15 +285,14 @@
     }
 }
 
-/// Waits until a request under which runners have ended may be sent to one, beside what is left of its
-/// service.
+/// Delays a suspect request until enough runners of its service are up to risk one of them.
 ///
-/// Each attempt may end one more. Sent on at once, a single request takes down all of the few runners
-/// of a small service, and nobody is served until one is back.
+/// Each attempt may crash another runner. Without the delay, a single request can crash all runners of a small
+/// service, which then serves nobody until one has restarted.
 ///
 /// # Errors
 ///
-/// [`Refusal::Poison`] if too few runners are left for half of the caller's time.
+/// [`Refusal::Poison`] if too few runners are up for half of the client's remaining time.
 async fn await_runners<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let since = Instant::now();
     let patience = job.left() / 2;
@@ -299,7 +302,7 @@
             let known = lock(&job.relay.quarantine.known);
             let now = job.relay.now();
             let risk = match known.risk(job.content, now) {
-                // A single answer was lost, or is late, at a runner that may live.
+                // A single response was lost or is late, and its runner may still be running.
                 risk if risk < ANNOUNCED && known.crashes(job.content) == 0 => 0,
                 risk => risk,
             };
@@ -308,34 +311,35 @@
         };
         let waited = since.elapsed();
         let outcome = match (may_run, waited >= patience) {
-            (true, _) if waited < RUNNERS_LOOK => return Ok(()),
+            (true, _) if waited < RUNNERS_POLL_INTERVAL => return Ok(()),
             (true, _) => "sent",
             (false, true) => "given up",
             (false, false) => {
-                sleep(RUNNERS_LOOK).await;
+                sleep(RUNNERS_POLL_INTERVAL).await;
                 continue;
             }
         };
-        info!(job.relay.log, "suspect waited for runners"; "request" => &*job.request.id,
+        info!(job.relay.log, "suspect request waited for runners"; "request" => &*job.request.id,
             "content" => content_name(job.content), "crashes" => crashes, "up" => standing.up,
             "down" => standing.down, "runners_age_ms" => job.relay.runner_list_age().map(millis),
             "waited_ms" => millis(waited), "outcome" => outcome);
         return match may_run {
             true => Ok(()),
             false => Err(Refusal::Poison {
-                retry_after: RUNNERS_RETURN,
+                retry_after: RUNNER_START_TIME,
             }),
         };
     }
 }
 
-/// Whether a request may be sent to a runner now; counts it as the trial if it is one.
+/// Admits an attempt to send a request to a runner. If the attempt is a trial, it is recorded.
 ///
-/// Asked again here because its stages take time, in which others may have ended runners with it.
+/// The quarantine is checked here again, since equal requests may have crashed runners while the stages of
+/// this one were made.
 ///
 /// # Errors
 ///
-/// [`Refusal::Poison`] if it is held back, also if too few runners are left to risk one.
+/// [`Refusal::Poison`] if the request is quarantined, or if too few runners are up to risk one.
 pub(crate) async fn admit_attempt<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     if job.relay.options.policy.suspects == Policy::Shipped {
         await_runners(job).await?;
@@ -349,78 +353,80 @@
 }
 
 fn key(content: ContentId) -> String {
-    format!("{PREFIX}{}", content_name(content))
+    format!("{KEY_PREFIX}{}", content_name(content))
 }
 
-/// Takes in a row of the table of the processes, if it is about a request that is held back.
+/// Applies a changed row of the membership table if it is that of a quarantined request, and returns whether it
+/// is.
 pub(crate) fn apply_row<D: Downstream>(relay: &Arc<Relay<D>>, change: &store::Change) -> bool {
-    let Some(name) = change.key.strip_prefix(PREFIX) else {
+    let Some(name) = change.key.strip_prefix(KEY_PREFIX) else {
         return false;
     };
     let Ok(content) = ContentId::from_str_radix(name, 16) else {
-        warn!(relay.log, "row of a poison request unreadable"; "row" => &change.key);
+        warn!(relay.log, "invalid quarantine row"; "row" => &change.key);
         return true;
     };
     let now = relay.now();
     let merged = match change.value.as_ref().map(Row::deserialize) {
         Some(Ok(row)) => lock(&relay.quarantine.known).restore(content, row.crashes, now),
-        // Links tell sooner. What is newer than this says has been announced there as well.
+        // Links are faster than the table, so anything newer than this row has been announced over them.
         None => lock(&relay.quarantine.known).lapse(content, member::MAX_AGE, now),
         Some(Err(error)) => {
-            warn!(relay.log, "row of a poison request unreadable"; "row" => &change.key, "error" => %error);
+            warn!(relay.log, "invalid quarantine row"; "row" => &change.key, "error" => %error);
             return true;
         }
     };
-    relay.take_in(content, merged, "its row");
+    relay.propagate(content, merged, "row");
     true
 }
 
-/// Forgets suspects that nobody has asked for in a long time.
+/// Removes suspects that have not been requested for a long time.
 pub(crate) fn expire<D: Downstream>(relay: &Relay<D>) {
-    let forgotten = lock(&relay.quarantine.known).forget_old(relay.now());
-    for content in forgotten {
-        info!(relay.log, "poison request forgotten"; "content" => content_name(content));
-        if relay.order(content) == 0 {
+    let expired = lock(&relay.quarantine.known).forget_old(relay.now());
+    for content in expired {
+        info!(relay.log, "quarantined request expired"; "content" => content_name(content));
+        if relay.trial_order(content) == 0 {
             relay.quarantine.rewrite(content);
         }
     }
 }
 
-/// Has the rows written again that a table service lacks which came back from an older copy.
+/// Schedules the rows of quarantined requests for writing after the table service was restored from an older
+/// copy.
 pub(crate) fn rewrite_rows<D: Downstream>(relay: &Relay<D>) {
     let suspicions = relay.suspicions().into_iter();
-    let held = suspicions.filter(Report::is_held);
-    for suspicion in held.filter(|suspicion| relay.order(suspicion.content) == 0) {
+    let quarantined = suspicions.filter(Report::is_held);
+    for suspicion in quarantined.filter(|suspicion| relay.trial_order(suspicion.content) == 0) {
         relay.quarantine.rewrite(suspicion.content);
     }
 }
 
-/// Keeps the rows of requests that are held back until the task is dropped.
+/// Writes the rows of quarantined requests until the task is dropped.
 pub async fn write_rows<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
     loop {
-        let next = lock(&relay.quarantine.unwritten).pop_first();
+        let next = lock(&relay.quarantine.outdated).pop_first();
         let Some(content) = next else {
             relay.quarantine.changed.notified().await;
             continue;
         };
-        let written = table.transact(&write(&relay, content)).await;
+        let written = table.transact(&row_update(&relay, content)).await;
         if let Err(error @ Error::Conflict { .. }) = &written {
-            warn!(relay.log, "row of a poison request cannot be written";
+            warn!(relay.log, "quarantine row rejected by the table service";
                 "content" => content_name(content), "error" => %error);
         } else if let Err(error) = written {
-            info!(relay.log, "row of a poison request not written yet";
+            info!(relay.log, "quarantine row not written, will retry";
                 "content" => content_name(content), "error" => %error);
             relay.quarantine.rewrite(content);
-            sleep(PAUSE).await;
+            sleep(WRITE_RETRY_DELAY).await;
         }
     }
 }
 
-/// The row of a request as it should be; none if it is not held back.
-fn write<D: Downstream>(relay: &Relay<D>, content: ContentId) -> Transaction {
+/// The transaction that brings a request's row up to date; it deletes the row unless the request is quarantined.
+fn row_update<D: Downstream>(relay: &Relay<D>, content: ContentId) -> Transaction {
     let report = lock(&relay.quarantine.known).report(content, relay.now());
-    let held = report.filter(Report::is_held);
-    let row = held.map(|report| {
+    let quarantined = report.filter(Report::is_held);
+    let row = quarantined.map(|report| {
         serde_json::json!(Row {
             crashes: report.count
         })
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -1,6 +1,6 @@
-//! Runners from which nothing comes while they hold a request.
+//! Detection of runners that become unresponsive while they serve a request.
 
-use super::{RunnerInstance, Suspicion, instance, is_announced, key};
+use super::{RunnerInstance, Suspicion, instance, key, must_announce};
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::request::ContentId;
@@ -13,59 +13,59 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which a request waits for a runner until the runner is taken for silent, if nothing comes from
-/// it for anybody.
+/// Time that a request waits for a runner before the runner counts as unresponsive, provided that it has sent
+/// nothing for any other request either.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same, at least, where the request's own time is over or its caller has left.
-const SILENCE_LEAST: Duration = Duration::from_millis(100);
+/// Minimum of that time where the request has timed out or its client has disconnected.
+const MIN_SILENCE: Duration = Duration::from_millis(100);
 
 impl<D: Downstream> Relay<D> {
-    /// Something has come from a runner, whatever for.
+    /// Records that a runner has sent something, for whichever request.
     pub(crate) fn record_activity(&self, runner: &Runner, moment: Instant) {
         let at = self.at(moment);
         lock(&self.quarantine.known).observed(&instance(runner), at);
     }
 
-    /// Asks runners that are taken for silent under one request whether they live: a runner may be slow for
-    /// that request alone, and have had nothing else to do for this process.
+    /// Probes runners that seem unresponsive during a request. A runner may be slow for that request only, and
+    /// may have served no other request of this process.
     pub(super) fn check_silent(self: &Arc<Self>, report: &Suspicion) {
         let silent = report.silences.iter();
         let listed = silent.filter_map(|silence| self.runner(&silence.runner.0));
         for runner in listed {
             let relay = self.clone();
             tokio::spawn(async move {
-                let asked = Instant::now();
+                let probed = Instant::now();
                 if relay.downstream.answers(&runner).await {
-                    info!(relay.log, "runner not silent"; "runner" => &*runner.id,
-                        "after_ms" => millis(asked.elapsed()));
+                    info!(relay.log, "runner answered a probe"; "runner" => &*runner.id,
+                        "after_ms" => millis(probed.elapsed()));
                     relay.record_activity(&runner, Instant::now());
                 }
             });
         }
     }
 
-    /// A request is sent to a runner.
+    /// Records that a request is sent to a runner.
     pub(crate) fn record_sent(&self, content: ContentId, runner: &Runner) {
         lock(&self.quarantine.known).begin(content, instance(runner));
     }
 
-    /// A request is in progress at a runner no more.
+    /// Records that a request is no longer in progress at a runner.
     pub(crate) fn record_finished(&self, content: ContentId, runner: &Runner) {
         lock(&self.quarantine.known).over(content, &instance(runner));
     }
 
-    /// A request that was sent to a runner at a moment has waited for so long that the runner is silent if
-    /// nothing has come from it for anybody since.
+    /// Records that a request has waited so long for a runner, since it was sent, that the runner counts as
+    /// unresponsive if it has sent nothing at all in that time.
     ///
-    /// Announced to all processes once several runners are silent; before that to the one that adds them
-    /// up, since each attempt of a caller may reach another process.
+    /// The finding is announced to all processes once several runners are unresponsive. Before that it is sent to
+    /// the one process that counts them, since each attempt of a client may reach a different process.
     pub(crate) fn record_overdue(
         self: &Arc<Self>,
         content: ContentId,
         runner: &Runner,
         sent: Instant,
     ) {
-        if sent.elapsed() < SILENCE_LEAST {
+        if sent.elapsed() < MIN_SILENCE {
             return;
         }
         let (sent, now) = (self.at(sent), self.now());
@@ -74,22 +74,22 @@
             known.waited(content, &instance(runner), sent, now)
         };
         let Some(report) = report else { return };
-        info!(self.log, "runner silent under a request"; "runner" => &*runner.id,
+        info!(self.log, "runner unresponsive during a request"; "runner" => &*runner.id,
             "content" => content_name(content), "silent" => report.silences.len(),
             "crashes" => report.count, "sent_ago_ms" => millis(now - sent));
-        if is_announced(&report) {
+        if must_announce(&report) {
             self.announce(&report);
             self.check_silent(&report);
             return;
         }
-        let home = self.peers.members(|members| members.owner(&key(content)));
-        if home.id != self.options.member.id {
+        let owner = self.peers.members(|members| members.owner(&key(content)));
+        if owner.id != self.options.member.id {
             let relay = self.clone();
-            tokio::spawn(async move { relay.peers.send_suspicion(&relay, &home, report).await });
+            tokio::spawn(async move { relay.peers.send_suspicion(&relay, &owner, report).await });
         }
     }
 
-    /// Runners of a service from which nothing comes, as far as is known.
+    /// Runners of a service that are known to be unresponsive.
     pub(crate) fn silent(&self, service: &str) -> BTreeSet<RunnerId> {
         let known = lock(&self.quarantine.known);
         let silent = known.silent_runners(self.now());
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -49,7 +49,7 @@
 
 impl<D: Downstream> Relay<D> {
     /// Takes in how long a runner stays cold, as of now.
-    pub(crate) fn note_cold(&self, runner: &Runner) {
+    pub(crate) fn mark_cold_as_listed(&self, runner: &Runner) {
         self.mark_cold(runner, runner.cold, "its entry");
     }
 
@@ -71,7 +71,7 @@
     ///
     /// Its entry is from before; the runners may have been started anew since, and tell so only with
     /// their next heartbeat. Meanwhile all processes would send to them, as they have nothing to do.
-    pub(crate) fn note_returned(&self, runner: &Runner) {
+    pub(crate) fn mark_cold_after_drain(&self, runner: &Runner) {
         let Some(warmup) = self.warmup(&runner.service) else {
             return;
         };
