--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -127,7 +127,7 @@
         if !progress.tried.is_empty() && !progress.may_repeat(job) {
             return Err(());
         }
-        job.relay.note_sent(&runner);
+        job.relay.record_send_time(&runner);
         progress.tried.push(runner.id.clone());
         let call = call(job, inputs, left, resume_after);
         let mut flight = Flight::new(job, runner);
@@ -142,7 +142,7 @@
             Err(Failure::Lost { reason })
         });
         log(job, &flight, left, inputs, progress, &result);
-        job.relay.note_limit(&flight.runner, flight.sent, &result);
+        job.relay.update_limit(&flight.runner, flight.sent, &result);
         progress.is_paid &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
@@ -401,7 +401,7 @@
         return held.clone();
     }
     match &progress.last {
-        None if job.is_confined() => Refusal::Overloaded {
+        None if job.is_region_restricted() => Refusal::Overloaded {
             reason: "no runner takes it in the regions that it may run in",
             retry_after: RETRY_FULL,
         },
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -300,7 +300,7 @@
         }
         if let Some(after) = after {
             if before.is_none_or(|before| before.started != after.started) {
-                lock(&self.outages).note_started(&after);
+                lock(&self.outages).record_start(&after);
             }
             let target = Target::new(id, after.domain.clone(), after.slots);
             self.pool(&after.service, |pool| pool.insert(target));
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator drains: their runners get no new work until that is taken back.
+//! Failure domains that the operator drains: their runners get no new work until the drain is lifted.
 
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
@@ -8,30 +8,31 @@
 use std::collections::BTreeSet;
 use store::RowRevision;
 
-/// The failure domains that are drained, as of one revision of the operator's table.
+/// The drained failure domains, as of one revision of the operator's table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drains {
-    /// Revision up to which the operator's changes are known.
+    /// Revision up to which the operator's changes are included.
     pub revision: RowRevision,
-    /// How often domains that had been kept drained beside what the table says were let go.
+    /// Number of times that domains were released which had been kept drained although the table no longer lists
+    /// them.
     pub settled: u64,
-    /// The failure domains.
+    /// The drained failure domains.
     pub domains: BTreeSet<DomainId>,
 }
 
 impl<D: Downstream> Relay<D> {
-    /// The failure domains that are drained, as far as is known.
+    /// The failure domains that are known to be drained.
     #[must_use]
     pub fn drains(&self) -> Drains {
         lock(&self.drains).clone()
     }
 
-    /// Takes in which failure domains are drained, unless something newer is known; `origin` is who
-    /// told.
+    /// Applies a set of drained failure domains unless a newer one is known. `origin` names its source for the
+    /// log.
     ///
-    /// Each relay hears of a change from the table service or, where that turns it away, from its
-    /// peers, in any order. Revisions are the table's own, so that an older word never undoes a newer
-    /// one.
+    /// A relay learns of a change from the table service, or from its peers if the service rejects its
+    /// requests, in any order. Sets are ordered by the table's own revisions, so that an older one never replaces
+    /// a newer one.
     pub fn drain(&self, drains: &Drains, origin: &str) {
         let changed = {
             let mut known = lock(&self.drains);
@@ -43,7 +44,7 @@
             let before = std::mem::replace(&mut *known, drains.clone());
             if changed {
                 let names = |drains: &Drains| join(&drains.domains);
-                info!(self.log, "drained failure domains"; "domains" => names(drains),
+                info!(self.log, "drained failure domains changed"; "domains" => names(drains),
                     "before" => names(&before), "revision" => drains.revision, "from" => origin);
             }
             changed
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,24 +1,24 @@
-//! Serves requests whose bodies it does not read: routes them to runners that have no agent, runs
-//! the stages before them and passes answers and streams through.
+//! Relay for requests whose bodies it does not parse: routes them to runners that have no agent, runs
+//! their preliminary stages and passes responses and streams through.
 //!
-//! * [`configuration`]: the configuration in force; [`runner`]: the runners that take new work
-//! * [`request`]: requests, answers and refusals
-//! * [`downstream`]: calls to runners, as an adapter carries them out
+//! * [`configuration`]: the configuration in force; [`runner`]: the runners that accept new work
+//! * [`request`]: requests, responses and refusals
+//! * [`downstream`]: the interface to an adapter that calls runners
 //! * [`drain`]: failure domains whose runners get no new work
-//! * [`follow`]: keeps plan and runners as the platform has them
-//! * [`core`]: what the parts share
-//! * [`serve`]: one request from its arrival to its answer
-//! * `home`: requests that may run in some regions only
+//! * [`follow`]: follows the platform's tables of configuration and runners
+//! * [`core`]: state that the modules share
+//! * [`serve`]: one request from its arrival to its response
+//! * `region`: restriction of requests to regions
 //! * [`graph`]: the stages of one request; [`batch`]: the calls that carry their pieces
-//! * [`limit`]: runners that ask for fewer requests
-//! * [`member`]: the processes of the system; [`peer`]: what they say to one another
-//! * [`attempt`]: a request and the runners it is sent to; [`splice`]: streams over several runners
-//! * [`memory`]: what bodies of requests and answers may take up
-//! * [`event`]: where the events of a stream begin and end
-//! * [`pause`]: what is done after the process did not run for a while
-//! * [`warmup`]: runners that have just started and bear few requests
-//! * `outage`: runners that have ended and are not back
-//! * [`quarantine`]: requests that end the runners that run them
+//! * [`limit`]: rate limits that runners ask for
+//! * [`member`]: membership of the relay processes; [`peer`]: the protocol between them
+//! * [`attempt`]: the attempts of one request; [`splice`]: streams that continue on another runner
+//! * [`memory`]: memory budgets of request and response bodies
+//! * [`event`]: boundaries of the events in a stream
+//! * [`pause`]: detection of and recovery from pauses of the process
+//! * [`warmup`]: request limits of runners that have just started
+//! * `outage`: runners that have exited and not come back
+//! * [`quarantine`]: quarantine of poison requests, which crash the runners that serve them
 //! * [`telemetry`]: counters and histograms
 
 pub mod attempt;
@@ -30,7 +30,6 @@
 pub mod event;
 pub mod follow;
 pub mod graph;
-mod home;
 pub mod limit;
 pub mod member;
 pub mod memory;
@@ -38,6 +37,7 @@
 pub mod pause;
 pub mod peer;
 pub mod quarantine;
+mod region;
 pub mod request;
 pub mod runner;
 pub mod serve;
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -1,8 +1,8 @@
-//! Runners in need, which ask for fewer requests in their answers.
+//! Rate limits that overloaded runners ask for in their responses.
 //!
-//! All relays together keep to what a runner asks for: a few may send to it, each with a gap between
-//! two requests ([`decide::share`]). Those that may not would never hear from it that it asks for
-//! nothing any more, so relays tell one another.
+//! All relays together keep to a runner's limit: a few of them may send to it, each with a minimum interval
+//! between two requests ([`decide::share`]). The others get no responses from it, which would show the end of
+//! the limit, so relays notify one another.
 
 use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
@@ -19,45 +19,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after which a limit that still holds is announced again.
+/// Interval at which a limit that is still in force is announced again.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(15);
-/// Time after which a limit counts no more that nobody announces.
-const TTL: Duration = Duration::from_secs(60);
+/// Time after which a limit expires unless it is announced again.
+const LIMIT_TTL: Duration = Duration::from_secs(60);
 
-/// What relays tell one another of a runner's limit.
+/// Notice of a runner's rate limit, sent between relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitNotice {
     /// The runner.
     pub runner: RunnerId,
-    /// Mean time between the requests of all processes together; none if it asks for nothing any more.
+    /// Mean time between requests of all processes together; `None` if the runner no longer limits its requests.
     pub spacing: Option<Duration>,
-    /// Age of the answer that says so.
+    /// Age of the response that carried the limit.
     pub ago: Duration,
 }
 
-/// What is known of runners that ask for fewer requests.
+/// Known rate limits of runners.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
     known: Map<RunnerId, Limit>,
 }
 
-/// What one runner asks for.
+/// Rate limit of one runner.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     spacing: Option<Duration>,
-    /// Moment of the answer that says so.
+    /// When the response that carried the limit arrived.
     observed: Instant,
-    /// When that was told last.
+    /// When the limit was last announced.
     announced: Instant,
-    /// When this process last sent the runner a request, or learnt of the limit.
+    /// When this process last sent the runner a request, or learned of the limit.
     sent: Instant,
 }
 
 impl Limits {
-    /// Takes in what an answer says, or another process. Tells whether others should be told.
+    /// Merges a limit from a response or another process, and returns whether it should be announced.
     fn merge(&mut self, id: &RunnerId, spacing: Option<Duration>, observed: Instant) -> bool {
         let now = Instant::now();
-        self.known.retain(|_, limit| limit.observed + TTL > now);
+        self.known
+            .retain(|_, limit| limit.observed + LIMIT_TTL > now);
         let Some(limit) = self.known.get_mut(id) else {
             if spacing.is_some() {
                 let (announced, sent) = (now, now);
@@ -74,54 +75,54 @@
         if observed <= limit.observed {
             return false;
         }
-        let news = limit.spacing != spacing
+        let must_announce = limit.spacing != spacing
             || now > limit.announced + ANNOUNCE_INTERVAL && spacing.is_some();
         if limit.spacing.is_none() {
             limit.sent = now;
         }
         (limit.spacing, limit.observed) = (spacing, observed);
-        if news {
+        if must_announce {
             limit.announced = now;
         }
-        news
+        must_announce
     }
 
     fn spacing(&self, id: &str) -> Option<(Duration, Instant)> {
-        let limit = self.known.get(id).filter(|limit| limit.holds())?;
+        let limit = self.known.get(id).filter(|limit| limit.is_in_force())?;
         limit.spacing.map(|spacing| (spacing, limit.sent))
     }
 
-    /// A runner has ended, and what it asked for with it.
+    /// Removes the limit of a runner that has exited.
     pub(crate) fn forget(&mut self, id: &str) {
         self.known.remove(id);
     }
 
-    /// A runner is about to be sent a request.
-    pub(crate) fn note_sent(&mut self, id: &str) {
+    /// Records that a request is about to be sent to a runner.
+    pub(crate) fn record_send_time(&mut self, id: &str) {
         if let Some(limit) = self.known.get_mut(id) {
             limit.sent = Instant::now();
         }
     }
 
-    /// What a new peer is told, ends of limits included.
+    /// All limits, as they are sent to a newly linked peer, including those that have ended.
     fn notices(&self) -> Vec<LimitNotice> {
         let limits = self.known.iter();
         limits.map(|(id, limit)| limit.notice(id)).collect()
     }
 
-    /// A hash of the limits that hold, the same at processes that know the same.
+    /// Hash of the limits in force, equal at processes that know the same limits.
     fn digest(&self) -> u64 {
         let hasher = FixedState::default();
-        let limits = self.known.iter().filter(|(_, limit)| limit.holds());
+        let limits = self.known.iter().filter(|(_, limit)| limit.is_in_force());
         let one = |(id, limit): (&RunnerId, &Limit)| hasher.hash_one((id, limit.spacing));
         limits.map(one).fold(0, u64::wrapping_add)
     }
 }
 
 impl Limit {
-    /// Whether it asks for fewer requests, and was told lately.
-    fn holds(&self) -> bool {
-        self.spacing.is_some() && self.observed.elapsed() < TTL
+    /// Whether the limit is set and has not expired.
+    fn is_in_force(&self) -> bool {
+        self.spacing.is_some() && self.observed.elapsed() < LIMIT_TTL
     }
 
     fn notice(&self, id: &RunnerId) -> LimitNotice {
@@ -133,17 +134,17 @@
     }
 }
 
-/// Whether this process is one of those that may send to a runner, and its gap is over.
-fn is_open(members: &Members, id: &str, spacing: Duration, sent: Instant) -> bool {
-    // Before the others are listed there may be any number of them.
+/// Whether this process is one of those that may send to a runner, and its interval has passed.
+fn may_send_now(members: &Members, id: &str, spacing: Duration, sent: Instant) -> bool {
+    // The number of processes is unknown until membership is listed.
     let processes = members.count().unwrap_or(usize::MAX);
     let share = Share::spaced(spacing, processes);
     members.has_place(&share, id) && sent.elapsed() >= share.gap
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Takes in what a runner asks for in its answer to a request that was sent at a moment.
-    pub(crate) fn note_limit<B>(
+    /// Updates a runner's limit from its response to a request that was sent at `sent`.
+    pub(crate) fn update_limit<B>(
         &self,
         runner: &Runner,
         sent: Instant,
@@ -151,24 +152,24 @@
     ) {
         match result {
             Ok(Reply {
-                spacing: asked @ Some(_),
+                spacing: requested @ Some(_),
                 ..
             })
             | Err(Failure::NotRun {
                 reason:
                     NotRun::Full {
-                        spacing: asked @ Some(_),
+                        spacing: requested @ Some(_),
                     },
             }) => {
-                self.merge_limit(&runner.id, *asked, Instant::now(), "its answer");
+                self.merge_limit(&runner.id, *requested, Instant::now(), "response");
             }
-            // An answer to what was sent before the runner asked says nothing of it.
-            Ok(reply) if reply.proven => self.merge_limit(&runner.id, None, sent, "its answer"),
+            // The response counts as of the time its request was sent: it says nothing about a limit set after that.
+            Ok(reply) if reply.proven => self.merge_limit(&runner.id, None, sent, "response"),
             _ => {}
         }
     }
 
-    /// Takes in what another process tells of a runner's limit.
+    /// Merges a notice from another process.
     pub(crate) fn merge_notice(&self, notice: &LimitNotice, origin: &str) {
         let observed = Instant::now().checked_sub(notice.ago);
         self.merge_limit(
@@ -194,42 +195,42 @@
             }
             limits.known.get(id).map(|limit| limit.notice(id))
         };
-        info!(self.log, "runner limits its requests"; "runner" => &**id,
+        info!(self.log, "runner rate limit changed"; "runner" => &**id,
             "one_in_ms" => spacing.map(millis), "from" => origin);
         if let Some(notice) = notice {
             self.peers.announce_limit(&notice);
         }
     }
 
-    /// The limits that a new peer is told.
+    /// Notices of all limits for a newly linked peer.
     pub(crate) fn limit_notices(&self) -> Vec<LimitNotice> {
         lock(&self.limits).notices()
     }
 
-    /// A hash of the limits that hold.
+    /// Hash of the limits in force.
     pub(crate) fn limits_digest(&self) -> u64 {
         lock(&self.limits).digest()
     }
 
-    /// Runners of a service that have named a limit which this process must leave alone now.
+    /// Runners of a service to which this process must not send now because of their limits.
     pub(crate) fn limited(&self, service: &ServiceId) -> Vec<RunnerId> {
         if lock(&self.limits).known.is_empty() {
             return Vec::new();
         }
         let runners = self.fleet(|fleet| fleet.of(service).to_vec());
         let limits = lock(&self.limits);
-        let is_closed = |id: &RunnerId| {
+        let is_blocked = |id: &RunnerId| {
             let limit = limits.spacing(id);
             limit.is_some_and(|(spacing, sent)| {
                 !self
                     .peers
-                    .members(|members| is_open(members, id, spacing, sent))
+                    .members(|members| may_send_now(members, id, spacing, sent))
             })
         };
         let ids = runners
             .into_iter()
             .flatten()
             .map(|runner| runner.id.clone());
-        ids.filter(is_closed).collect()
+        ids.filter(is_blocked).collect()
     }
 }
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -1,15 +1,15 @@
-//! Memory that the bodies of requests and answers take up.
+//! Memory budgets of request and response bodies.
 //!
-//! Callers and runners may be slow to read, and what a process holds for them counts as its own. Bodies
-//! are counted from when their bytes arrive until the last of them has been written, so that a process
-//! of a small VM is not ended for what others leave unread.
+//! Clients and runners may read slowly, and the process has to buffer what they have not read. Bodies are
+//! counted from when their bytes arrive until the last of them has been written, so that a process on a small VM
+//! is not killed for lack of memory because of unread bytes.
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, StreamExt};
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A bound on the bytes of bodies that are held at a time; clones share it.
+/// A limit on the bytes of bodies that are buffered at a time. Clones share the limit.
 ///
 /// # Examples
 ///
@@ -30,24 +30,24 @@
     limit: u32,
 }
 
-/// Bytes that are counted as held until this is dropped.
+/// A reservation of bytes, which is returned when it is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
-/// Bytes of a body with the memory that is counted for them.
-struct Held {
+/// Bytes of a body together with their reservation.
+struct ReservedBytes {
     bytes: Bytes,
     _reserved: MemoryReservation,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
 impl MemoryBudget {
-    /// Memory of this many bytes.
+    /// Creates a budget of this many bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         let limit = u32::try_from(bytes).unwrap_or(u32::MAX);
@@ -57,25 +57,26 @@
         }
     }
 
-    /// Counts bytes as held, if there is room for them.
+    /// Reserves bytes if enough are free.
     #[must_use]
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        let permit = self.free.clone().try_acquire_many_owned(self.count(bytes));
+        let permit = self.free.clone().try_acquire_many_owned(self.clamp(bytes));
         permit.ok().map(|permit| MemoryReservation(Some(permit)))
     }
 
-    /// Waits for room and counts bytes as held. More than there ever is room for counts as all of it.
+    /// Waits until enough bytes are free and reserves them. A request for more than the whole budget reserves the
+    /// whole budget.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
-        let permit = self.free.clone().acquire_many_owned(self.count(bytes));
+        let permit = self.free.clone().acquire_many_owned(self.clamp(bytes));
         // The semaphore is never closed.
         MemoryReservation(permit.await.ok())
     }
 
-    /// Reads a body whole, as far as there is room for it.
+    /// Reads a whole body, waiting for memory as needed.
     ///
     /// # Errors
     ///
-    /// That of the body.
+    /// The body's own error.
     pub async fn collect<E>(
         &self,
         mut body: impl Stream<Item = Result<Bytes, E>> + Unpin,
@@ -90,19 +91,19 @@
         Ok(reserved.attach(whole.freeze()))
     }
 
-    fn count(&self, bytes: usize) -> u32 {
+    fn clamp(&self, bytes: usize) -> u32 {
         u32::try_from(bytes).map_or(self.limit, |bytes| bytes.min(self.limit))
     }
 }
 
 impl MemoryReservation {
-    /// Nothing yet.
+    /// Creates an empty reservation.
     #[must_use]
     pub fn none() -> Self {
         Self(None)
     }
 
-    /// Adds what was reserved besides from the same memory.
+    /// Adds another reservation from the same budget.
     pub fn add(&mut self, more: Self) {
         match (&mut self.0, more.0) {
             (Some(all), Some(more)) => all.merge(more),
@@ -111,10 +112,10 @@
         }
     }
 
-    /// The same bytes; they count as held until the last copy of them is dropped.
+    /// Ties the reservation to `bytes`: it is returned when the last clone of them is dropped.
     #[must_use]
     pub fn attach(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(Held {
+        Bytes::from_owner(ReservedBytes {
             bytes,
             _reserved: self,
         })
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -1,9 +1,9 @@
-//! Runners that have ended and are not back.
+//! Runners that have exited and not come back.
 //!
-//! The platform's list names a runner for some seconds after its end. Until it learns better, a relay
-//! would send it requests, each of which finds its connection refused; where few runners serve a
-//! service, its requests run out of tries beside runners that live. So a runner at whose address
-//! nothing listens gets no work until something does.
+//! The platform lists a runner for some seconds after its exit. A relay that relied on the list alone would
+//! keep sending it requests, whose connections are refused; in a service of few runners, requests would use up
+//! their attempts although other runners are available. So a runner gets no work while nothing listens at its
+//! address.
 
 use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
@@ -20,45 +20,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time between two looks whether a runner is back.
-const LOOK: Duration = Duration::from_millis(250);
-/// Time after which a runner that has not come back is taken to be lost for good.
-const LOST: Duration = Duration::from_secs(10);
-/// Longest wait for whether a runner has ended that has lost an answer.
-const PROBE: Duration = Duration::from_millis(50);
+/// Interval at which an absent runner is probed.
+const RETURN_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after which a runner that has not come back no longer counts as restarting.
+const RESTART_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest wait for the outcome of a probe after a lost response.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What this process knows of such runners.
+/// Runners that this process knows to have exited.
 #[derive(Debug, Default)]
 pub(crate) struct Outages {
-    /// Runners that are being looked for.
+    /// Runners that are being probed.
     probed: BTreeSet<RunnerInstance>,
-    /// Runners at whose addresses nothing listens, though they are listed.
+    /// Listed runners at whose addresses nothing listens.
     absent: Map<ServiceId, Vec<RunnerInstance>>,
-    /// Ends of runners that no other one has made up for, the oldest first.
-    ended: Map<ServiceId, VecDeque<(RunnerInstance, Instant)>>,
+    /// Exits that no start of a runner has made up for, oldest first.
+    exits: Map<ServiceId, VecDeque<(RunnerInstance, Instant)>>,
 }
 
 impl Outages {
-    fn note_ended(&mut self, runner: &Runner, now: Instant) {
-        let ended = self.ended.entry(runner.service.clone()).or_default();
+    fn add_exit(&mut self, runner: &Runner, now: Instant) {
+        let exits = self.exits.entry(runner.service.clone()).or_default();
         let instance = instance(runner);
-        if ended.iter().all(|(known, _)| *known != instance) {
-            ended.push_back((instance, now));
+        if exits.iter().all(|(known, _)| *known != instance) {
+            exits.push_back((instance, now));
         }
     }
 
-    /// Something listens at the runner's address again.
-    fn note_back(&mut self, runner: &Runner) {
-        if let Some(ended) = self.ended.get_mut(&runner.service) {
+    /// Removes the exit of a runner at whose address something listens again.
+    fn remove_exit(&mut self, runner: &Runner) {
+        if let Some(exits) = self.exits.get_mut(&runner.service) {
             let instance = instance(runner);
-            ended.retain(|(known, _)| *known != instance);
+            exits.retain(|(known, _)| *known != instance);
         }
     }
 
-    /// A runner has started, which makes up for one that has ended.
-    pub(crate) fn note_started(&mut self, runner: &Runner) {
-        if let Some(ended) = self.ended.get_mut(&runner.service) {
-            ended.pop_front();
+    /// Records the start of a runner, which makes up for the oldest exit.
+    pub(crate) fn record_start(&mut self, runner: &Runner) {
+        if let Some(exits) = self.exits.get_mut(&runner.service) {
+            exits.pop_front();
         }
         if let Some(absent) = self.absent.get_mut(&runner.service) {
             absent.retain(|(id, _)| *id != runner.id);
@@ -78,18 +78,18 @@
         self.absent.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Runners that have ended lately and are not back.
+    /// Number of runners that have exited recently and not come back.
     fn down(&mut self, service: &ServiceId, now: Instant) -> usize {
-        let Some(ended) = self.ended.get_mut(service) else {
+        let Some(exits) = self.exits.get_mut(service) else {
             return 0;
         };
-        ended.retain(|(_, at)| now < *at + LOST);
-        ended.len()
+        exits.retain(|(_, at)| now < *at + RESTART_TIMEOUT);
+        exits.len()
     }
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Runners of a service that are listed although nothing listens at their addresses.
+    /// Listed runners of a service at whose addresses nothing listens.
     pub(crate) fn absent(&self, service: &ServiceId) -> Vec<RunnerId> {
         if self.options.policy.absent == Policy::Naive {
             return Vec::new();
@@ -99,34 +99,34 @@
         absent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether nothing listens at a runner's address, as far as this process knows.
+    /// Whether nothing is known to listen at a runner's address.
     pub(crate) fn is_absent(&self, runner: &Runner) -> bool {
         let outages = lock(&self.outages);
         outages.absent(&runner.service).contains(&instance(runner))
     }
 
-    /// The runners of a service, as far as this process knows.
+    /// How many runners of a service are up and down, as far as this process knows.
     pub(crate) fn standing(&self, service: &ServiceId) -> Standing {
         let listed = self.fleet(|fleet| fleet.of(service).len()).unwrap_or(0);
         let mut silent = self.silent(service);
         let mut outages = lock(&self.outages);
         let absent = outages.absent(service);
         silent.retain(|id| absent.iter().all(|(absent, _)| absent != id));
-        let away = absent.len() + silent.len();
+        let unavailable = absent.len() + silent.len();
         Standing {
-            up: listed.saturating_sub(away),
+            up: listed.saturating_sub(unavailable),
             down: outages.down(service, Instant::now()) + silent.len(),
         }
     }
 
-    /// A runner has ended without a word, by the list or by what was found at its address.
+    /// Records that a runner has exited without announcing it, according to the list or to a probe.
     pub(crate) fn record_outage(&self, runner: &Runner) {
-        lock(&self.outages).note_ended(runner, Instant::now());
+        lock(&self.outages).add_exit(runner, Instant::now());
     }
 }
 
-/// Looks whether a runner has ended that has just lost an answer or could not be reached; if so, it
-/// gets no work until it is back.
+/// Probes a runner that has lost a response or could not be reached. If it has exited, it gets no work until it is
+/// back.
 pub(crate) async fn probe<D: Downstream>(relay: &Arc<Relay<D>>, runner: &Arc<Runner>) {
     let probed = instance(runner);
     if !lock(&relay.outages).probed.insert(probed.clone()) {
@@ -147,7 +147,7 @@
         let mut outages = lock(&relay.outages);
         outages.set_absent(&runner, false);
         if back {
-            outages.note_back(&runner);
+            outages.remove_exit(&runner);
         }
         outages.probed.remove(&probed);
         drop(outages);
@@ -155,25 +155,28 @@
     });
 }
 
-/// The same, but waits for the outcome only for a moment: it takes a round trip, and goes on where a runner
-/// that is silent has not answered by then.
+/// Runs [`probe`] but waits at most [`PROBE_TIMEOUT`] for its outcome, which takes a round trip. If the runner does
+/// not answer in that time, the probe continues in the background.
 pub(crate) async fn probe_briefly<D: Downstream>(relay: &Arc<Relay<D>>, runner: &Arc<Runner>) {
     let probing = {
         let (relay, runner) = (relay.clone(), runner.clone());
         tokio::spawn(async move { probe(&relay, &runner).await })
     };
-    // Whether it has ended shows in what is known of the runner.
-    let _ = timeout(PROBE, probing).await;
+    // The outcome is read from the recorded state below.
+    let _ = timeout(PROBE_TIMEOUT, probing).await;
     if relay.is_absent(runner) {
-        // Found by another loss there, maybe before this one was noted.
+        // Another lost response may have led to the finding, possibly before this one was recorded.
         relay.record_exit(runner);
     }
 }
 
-/// Looks whether runners have ended that another process names as having done so lately: each process
-/// would else send a request to find out, and count one more runner as serving until then.
-pub(crate) fn probe_named<D: Downstream>(relay: &Arc<Relay<D>>, suspicion: &Suspicion) {
-    let recent = suspicion.crashes.iter().filter(|crash| crash.lost < LOST);
+/// Probes runners that another process reports to have exited recently. Otherwise each process would count them
+/// as up until one of its own requests fails there.
+pub(crate) fn probe_reported<D: Downstream>(relay: &Arc<Relay<D>>, suspicion: &Suspicion) {
+    let recent = suspicion
+        .crashes
+        .iter()
+        .filter(|crash| crash.lost < RESTART_TIMEOUT);
     for crash in recent {
         let (id, started) = &crash.runner;
         let listed = relay.runner(id);
@@ -185,16 +188,16 @@
     }
 }
 
-/// Waits until something listens at the runner's address, or the list says that it has gone; tells
-/// which.
+/// Waits until something listens at a runner's address again (`true`), or the runner is no longer listed as it was
+/// (`false`).
 async fn await_return<D: Downstream>(relay: &Relay<D>, runner: &Runner) -> bool {
     loop {
-        sleep(LOOK).await;
+        sleep(RETURN_POLL_INTERVAL).await;
         if !relay.has_entry(runner) {
             return false;
         }
         if !relay.downstream.has_ended(runner).await {
-            info!(relay.log, "runner back"; "runner" => &*runner.id, "service" => &*runner.service);
+            info!(relay.log, "runner available again"; "runner" => &*runner.id, "service" => &*runner.service);
             return true;
         }
     }
--- a/crates/relay/src/peer/talk.rs
+++ b/crates/relay/src/peer/talk.rs
@@ -300,7 +300,7 @@
         Frame::Limit(notice) => relay.merge_notice(&notice, PEER),
         Frame::Suspicion(suspicion) => {
             relay.merge_suspicion(&suspicion, PEER);
-            outage::probe_named(relay, &suspicion);
+            outage::probe_reported(relay, &suspicion);
         }
         Frame::Beat { beat, answers } => overlay::compare(relay, sender, beat, answers),
         Frame::Leaving { id, incarnation } => {
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -146,8 +146,8 @@
     }
 
     /// A runner is about to be sent a request.
-    pub(crate) fn note_sent(&self, runner: &Arc<Runner>) {
-        lock(&self.limits).note_sent(&runner.id);
+    pub(crate) fn record_send_time(&self, runner: &Arc<Runner>) {
+        lock(&self.limits).record_send_time(&runner.id);
         let now = Instant::now();
         let mut warmups = lock(&self.warmups);
         if warmups.is_cold(&runner.id, now) {
