--- a/crates/relay/src/configuration.rs
+++ b/crates/relay/src/configuration.rs
@@ -7,85 +7,85 @@
 use std::time::Duration;
 use store::RowRevision;
 
-/// Number of a configuration; a newer one has a greater number.
+/// Version number of a configuration, which grows with each change.
 pub type Version = u64;
 /// Name of a region.
 pub type RegionId = Arc<str>;
-/// Regions that requests may run in; any if there are none.
+/// Regions that requests may run in. An empty set allows all regions.
 pub type AllowedRegions = BTreeSet<RegionId>;
 /// Name of a service.
 pub type ServiceId = Arc<str>;
-/// How urgent a request is; 0 comes first.
+/// Priority of a request; 0 is the most urgent.
 pub type Rank = u8;
 /// The most urgent rank.
 pub const FIRST_RANK: Rank = 0;
-/// The least urgent rank that is told apart.
+/// The least urgent rank.
 pub const LAST_RANK: Rank = 9;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number.
+    /// Version number.
     pub version: Version,
-    /// Revision of the row that holds it in the operator's table; 0 if it comes from no table.
+    /// Revision of its row in the operator's table; 0 if it does not come from a table.
     pub revision: RowRevision,
-    /// Routes by host, those with longer prefixes first.
+    /// Routes by host, longest prefixes first.
     routes: Map<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: Map<ServiceId, Service>,
     /// Workspaces by key.
     keys: Map<String, Arc<Workspace>>,
-    /// Bounds on what a caller may send.
+    /// Limits on what clients may send.
     pub limits: Limits,
-    /// Ranks of workspace and route that requests may have together, the most urgent first.
+    /// Combinations of workspace rank and route rank that occur, the most urgent first.
     urgencies: Vec<(Rank, Rank)>,
 }
 
-/// Where requests of one host and path prefix go and how they may be treated.
+/// Where requests of one host and path prefix are sent, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name.
     pub name: String,
-    /// Host that requests ask for.
+    /// Host of the requests.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once, and whether they are answered by streams.
     pub kind: Kind,
-    /// Longest time that a request may be kept.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer, or its first event, is on time.
+    /// Time within which a response, or its first event, is on time.
     pub target: Duration,
-    /// Urgency.
+    /// Priority of its requests.
     pub rank: Rank,
     /// Services that share the route's requests, with their weights.
     pub split: Vec<Share>,
-    /// Most runners that one request may run on.
+    /// Maximum number of runners that one request may run on.
     pub attempts: u32,
-    /// Work that must be done before the request can run.
+    /// Preliminary stages of a request.
     pub stages: Vec<Stage>,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
-    /// Whether a stream that broke off may go on at another runner.
+    /// Whether an interrupted stream may be resumed on another runner.
     pub resumable: bool,
-    /// Longest pause between events of a stream that is on time.
+    /// Longest time between two events of a stream that is on time.
     pub gap: Duration,
     /// Regions that its requests may run in.
     pub homes: AllowedRegions,
 }
 
-/// What may be repeated.
+/// Kind of a route's requests, which decides whether they may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// A request that may run more than once.
     Safe,
-    /// A request that may run once at most.
+    /// A request that may run at most once.
     Unsafe,
     /// A request that is answered by a stream of events.
     Streaming,
 }
 
-/// A service's part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
@@ -97,9 +97,9 @@
 /// One stage of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stage {
-    /// Service whose runners do the work.
+    /// Service whose runners make its results.
     pub service: ServiceId,
-    /// Stages whose results it needs, by position.
+    /// Positions of the stages whose results it needs.
     pub after: Vec<usize>,
     /// Approximate size of a result in bytes.
     pub result: u64,
@@ -110,33 +110,33 @@
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Connections that one runner takes from all callers together.
+    /// Maximum number of connections to one runner from all clients together.
     pub connections: u32,
-    /// How its runners take the pieces of stages, if they do.
+    /// Batch settings, if its runners take the pieces of stages.
     pub batches: Option<BatchSettings>,
-    /// What its runners bear that have just started, unless they bear all at once.
+    /// Request limit of runners that have just started, if there is one.
     pub warmup: Option<Warmup>,
 }
 
-/// What a runner bears that has just started.
+/// Request limit of a runner that has just started.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// Time after its start until it bears as much as the others.
+    /// Time after its start for which the limit holds.
     pub time: Duration,
-    /// Requests a second until then.
+    /// Requests per second in that time.
     pub rate: f64,
 }
 
-/// How the runners of a stage service take pieces.
+/// Batch settings of a stage service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchSettings {
-    /// Calls in progress at once.
+    /// Maximum number of concurrent calls to a runner.
     pub slots: u32,
-    /// Most pieces in a call, and what a call costs.
+    /// Maximum number of pieces per call, and the cost model of a call.
     pub shape: decide::batch::Shape,
-    /// Room for results in bytes.
+    /// Space for results on a runner in bytes.
     pub room: u64,
-    /// Time for which a result is kept unless it is released.
+    /// Time for which a runner keeps a result that is not released.
     pub keep: Duration,
 }
 
@@ -145,25 +145,25 @@
 pub struct Workspace {
     /// Name.
     pub name: WorkspaceId,
-    /// Urgency of its requests, before that of the route.
+    /// Priority of its requests, which takes precedence over that of the route.
     pub rank: Option<Rank>,
     /// Regions that its requests may run in.
     pub homes: AllowedRegions,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what clients may send.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head of a request in bytes.
+    /// Maximum size of a request's head in bytes.
     pub head: usize,
-    /// Longest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body: usize,
-    /// Time for which a connection may stay without a request.
+    /// Time for which a connection may be idle.
     pub idle: Duration,
 }
 
 impl Default for Limits {
-    /// What holds before a configuration is known.
+    /// Limits that apply before a configuration is known.
     fn default() -> Self {
         Self {
             head: 16 << 10,
@@ -174,7 +174,7 @@
 }
 
 impl Configuration {
-    /// A plan of these parts; `keys` holds each workspace with its keys.
+    /// Creates a configuration. `keys` lists each workspace with its keys.
     #[must_use]
     pub fn new(
         version: Version,
@@ -202,7 +202,7 @@
         for service in services {
             configuration.services.insert(service.name.clone(), service);
         }
-        configuration.urgencies = configuration.pairs_of_ranks(&keys);
+        configuration.urgencies = configuration.rank_pairs(&keys);
         for (workspace, keys) in keys {
             let workspace = Arc::new(workspace);
             let keys = keys.into_iter().map(|key| (key, workspace.clone()));
@@ -211,66 +211,65 @@
         configuration
     }
 
-    /// The route of a request: that with the longest prefix among those of the host.
+    /// The route of a request: the one with the longest matching prefix among those of the host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that a key belongs to.
     #[must_use]
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.keys.get(key)
     }
 
-    /// Urgency of a workspace's request on a route: the workspace's rank decides, and among
-    /// workspaces of one rank that of the route.
+    /// Rank of a workspace's request on a route: the workspace's rank decides first, then that of the route.
     ///
-    /// Operators give many workspaces the same rank. If the routes' ranks counted for nothing then,
-    /// a burst on the least urgent route would make requests of the most urgent one late.
+    /// Operators give many workspaces the same rank. If the route's rank did not count then, a burst on the least
+    /// urgent route would make requests of the most urgent one late.
     #[must_use]
     pub fn rank(&self, workspace: Option<&Workspace>, route: &Route) -> Rank {
-        let pair = pair_of_ranks(workspace.and_then(|workspace| workspace.rank), route);
+        let pair = rank_pair(workspace.and_then(|workspace| workspace.rank), route);
         let before = self.urgencies.partition_point(|other| *other < pair);
-        let told_apart = usize::from(LAST_RANK) + 1;
-        // More pairs than ranks share them, in their order.
-        let most = self.urgencies.len().max(told_apart);
-        Rank::try_from(before * told_apart / most).map_or(LAST_RANK, |rank| rank.min(LAST_RANK))
+        let rank_count = usize::from(LAST_RANK) + 1;
+        // If there are more pairs than ranks, neighboring pairs share a rank.
+        let most = self.urgencies.len().max(rank_count);
+        Rank::try_from(before * rank_count / most).map_or(LAST_RANK, |rank| rank.min(LAST_RANK))
     }
 
-    /// All pairs of ranks that requests may have, in their order, each once.
+    /// All distinct pairs of workspace rank and route rank that requests may have, in order.
     ///
-    /// Thousands of workspaces have a few ranks: each rank is paired with each route once, or a new
-    /// configuration would cost a small VM seconds.
-    fn pairs_of_ranks(&self, keys: &[(Workspace, Vec<String>)]) -> Vec<(Rank, Rank)> {
+    /// Thousands of workspaces share a few ranks. Each distinct rank is paired with each route only once;
+    /// otherwise loading a configuration would take seconds on a small VM.
+    fn rank_pairs(&self, keys: &[(Workspace, Vec<String>)]) -> Vec<(Rank, Rank)> {
         let ranks: BTreeSet<Option<Rank>> =
             keys.iter().map(|(workspace, _)| workspace.rank).collect();
         let mut pairs = BTreeSet::new();
         for route in self.routes.values().flatten() {
             if route.public {
-                pairs.insert(pair_of_ranks(None, route));
+                pairs.insert(rank_pair(None, route));
             } else {
-                pairs.extend(ranks.iter().map(|rank| pair_of_ranks(*rank, route)));
+                pairs.extend(ranks.iter().map(|rank| rank_pair(*rank, route)));
             }
         }
         pairs.into_iter().collect()
     }
 
-    /// How the service's runners take pieces, if the service is known and takes any.
+    /// Batch settings of a service, if it is known and its runners take pieces.
     #[must_use]
     pub fn batches(&self, service: &str) -> Option<BatchSettings> {
         self.services.get(service)?.batches
     }
 }
 
-/// Ranks of workspace and route; a workspace without one is as urgent as the route.
-fn pair_of_ranks(workspace: Option<Rank>, route: &Route) -> (Rank, Rank) {
+/// Ranks of workspace and route. A workspace without a rank takes that of the route.
+fn rank_pair(workspace: Option<Rank>, route: &Route) -> (Rank, Rank) {
     (workspace.unwrap_or(route.rank), route.rank)
 }
 
 impl Route {
-    /// The service for a request, chosen by a number that is drawn once a request.
+    /// The service for a request, chosen by weight with `draw`, a random number drawn once per request.
     #[must_use]
     pub fn service(&self, draw: u64) -> Option<&ServiceId> {
         let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
@@ -285,7 +284,7 @@
         None
     }
 
-    /// Whether a request may be sent to another runner after one may have run it.
+    /// Whether a request may be retried on another runner after a first one may have run it.
     #[must_use]
     pub fn repeatable(&self) -> bool {
         match self.kind {
@@ -295,14 +294,14 @@
         }
     }
 
-    /// Stages that need the results of a stage.
-    pub fn followers(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        let follows = move |&next: &usize| self.stages[next].after.contains(&stage);
-        (0..self.stages.len()).filter(follows)
+    /// Stages that need the results of `stage`.
+    pub fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
+        let depends = move |&next: &usize| self.stages[next].after.contains(&stage);
+        (0..self.stages.len()).filter(depends)
     }
 
-    /// Stages whose results the request itself needs: those that no other stage follows.
+    /// Stages whose results the request itself needs: those that no other stage depends on.
     pub fn leaves(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.stages.len()).filter(|&stage| self.followers(stage).next().is_none())
+        (0..self.stages.len()).filter(|&stage| self.dependents(stage).next().is_none())
     }
 }
--- a/crates/relay/src/follow/budget.rs
+++ b/crates/relay/src/follow/budget.rs
@@ -11,7 +11,7 @@
 const READ: Duration = Duration::from_millis(700);
 /// Longest time for which a process does not get on without taking that for a pause, after which it asks for
 /// what is new before it goes on.
-const DELAY: Duration = crate::pause::LATE;
+const DELAY: Duration = crate::pause::PAUSE_THRESHOLD;
 /// Time from the last look at what is known until the first byte reaches a runner: one way, behind parts of a
 /// configuration.
 const WRITE: Duration = Duration::from_millis(50);
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -68,7 +68,7 @@
     /// The results that one stage needs and no other.
     fn only_for(&self, route: &Route, stage: usize) -> Vec<Results> {
         let after = &route.stages[stage].after;
-        let only = |before: usize| after.contains(&before) && route.followers(before).count() == 1;
+        let only = |before: usize| after.contains(&before) && route.dependents(before).count() == 1;
         let stages = self.stages.iter().filter(|(before, ..)| only(*before));
         stages.map(|(_, results)| results.clone()).collect()
     }
@@ -160,8 +160,8 @@
 
 /// Whether the results of a stage have served: other stages follow it, and those are made.
 fn is_used(route: &Route, made: &[Option<Vec<Handle>>], stage: usize) -> bool {
-    let mut followers = route.followers(stage).peekable();
-    followers.peek().is_some() && followers.all(|next| made[next].is_some())
+    let mut dependents = route.dependents(stage).peekable();
+    dependents.peek().is_some() && dependents.all(|next| made[next].is_some())
 }
 
 /// What the pieces of a stage are made from.
@@ -299,7 +299,7 @@
 
     /// Least time from the end of a stage to the first event of the answer.
     fn behind(&self, stage: usize) -> Duration {
-        let next = self.route.followers(stage).filter(|&next| next > stage);
+        let next = self.route.dependents(stage).filter(|&next| next > stage);
         next.map(|next| self.call_time(next) + self.behind(next))
             .max()
             .unwrap_or_else(|| self.model_time())
@@ -307,7 +307,7 @@
 
     /// Expected time from the end of a stage to the first event of the answer, waits included.
     fn expected_behind(&self, stage: usize) -> Duration {
-        let next = self.route.followers(stage).filter(|&next| next > stage);
+        let next = self.route.dependents(stage).filter(|&next| next > stage);
         next.filter(|&next| self.pieces(next) > 0)
             .map(|next| self.waiting(next) + self.expected_behind(next))
             .max()
--- a/crates/relay/src/pause.rs
+++ b/crates/relay/src/pause.rs
@@ -1,10 +1,9 @@
-//! Notices that the process has not run for a while.
+//! Detection of periods in which the process did not run.
 //!
-//! A VM may be suspended, or the process stopped, for seconds. The steady clock does not count a
-//! suspension, so no timer is late afterwards and nothing looks wrong. Meanwhile runners have left,
-//! keys were taken away and callers have given up. The clock that counts since the VM's start shows
-//! it; then the platform is asked at once for what has changed, and requests wait for the answer for
-//! a moment.
+//! A VM may be suspended, or the process stopped, for seconds. The monotonic clock does not advance during a
+//! suspension, so afterwards no timer is late and nothing looks wrong. Meanwhile runners may have left, keys may
+//! have been revoked and clients may have given up. The clock that counts the time since boot shows the
+//! suspension. The platform is then asked for changes at once, and requests wait briefly for its answer.
 
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
@@ -15,10 +14,10 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Reads the time since the VM's start, suspensions included.
+/// Reads the time since the VM booted, including suspensions.
 pub type Clock = fn() -> Duration;
 
-/// The system's clock of that kind.
+/// Time since the VM booted, including suspensions, by the system's clock.
 ///
 /// # Examples
 ///
@@ -31,42 +30,42 @@
     Duration::try_from(time).unwrap_or_default()
 }
 
-/// How often the clock is looked at where no request does so.
-const TICK: Duration = Duration::from_millis(500);
-/// Lateness of a look that counts as a pause. What is known is up to half a second old anyway, and a
-/// VM with a tenth of a core is late by less than that.
-pub(crate) const LATE: Duration = Duration::from_millis(500);
-/// Difference of the two clocks that counts as a suspension; they are read one after the other.
-const SKEW: Duration = Duration::from_millis(100);
-/// Longest time after a pause for which requests wait for news. The platform answers in some
-/// milliseconds; while it is away, requests are served by what was known before.
-const CATCH_UP: Duration = Duration::from_millis(300);
-
-/// The clocks at the last look, and what the pauses so far have cost.
+/// Interval at which the clocks are checked when no request does so.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay of a check that counts as a pause. The relay's data is up to half a second old in any case, and a VM with
+/// a tenth of a core is late by less than that.
+pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
+/// Difference between the two clocks that counts as a suspension. They are not read at the same instant.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(100);
+/// Longest time after a pause that requests wait for updates. The platform answers within milliseconds; while it is
+/// unavailable, requests are served with the data from before the pause.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Clocks at the last check, and the total time of suspension.
 #[derive(Debug)]
 struct Reading {
     time_since_boot: Duration,
-    steady: Instant,
-    /// Time that the steady clock has not counted.
+    monotonic: Instant,
+    /// Total time that the monotonic clock has not counted.
     suspended: Duration,
-    woken: Instant,
+    last_pause_end: Instant,
 }
 
-/// Pauses of this process.
+/// Detector of pauses of this process.
 #[derive(Debug)]
 pub struct PauseDetector {
     clock: Clock,
     last: Mutex<Reading>,
-    /// Pauses noticed so far.
+    /// Number of pauses detected.
     count: watch::Sender<u64>,
     followers: watch::Sender<Followers>,
 }
 
-/// Who follows tables of the platform.
+/// Tasks that follow tables of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 struct Followers {
     all: usize,
-    /// Those that have heard nothing since the last pause.
+    /// Tasks that have received no answer since the last pause.
     behind: usize,
 }
 
@@ -75,9 +74,9 @@
         let now = Instant::now();
         let last = Reading {
             time_since_boot: clock(),
-            steady: now,
+            monotonic: now,
             suspended: Duration::ZERO,
-            woken: now,
+            last_pause_end: now,
         };
         Self {
             clock,
@@ -87,58 +86,58 @@
         }
     }
 
-    /// Time that the steady clock has not counted so far.
+    /// Total time that the monotonic clock has not counted.
     pub(crate) fn suspended(&self) -> Duration {
         lock(&self.last).suspended
     }
 
-    /// Looks at the clocks; the length of the pause if there was one since the last look.
-    fn check_for_pause(&self) -> Option<Duration> {
+    /// Checks the clocks, and returns the time since the last check if it includes a pause.
+    fn check(&self) -> Option<Duration> {
         let mut last = lock(&self.last);
-        let (time_since_boot, steady) = ((self.clock)(), Instant::now());
+        let (time_since_boot, monotonic) = ((self.clock)(), Instant::now());
         let passed = time_since_boot.saturating_sub(last.time_since_boot);
-        let missed = passed.saturating_sub(steady.saturating_duration_since(last.steady));
-        (last.time_since_boot, last.steady) = (time_since_boot, steady);
-        let was_suspended = missed > SKEW;
+        let uncounted = passed.saturating_sub(monotonic.saturating_duration_since(last.monotonic));
+        (last.time_since_boot, last.monotonic) = (time_since_boot, monotonic);
+        let was_suspended = uncounted > SUSPENSION_THRESHOLD;
         if was_suspended {
-            last.suspended += missed;
+            last.suspended += uncounted;
         }
-        if !was_suspended && passed <= TICK + LATE {
+        if !was_suspended && passed <= CHECK_INTERVAL + PAUSE_THRESHOLD {
             return None;
         }
-        last.woken = steady;
+        last.last_pause_end = monotonic;
         self.followers
             .send_modify(|followers| followers.behind = followers.all);
         self.count.send_modify(|count| *count += 1);
         Some(passed)
     }
 
-    /// Until when requests wait for news, if some is missing.
-    fn wait(&self) -> Option<Instant> {
-        let until = lock(&self.last).woken + CATCH_UP;
+    /// Moment until which requests wait for updates, if some are outstanding.
+    fn catch_up_deadline(&self) -> Option<Instant> {
+        let until = lock(&self.last).last_pause_end + CATCH_UP_TIMEOUT;
         let behind = self.followers.borrow().behind > 0;
         (behind && Instant::now() < until).then_some(until)
     }
 
-    /// One more task follows a table.
+    /// Registers a task that follows a table.
     pub(crate) fn add_follower(&self) {
         self.followers.send_modify(|followers| followers.all += 1);
     }
 
-    /// Pauses noticed so far.
+    /// Number of pauses detected.
     pub(crate) fn count(&self) -> u64 {
         *self.count.borrow()
     }
 
-    /// Waits for a pause beyond those counted.
+    /// Waits until more than `counted` pauses have been detected.
     pub(crate) async fn wait_for_pause_after(&self, counted: u64) {
         let mut count = self.count.subscribe();
-        // The sender lives as long as the one who waits.
+        // The sender is borrowed for the whole wait, so it cannot be dropped.
         let _ = count.wait_for(|count| *count > counted).await;
     }
 
-    /// A follower has heard the answer to a question that it asked after `counted` pauses; the one
-    /// before it was asked after `before`.
+    /// Records that a follower has received an answer to a question that it asked after `counted` pauses. Its
+    /// previous question was asked after `before` pauses.
     pub(crate) fn record_answer_after_pause(&self, before: u64, counted: u64) {
         if before < counted && counted == self.count() {
             self.followers.send_modify(|followers| {
@@ -149,41 +148,42 @@
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Looks whether the process has paused.
+    /// Checks whether the process has paused. After a pause the age of the membership data is unknown, so it is
+    /// discarded.
     pub(crate) fn check_for_pause(&self) {
-        if let Some(pause) = self.pause.check_for_pause() {
-            warn!(self.log, "paused, asking for news"; "paused_ms" => millis(pause),
+        if let Some(pause) = self.pause.check() {
+            warn!(self.log, "process was paused, asking for updates"; "paused_ms" => millis(pause),
                 "runners_age_ms" => self.runner_list_age().map(millis));
             self.peers.members(|members| members.roster.forget());
         }
     }
 
-    /// Whether what is known is from after the last pause, or cannot be had.
+    /// Whether the relay's data is from after the last pause, or is no longer being waited for.
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.check_for_pause();
-        self.pause.wait().is_none()
+        self.pause.catch_up_deadline().is_none()
     }
 
-    /// Waits until that is so.
+    /// Waits until [`Self::is_caught_up`] holds.
     pub(crate) async fn catch_up(&self) {
         self.check_for_pause();
-        let Some(until) = self.pause.wait() else {
+        let Some(until) = self.pause.catch_up_deadline() else {
             return;
         };
         let mut followers = self.pause.followers.subscribe();
-        let news = followers.wait_for(|followers| followers.behind == 0);
-        if timeout_at(until, news).await.is_err() {
-            warn!(self.log, "no news since the pause, serving by what was known";
+        let updates = followers.wait_for(|followers| followers.behind == 0);
+        if timeout_at(until, updates).await.is_err() {
+            warn!(self.log, "no updates since the pause, serving with earlier data";
                 "runners_age_ms" => self.runner_list_age().map(millis));
         }
     }
 }
 
-/// Looks for pauses until the task is dropped.
+/// Checks for pauses until the task is dropped.
 pub async fn watch<D: Downstream>(relay: Arc<Relay<D>>) {
     loop {
-        sleep(TICK).await;
+        sleep(CHECK_INTERVAL).await;
         relay.check_for_pause();
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -157,7 +157,7 @@
         };
         let report = lock(&self.quarantine.known).report(content, self.now());
         let Some(report) = report else { return };
-        info!(self.log, "suspect request updated"; "content" => content_name(content), "crashes" => report.count,
+        info!(self.log, "suspect"; "content" => content_name(content), "crashes" => report.count,
             "trials" => report.trials, "cleared_ago_ms" => report.cleared.map(millis),
             "silent" => report.silences.len(), "was_held" => was_held, "held" => is_held,
             "from" => origin);
--- a/crates/relay/src/runner.rs
+++ b/crates/relay/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runners that the platform lists, and which of them get new work.
+//! Runners that the platform lists, and which of them accept new work.
 
 use crate::configuration::ServiceId;
 use decide::Map;
@@ -9,33 +9,34 @@
 
 /// Name of a runner.
 pub type RunnerId = Arc<str>;
-/// Failure domain.
+/// Name of a failure domain.
 pub type DomainId = Arc<str>;
 
-/// A runner as the platform's list has it.
+/// A runner, as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Runner {
     /// Name.
     pub id: RunnerId,
-    /// When it started, in Unix milliseconds. A runner may come back under its old name; it then
-    /// knows nothing of what it had before.
+    /// When it started, in Unix milliseconds. A runner may restart under its old name; it has then lost all
+    /// earlier state.
     pub started: Option<u64>,
-    /// Service that it runs for.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Failure domain that it runs in.
     pub domain: DomainId,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is shutting down and accepts no new work.
     pub leaving: bool,
-    /// How much longer it bears only a few requests a second, as of when its entry was written.
+    /// Remaining warm-up time, in which it accepts only a few requests per second, as of when its entry was
+    /// written.
     pub cold: Duration,
 }
 
 impl Runner {
-    /// Whether two entries tell the same of a runner, but for how long it stays cold.
+    /// Whether two entries of a runner are equal except for the remaining warm-up time.
     fn is_same(&self, other: &Self) -> bool {
         let cold = self.cold;
         *self
@@ -46,58 +47,60 @@
     }
 }
 
-/// A change of what is known of a runner.
+/// A change of the list of runners.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The list has this of the runner.
+    /// The list contains this entry.
     Listed(Runner),
-    /// The list no longer has a usable entry of the runner.
+    /// The list no longer contains a usable entry of this runner.
     Gone(RunnerId),
 }
 
-/// All runners that take new work, by service, and those that would if their failure domain were not
+/// All runners that accept new work, by service, and those that would if their failure domain were not
 /// drained.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     runners: Map<RunnerId, Arc<Runner>>,
     /// Runners of drained failure domains.
-    parked: Map<RunnerId, Runner>,
+    drained_runners: Map<RunnerId, Runner>,
     drained: BTreeSet<DomainId>,
     by_service: Map<ServiceId, Vec<Arc<Runner>>>,
     by_address: Map<SocketAddr, Arc<Runner>>,
 }
 
 impl Fleet {
-    /// Takes in a change and tells whether anything is different now.
+    /// Applies a change, and returns whether it has changed which runners accept new work.
     pub fn apply(&mut self, change: Change) -> bool {
         match change {
             Change::Listed(runner) if runner.leaving => self.forget(&runner.id),
-            Change::Listed(runner) if self.drained.contains(&runner.domain) => self.park(runner),
+            Change::Listed(runner) if self.drained.contains(&runner.domain) => {
+                self.put_drained(runner)
+            }
             Change::Listed(runner) => {
-                self.parked.remove(&runner.id);
+                self.drained_runners.remove(&runner.id);
                 self.put(runner)
             }
             Change::Gone(id) => self.forget(&id),
         }
     }
 
-    /// Drains these failure domains and no others; gives the runners that this concerns, to be listed
-    /// once more.
+    /// Drains exactly these failure domains. Returns the affected runners, whose entries must be applied
+    /// again.
     pub fn drain(&mut self, domains: BTreeSet<DomainId>) -> Vec<Runner> {
         if domains == self.drained {
             return Vec::new();
         }
-        let working = self.runners.values().map(|runner| &**runner);
-        let stopped = working.filter(|runner| domains.contains(&runner.domain));
-        let parked = self.parked.values();
-        let back = parked.filter(|runner| !domains.contains(&runner.domain));
-        let concerned = stopped.chain(back).cloned().collect();
+        let active = self.runners.values().map(|runner| &**runner);
+        let stopped = active.filter(|runner| domains.contains(&runner.domain));
+        let drained_runners = self.drained_runners.values();
+        let returned = drained_runners.filter(|runner| !domains.contains(&runner.domain));
+        let affected = stopped.chain(returned).cloned().collect();
         self.drained = domains;
-        concerned
+        affected
     }
 
-    /// The runner that a change says has ended without a word: its entry is gone, or tells of a later
-    /// start. One that leaves says so first, or loses its entry while it goes on to serve.
+    /// The runner that, according to a change, has exited without announcing it: its entry is gone, or shows a later
+    /// start. A runner that shuts down announces it first, or loses its entry while it still serves.
     #[must_use]
     pub fn exited_runner(&self, change: &Change) -> Option<&Arc<Runner>> {
         match change {
@@ -110,45 +113,45 @@
         }
     }
 
-    /// Whether an entry tells what is known of a runner that takes new work, or is parked.
+    /// Whether an entry matches the known one of a runner that accepts new work, or would but for a drain.
     #[must_use]
     pub fn has_entry(&self, runner: &Runner) -> bool {
-        let working = self.runners.get(&runner.id).map(|known| &**known);
-        let known = working.or_else(|| self.parked.get(&runner.id));
+        let active = self.runners.get(&runner.id).map(|known| &**known);
+        let known = active.or_else(|| self.drained_runners.get(&runner.id));
         known.is_some_and(|known| known.is_same(runner))
     }
 
-    /// The runner of that name, if it takes new work.
+    /// The runner of this name, if it accepts new work.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<Runner>> {
         self.runners.get(id)
     }
 
-    /// The runner that listens at an address, if it takes new work.
+    /// The runner that listens on an address, if it accepts new work.
     #[must_use]
     pub fn at(&self, address: &SocketAddr) -> Option<&Arc<Runner>> {
         self.by_address.get(address)
     }
 
-    /// Runners of a service that take new work.
+    /// Runners of a service that accept new work.
     #[must_use]
     pub fn of(&self, service: &str) -> &[Arc<Runner>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Names of all runners, those of drained failure domains included.
+    /// Names of all runners, including those of drained failure domains.
     pub fn ids(&self) -> impl Iterator<Item = &RunnerId> {
-        self.runners.keys().chain(self.parked.keys())
+        self.runners.keys().chain(self.drained_runners.keys())
     }
 
-    fn park(&mut self, runner: Runner) -> bool {
+    fn put_drained(&mut self, runner: Runner) -> bool {
         let stopped = self.remove(&runner.id);
-        self.parked.insert(runner.id.clone(), runner);
+        self.drained_runners.insert(runner.id.clone(), runner);
         stopped
     }
 
     fn forget(&mut self, id: &str) -> bool {
-        self.parked.remove(id);
+        self.drained_runners.remove(id);
         self.remove(id)
     }
 
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a relay.
+//! Metrics of a relay.
 
 use metric::{Latency, Registry};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,28 +8,28 @@
 use std::time::Duration;
 use store::era::Era;
 
-/// Workspaces with a label of their own; the rest share one. With 14 buckets and 32 classes a
-/// scrape stays under 2 MB whatever callers send.
-const WORKSPACES: usize = 64;
-/// Routes with a label of their own.
-const CLASSES: usize = 32;
+/// Maximum number of workspaces with their own label; the rest share one. With 14 buckets and 32 classes, a
+/// scrape stays under 2 MB whatever clients send.
+const MAX_WORKSPACE_LABELS: usize = 64;
+/// Maximum number of routes with their own label.
+const MAX_CLASS_LABELS: usize = 32;
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct StatusLabels {
     status: u16,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Attempt {
+struct AttemptLabels {
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answerer {
+struct TableAnswerLabels {
     from: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Copy {
+struct CopyLabels {
     outcome: &'static str,
 }
 
@@ -37,27 +37,27 @@
 #[derive(Debug)]
 pub struct Telemetry {
     latency: Latency,
-    ended: Family<Ended, Counter>,
-    attempts: Family<Attempt, Counter>,
+    ended: Family<StatusLabels, Counter>,
+    attempts: Family<AttemptLabels, Counter>,
     batches: Counter,
     pieces: Counter,
-    tables: Family<Answerer, Counter>,
-    copies: Family<Copy, Counter>,
+    tables: Family<TableAnswerLabels, Counter>,
+    copies: Family<CopyLabels, Counter>,
     drained: Gauge,
     held: Gauge,
     era: Gauge,
 }
 
 impl Telemetry {
-    /// Metrics registered under the names that the operators' page explains.
+    /// Creates the metrics and registers them under the names that the operator documentation explains.
     pub fn new(registry: &mut Registry) -> Self {
         let telemetry = Self {
             latency: Latency::new(
                 registry,
                 "relay_request_seconds",
                 "Time from the arrival of a request to the beginning of its answer",
-                WORKSPACES,
-                CLASSES,
+                MAX_WORKSPACE_LABELS,
+                MAX_CLASS_LABELS,
             ),
             ended: Family::default(),
             attempts: Family::default(),
@@ -122,37 +122,39 @@
         self.era.set(i64::try_from(era).unwrap_or(i64::MAX));
     }
 
-    /// Sets the number of requests that are held back.
+    /// Sets the number of quarantined requests.
     pub fn held(&self, requests: usize) {
         self.held.set(i64::try_from(requests).unwrap_or(i64::MAX));
     }
 
-    /// Sets the number of failure domains that are drained.
+    /// Sets the number of drained failure domains.
     pub fn drained(&self, domains: usize) {
         self.drained.set(i64::try_from(domains).unwrap_or(i64::MAX));
     }
 
-    /// Counts a request whose answer begins after this time.
+    /// Counts a request, and the time until its response began.
     pub fn answered(&self, workspace: &str, class: &str, status: u16, elapsed: Duration) {
         self.latency.observe(workspace, class, elapsed);
-        self.ended.get_or_create(&Ended { status }).inc();
+        self.ended.get_or_create(&StatusLabels { status }).inc();
     }
 
     /// Counts a call to a runner.
     pub fn attempt(&self, outcome: &'static str) {
-        self.attempts.get_or_create(&Attempt { outcome }).inc();
+        self.attempts
+            .get_or_create(&AttemptLabels { outcome })
+            .inc();
     }
 
-    /// Counts an answer of a peer, or of the table service itself.
+    /// Counts an answer about table changes from a peer or from the table service itself.
     pub fn table_answer(&self, by_peer: bool) {
         let from = if by_peer { "peer" } else { "table" };
-        self.tables.get_or_create(&Answerer { from }).inc();
+        self.tables.get_or_create(&TableAnswerLabels { from }).inc();
     }
 
-    /// Counts a whole configuration from a peer.
+    /// Counts a complete configuration received from a peer.
     pub(crate) fn configuration_copy(&self, adopted: bool) {
         let outcome = if adopted { "adopted" } else { "known" };
-        self.copies.get_or_create(&Copy { outcome }).inc();
+        self.copies.get_or_create(&CopyLabels { outcome }).inc();
     }
 
     /// Counts a call to the runner of a stage service.
@@ -162,7 +164,7 @@
     }
 }
 
-/// Whole milliseconds, for the log.
+/// Duration in whole milliseconds, for the log.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -1,4 +1,4 @@
-//! Runners that have just started and bear few requests a second until they are warm.
+//! Runners that have just started and accept only a few requests per second until they are warm.
 
 use crate::configuration::{ServiceId, Warmup};
 use crate::core::{Relay, lock};
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is known of runners that are cold.
+/// Runners that are still cold.
 #[derive(Debug, Default)]
 pub(crate) struct Warmups {
-    /// Until when each is.
+    /// Moment at which each runner becomes warm.
     until: Map<RunnerId, Instant>,
-    /// When this process last sent each a request.
+    /// When this process last sent each runner a request.
     sent: Map<RunnerId, Instant>,
 }
 
 impl Warmups {
-    /// Takes in until when a runner is cold. A moment that has passed means that it is warm.
+    /// Sets until when a runner is cold. A moment in the past means that it is warm.
     pub(crate) fn set(&mut self, id: &RunnerId, until: Instant) {
         let now = Instant::now();
         self.until.retain(|_, until| *until > now);
@@ -40,17 +40,17 @@
         self.until.get(id).is_some_and(|until| *until > now)
     }
 
-    /// Whether this process's gap between two requests to the runner is over.
-    fn has_gap(&self, id: &str, share: &Share, now: Instant) -> bool {
+    /// Whether the interval since this process's last request to the runner has passed.
+    fn is_interval_over(&self, id: &str, share: &Share, now: Instant) -> bool {
         let sent = self.sent.get(id);
         sent.is_none_or(|sent| now.saturating_duration_since(*sent) >= share.gap)
     }
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Takes in how long a runner stays cold, as of now.
+    /// Sets the remaining warm-up time of a runner from its entry, as of now.
     pub(crate) fn mark_cold_as_listed(&self, runner: &Runner) {
-        self.mark_cold(runner, runner.cold, "its entry");
+        self.mark_cold(runner, runner.cold, "entry");
     }
 
     fn mark_cold(&self, runner: &Runner, time: Duration, reason: &str) {
@@ -67,26 +67,26 @@
         }
     }
 
-    /// A runner of a drained failure domain gets work again.
+    /// Marks a runner as cold when the drain of its failure domain ends.
     ///
-    /// Its entry is from before; the runners may have been started anew since, and tell so only with
-    /// their next heartbeat. Meanwhile all processes would send to them, as they have nothing to do.
+    /// The runner may have been restarted during the drain, which its entry shows only after its next heartbeat.
+    /// Until then all processes would prefer it, since it is idle.
     pub(crate) fn mark_cold_after_drain(&self, runner: &Runner) {
         let Some(warmup) = self.warmup(&runner.service) else {
             return;
         };
-        self.mark_cold(runner, warmup.time.max(runner.cold), "the end of a drain");
+        self.mark_cold(runner, warmup.time.max(runner.cold), "end of a drain");
     }
 
     fn warmup(&self, service: &str) -> Option<Warmup> {
         self.configuration()?.services.get(service)?.warmup
     }
 
-    /// Runners of a service that this process must not send to now: cold ones that others send to, or
-    /// that it has sent to just before.
+    /// Cold runners of a service that this process must not send to now, since they are assigned to other processes
+    /// or it has sent them a request just before.
     ///
-    /// Those that are open compete with warm ones. Left alone as long as there is a warm one, they
-    /// would stand idle beside a few that are overrun when most of a service starts anew.
+    /// The other cold runners compete with the warm ones. If cold runners were used only when none is warm, they
+    /// would be idle beside a few overloaded ones while most of a service restarts.
     pub(crate) fn throttled(&self, service: &ServiceId) -> Vec<RunnerId> {
         let naive = self.options.policy.warmup == Policy::Naive;
         let Some(warmup) = self.warmup(service).filter(|_| !naive) else {
@@ -96,7 +96,7 @@
         if cold.is_empty() {
             return cold;
         }
-        // One that cannot know who else sends leaves them all alone.
+        // A process without current membership data must avoid all cold runners.
         let Some(share) = self.share(warmup.rate) else {
             return cold;
         };
@@ -104,7 +104,7 @@
         let warmups = lock(&self.warmups);
         let open = |id: &RunnerId| {
             let place = self.peers.members(|members| members.has_place(&share, id));
-            place && warmups.has_gap(id, &share, now)
+            place && warmups.is_interval_over(id, &share, now)
         };
         cold.into_iter().filter(|id| !open(id)).collect()
     }
@@ -119,13 +119,13 @@
         };
         let mut ids: Vec<RunnerId> = self.fleet(ids).unwrap_or_default();
         let now = Instant::now();
-        // Not while the fleet is locked: it is locked first where entries are taken in.
+        // The lock of the fleet is not held here. Where entries are applied, it is taken before that of the warm-ups.
         let warmups = lock(&self.warmups);
         ids.retain(|id| warmups.is_cold(id, now));
         ids
     }
 
-    /// This process's part of what a cold runner bears; none if it cannot know who else sends.
+    /// This process's share of a cold runner's request rate; `None` if membership data is not current.
     fn share(&self, rate: f64) -> Option<Share> {
         self.check_for_pause();
         let bound = self.bound(rate);
@@ -137,15 +137,15 @@
     }
 
     fn bound(&self, rate: f64) -> Bound {
-        let in_a_second = self.options.warmup;
-        let most = rate * in_a_second.excess + in_a_second.slack;
+        let settings = self.options.warmup;
+        let most = rate * settings.excess + settings.slack;
         Bound {
             rate,
             most: most as u32,
         }
     }
 
-    /// A runner is about to be sent a request.
+    /// Records that a request is about to be sent to a runner.
     pub(crate) fn record_send_time(&self, runner: &Arc<Runner>) {
         lock(&self.limits).record_send_time(&runner.id);
         let now = Instant::now();
