--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,8 +15,9 @@
 //! * [`member`]: which VMs may get new work
 //! * [`quarantine`]: requests that end the runners that run them
 //! * [`reader`]: a process that hears of a table's changes from another one
-//! * [`roster`]: a process that shares a bounded number of places with others
+//! * [`activation`]: a process that shares a bounded number of places with others
 
+pub mod activation;
 pub mod call;
 pub mod claim;
 pub mod fence;
@@ -28,21 +29,22 @@
 pub mod member;
 pub mod quarantine;
 pub mod reader;
-pub mod roster;
+
 pub mod stage;
 
+pub use activation::Activation;
 pub use call::Call;
 pub use claim::Claim;
 pub use fetch::Fetch;
 pub use follower::Follower;
 pub use gate::Gate;
 pub use id::{
-    Attempt, CallId, ContentId, Fence, Incarnation, RequestId, Revision, RowRevision, Sequence,
-    StageIndex, Token,
+    Attempt, CallId, ContentId, FencingToken, Incarnation, RequestId, Revision, RowRevision,
+    Sequence, StageIndex, Token,
 };
 pub use lease::Lease;
 pub use member::Members;
 pub use quarantine::Quarantine;
 pub use reader::Reader;
-pub use roster::Roster;
+
 pub use stage::Stage;
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -1,6 +1,6 @@
 //! State that the modules of the relay share.
 
-use crate::batch::{Batcher, Cell, Share};
+use crate::batch::{Batcher, Cell, CellRunners};
 use crate::configuration::{BatchSettings, Configuration, LAST_RANK, RegionId, ServiceId};
 use crate::downstream::Downstream;
 use crate::drain::Drains;
@@ -9,15 +9,15 @@
 use crate::memory::MemoryBudget;
 use crate::outage::Outages;
 use crate::pause::{Clock, PauseDetector};
-use crate::peer::{Burdens, Peers};
+use crate::peer::{CallLoads, Peers};
 use crate::quarantine;
 use crate::request::ContentId;
 use crate::runner::{Change, DomainId, Fleet, Runner};
-use crate::serve::RETRY_PART;
+use crate::serve::RETRY_TIME_DIVISOR;
 use crate::telemetry::Telemetry;
 use crate::warmup::Warmups;
 use decide::Map;
-use decide::retry::window::{Bound, Quota};
+use decide::retry::window::{Quota, RepeatLimit};
 use decide::route::{Pool, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
 /// Fraction of a route's longest timeout below which a request counts as a retry. A client that is refused
 /// for lack of capacity is told to wait for one [`RETRY_PART`]th of its time. The threshold lies midway
 /// between the remainder and the whole, since clients of one route differ in their initial timeouts.
-const MIN_FIRST_ATTEMPT_FRACTION: f64 = 1.0 - 0.5 / RETRY_PART as f64;
+const MIN_FIRST_ATTEMPT_FRACTION: f64 = 1.0 - 0.5 / RETRY_TIME_DIVISOR as f64;
 
 /// Request bodies may occupy one `BODY_MEMORY_DIVISOR`th of the process's memory, and response bodies as
 /// much again.
@@ -42,7 +42,7 @@
     /// Failure domain that the relay runs in.
     pub domain: DomainId,
     /// Initial limit on the retries of all relays together.
-    pub retry_bound: Bound,
+    pub retry_bound: RepeatLimit,
     /// Number of processes that share this limit, used until membership is known.
     pub processes: usize,
     /// Membership entry of this process.
@@ -95,12 +95,12 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) limits: Mutex<Limits>,
     pools: Mutex<Map<ServiceId, Pool>>,
-    retry_bound: Mutex<Bound>,
+    retry_bound: Mutex<RepeatLimit>,
     quotas: Mutex<Map<ServiceId, Quota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest client timeout seen on each route.
     longest_timeouts: Mutex<Map<String, Duration>>,
-    shares: Mutex<Map<ServiceId, Arc<Vec<Share>>>>,
+    cells: Mutex<Map<ServiceId, Arc<Vec<CellRunners>>>>,
     /// When the list of runners was last known to be up to date.
     list_current_at: Mutex<Option<Instant>>,
     rng: Mutex<SmallRng>,
@@ -139,7 +139,7 @@
             quotas: Mutex::default(),
             batchers: Mutex::default(),
             longest_timeouts: Mutex::default(),
-            shares: Mutex::default(),
+            cells: Mutex::default(),
             list_current_at: Mutex::default(),
             rng: Mutex::new(SmallRng::from_os_rng()),
         })
@@ -268,7 +268,7 @@
             lock(&self.limits).forget(&runner.id);
             self.record_exit(&runner);
         }
-        lock(&self.shares).retain(|service, _| !services.contains(service));
+        lock(&self.cells).retain(|service, _| !services.contains(service));
         let batchers: Vec<_> = lock(&self.batchers)
             .iter()
             .filter(|(cell, _)| services.contains(&cell.service))
@@ -334,34 +334,36 @@
     }
 
     /// The load that this process puts on the runners of services that have recently received prompts.
-    pub(crate) fn burdens(&self) -> Vec<(ServiceId, Burdens)> {
+    pub(crate) fn burdens(&self) -> Vec<(ServiceId, CallLoads)> {
         let now = self.now();
         let pools = lock(&self.pools);
-        let prompted = pools.iter().filter(|(_, pool)| pool.prompted(now));
+        let prompted = pools
+            .iter()
+            .filter(|(_, pool)| pool.has_recent_prompts(now));
         prompted
-            .map(|(service, pool)| (service.clone(), pool.burdens()))
+            .map(|(service, pool)| (service.clone(), pool.call_loads()))
             .collect()
     }
 
     /// Counts first attempts at a service: that of a request, or those of its pieces.
     pub fn count_first_attempts(&self, service: &ServiceId, count: u32) {
         let now = self.now();
-        self.quota(service, |quota| quota.first(now, count));
+        self.quota(service, |quota| quota.record_first_attempts(now, count));
     }
 
     /// Takes a retry from a service's retry budget; returns whether there was one left.
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
-        self.quota(service, |quota| quota.repeat(now, processes))
+        self.quota(service, |quota| quota.try_repeat(now, processes))
     }
 
     /// Changes the limit on retries, as the operator has set it.
-    pub fn set_retry_bound(&self, bound: Bound) {
+    pub fn set_retry_bound(&self, bound: RepeatLimit) {
         *lock(&self.retry_bound) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
-            quota.rebind(now, bound);
+            quota.set_limit(now, bound);
         }
     }
 
@@ -396,18 +398,18 @@
     /// Chooses the cell that makes the pieces of a request. A cell in `domain` is preferred to any other cell
     /// whose expected wait is not shorter by more than `patience`.
     pub fn cell(&self, service: &ServiceId, domain: Option<&str>, patience: Duration) -> Cell {
-        let shares = self.shares(service);
-        let near = |share: &Share| domain.is_some_and(|wanted| share.is_near(wanted));
-        let cost = |share: &&Share| {
+        let cells = self.cells(service);
+        let near = |share: &CellRunners| domain.is_some_and(|wanted| share.is_near(wanted));
+        let cost = |share: &&CellRunners| {
             let is_distant = domain.is_some() && !near(share);
             let wait = if is_distant { patience } else { Duration::ZERO };
-            self.peers.expected(self, &share.cell, LAST_RANK) + wait
+            self.peers.expected_wait(self, &share.cell, LAST_RANK) + wait
         };
         // Two random cells are compared rather than all, since many processes with the same load reports would
         // all choose the same cell. One cell near the wanted domain is added if there is one.
-        let sampled = (0..2).map(|_| &shares[self.random(|rng| rng.random_range(0..shares.len()))]);
-        let offset = self.random(|rng| rng.random_range(0..shares.len()));
-        let rotated = (0..shares.len()).map(|step| &shares[(offset + step) % shares.len()]);
+        let sampled = (0..2).map(|_| &cells[self.random(|rng| rng.random_range(0..cells.len()))]);
+        let offset = self.random(|rng| rng.random_range(0..cells.len()));
+        let rotated = (0..cells.len()).map(|step| &cells[(offset + step) % cells.len()]);
         let wanted = rotated.filter(|share| near(share)).take(1);
         let chosen = sampled.chain(wanted).min_by_key(cost);
         chosen.map_or_else(|| Cell::first(service), |share| share.cell.clone())
@@ -416,9 +418,9 @@
     /// The cell that makes the pieces of requests during which runners have exited. It is the same for each
     /// attempt, so that a single process sends them to one runner at a time.
     pub(crate) fn suspect_cell(&self, service: &ServiceId, content: ContentId) -> Cell {
-        let shares = self.shares(service);
-        let place = content as usize % shares.len().max(1);
-        let share = shares.get(place);
+        let cells = self.cells(service);
+        let place = content as usize % cells.len().max(1);
+        let share = cells.get(place);
         share.map_or_else(|| Cell::first(service), |share| share.cell.clone())
     }
 
@@ -429,21 +431,21 @@
         let concerned: Vec<_> = concerned.map(|(_, batcher)| batcher.clone()).collect();
         drop(batchers);
         for batcher in concerned {
-            batcher.pump(self);
+            batcher.dispatch(self);
         }
     }
 
     /// The cells of a service. They are cached until its runners change, since at a thousand runners sorting
     /// them for each piece dominated all other work.
-    pub fn shares(&self, service: &ServiceId) -> Arc<Vec<Share>> {
+    pub fn cells(&self, service: &ServiceId) -> Arc<Vec<CellRunners>> {
         // The lock is held throughout: a list that is read before a change and cached after it would contain a
         // runner that has left.
-        let mut shares = lock(&self.shares);
+        let mut cells = lock(&self.cells);
         let form = || {
             let runners = self.fleet(|fleet| fleet.of(service).to_vec());
             Arc::new(Cell::all(service, &runners.unwrap_or_default()))
         };
-        shares.entry(service.clone()).or_insert_with(form).clone()
+        cells.entry(service.clone()).or_insert_with(form).clone()
     }
 
     /// The batch settings of a service in the configuration in force, if its runners take pieces.
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -7,15 +7,15 @@
 
 use crate::core::Relay;
 use crate::downstream::Downstream;
-use crate::follow::{Follower, Pace, Source};
+use crate::follow::{Follower, Pace, TableSource};
 use crate::quarantine;
 use crate::runner::DomainId;
 use crate::telemetry::millis;
 use decide::Map;
 use decide::owner::{Candidate, choose};
-use decide::subset::{self, rank};
-use decide::warmup::Share;
-use protocol::roster::Roster;
+use decide::subset::{self, rendezvous_hash};
+use decide::warmup::RateShare;
+use protocol::activation::Activation;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
@@ -100,7 +100,7 @@
     listed: bool,
     leaving: bool,
     /// Whether this process takes part in work that only so many may do at a time.
-    pub(crate) roster: Roster,
+    pub(crate) roster: Activation,
 }
 
 impl Members {
@@ -117,7 +117,7 @@
             clock: None,
             listed: false,
             leaving: false,
-            roster: Roster::new(ROSTER_AGE, ROSTER_APART),
+            roster: Activation::new(ROSTER_AGE, ROSTER_APART),
         }
     }
 
@@ -150,17 +150,17 @@
     }
 
     /// A process said that it stops; it does no more work for others until it starts anew.
-    pub fn left(&mut self, id: MemberId, incarnation: u64) {
+    pub fn mark_left(&mut self, id: MemberId, incarnation: u64) {
         self.left.insert(id, incarnation);
     }
 
     /// All rows that there were have been taken in.
-    pub fn listed(&mut self) {
+    pub fn mark_listed(&mut self) {
         self.listed = true;
     }
 
     /// The own process stops and takes no more work from the others.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -171,9 +171,9 @@
     }
 
     /// The own row is in the table as of now, and a revision.
-    pub fn enlisted(&mut self, now: Duration, revision: RowRevision) {
+    pub fn mark_registered(&mut self, now: Duration, revision: RowRevision) {
         self.tree.put(&self.own, revision);
-        self.roster.enlisted(now);
+        self.roster.mark_registered(now);
     }
 
     /// When a row of this name was first written, by the table service's clock, and whether that is so
@@ -189,9 +189,9 @@
     /// Whether this process is one of the few that may send to a runner that has just started. Those
     /// that cannot be reached keep their places: two processes that disagree on that would both send.
     #[must_use]
-    pub fn has_place(&self, share: &Share, runner: &str) -> bool {
+    pub fn may_send(&self, share: &RateShare, runner: &str) -> bool {
         let others = self.others.keys().map(|id| &**id);
-        share.has_place(runner, &self.own.id, others)
+        share.may_send(runner, &self.own.id, others)
     }
 
     /// The other processes that can be reached, as far as is known.
@@ -202,14 +202,14 @@
 
     /// Whether there are so many processes that a few read the tables for all.
     #[must_use]
-    pub fn share_tables(&self) -> bool {
+    pub fn shares_tables(&self) -> bool {
         self.count().is_some_and(|count| count >= SHARED_FROM)
     }
 
     /// The process that tells this one what is new in the platform's tables; none if it reads them.
     #[must_use]
     pub fn upstream(&mut self) -> Option<Member> {
-        self.share_tables().then_some(())?;
+        self.shares_tables().then_some(())?;
         let upstreams = self.tree.upstreams();
         upstreams.iter().find_map(|id| self.can_ask(id))
     }
@@ -218,7 +218,7 @@
     /// one of many, so that those which start together don't ask the same one.
     #[must_use]
     pub fn helper(&self, draw: u32) -> Option<Member> {
-        self.share_tables().then_some(())?;
+        self.shares_tables().then_some(())?;
         self.tree.helper(draw, |id| self.can_ask(id))
     }
 
@@ -239,10 +239,10 @@
     /// The place of this process in the order in which the processes that can be reached take over a
     /// piece of work from one another.
     #[must_use]
-    pub fn order(&self, work: &str) -> u32 {
-        let own = rank(work, &self.own.id);
+    pub fn takeover_rank(&self, work: &str) -> u32 {
+        let own = rendezvous_hash(work, &self.own.id);
         let before = self.reachable().filter(|member| {
-            let other = rank(work, &member.id);
+            let other = rendezvous_hash(work, &member.id);
             (other, &*member.id) < (own, &*self.own.id)
         });
         u32::try_from(before.count()).unwrap_or(u32::MAX)
@@ -307,7 +307,7 @@
 
 /// Writes the own row, however long the table service is away, and again whenever the service has come
 /// back from a copy that may not have it.
-pub async fn enlist<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
+pub async fn register<D: Downstream, T: Table>(relay: Arc<Relay<D>>, table: T) {
     let begun = Instant::now();
     relay.peers.members_read(LIST_WAIT).await;
     let mut member = relay.options.member.clone();
@@ -318,9 +318,9 @@
     };
     info!(relay.log, "enlisted"; "after_ms" => millis(begun.elapsed()), "settled" => is_settled);
     relay.peers.members(|members| {
-        members.enlisted(relay.now(), revision);
+        members.mark_registered(relay.now(), revision);
         if is_settled {
-            members.roster.settle();
+            members.roster.mark_known();
         }
     });
     relay.peers.note_enlisted();
@@ -333,7 +333,7 @@
         if let Some(revision) = write(&relay, &table, &member).await {
             relay
                 .peers
-                .members(|members| members.enlisted(relay.now(), revision));
+                .members(|members| members.mark_registered(relay.now(), revision));
             info!(relay.log, "own row written again");
         }
     }
@@ -383,7 +383,7 @@
 }
 
 /// Follows the rows of the other processes until the task is dropped.
-pub async fn follow<D: Downstream, S: Source>(relay: Arc<Relay<D>>, source: S) {
+pub async fn follow<D: Downstream, S: TableSource>(relay: Arc<Relay<D>>, source: S) {
     let mut follower = Follower::new(&relay, source, TABLE, PACE);
     let mut is_first = true;
     loop {
@@ -407,11 +407,11 @@
                 take(&relay, members, &change);
             }
             members.clock = members.clock.or(changes.clock);
-            members.listed();
+            members.mark_listed();
             members.roster.read(follower.current());
         });
         relay.peers.note_read();
-        let is_alone = !relay.peers.members(|members| members.share_tables());
+        let is_alone = !relay.peers.members(|members| members.shares_tables());
         if std::mem::take(&mut is_first) && is_alone && relay.options.first_start {
             // Many may be about to start together. Once the own row is there, so are those that were
             // written before it.
--- a/crates/relay/src/pause.rs
+++ b/crates/relay/src/pause.rs
@@ -154,7 +154,7 @@
         if let Some(pause) = self.pause.check() {
             warn!(self.log, "process was paused, asking for updates"; "paused_ms" => millis(pause),
                 "runners_age_ms" => self.runner_list_age().map(millis));
-            self.peers.members(|members| members.roster.forget());
+            self.peers.members(|members| members.roster.invalidate());
         }
     }
 
--- a/crates/relay/src/peer.rs
+++ b/crates/relay/src/peer.rs
@@ -1,21 +1,21 @@
 //! What the processes say to one another: pieces for the one that forms a cell's calls, and which
 //! configuration is in force.
 
-mod board;
+mod call_loads;
+mod frame;
 mod overlay;
 mod serving;
 pub(crate) mod tables;
-mod talk;
 mod transfer;
 
-pub use board::{Board, Burdens, exchange_burdens};
-pub use overlay::{Beat, keep};
+pub use call_loads::{CallLoadTable, CallLoads, exchange_call_loads};
+pub use frame::{Frame, WireOrder};
+pub use overlay::{StateDigest, maintain_links};
 pub use serving::serve;
-pub use tables::News;
-pub use talk::{Frame, Sheet};
+pub use tables::TableUpdate;
 pub use transfer::Part;
 
-use crate::batch::{Cell, Order, Outcome, Results, Spent, Spoiled, Waits};
+use crate::batch::{Cell, Order, Outcome, ReleaseKind, Results, StageError, WaitEstimates};
 use crate::configuration::{Rank, Version};
 use crate::core::{Relay, lock};
 use crate::downstream::{Downstream, Handle};
@@ -49,9 +49,9 @@
     members: Mutex<Members>,
     slots: Mutex<Map<MemberId, Arc<Slot>>>,
     subscribers: Mutex<Vec<Sender<Frame>>>,
-    loads: Mutex<Map<Cell, (Waits, Instant)>>,
+    loads: Mutex<Map<Cell, (WaitEstimates, Instant)>>,
     held: Mutex<Map<Cell, Held>>,
-    pub(crate) board: Board,
+    pub(crate) call_loads: CallLoadTable,
     /// How far this process has got to know the others.
     stage: watch::Sender<Stage>,
     /// Wakes the task that writes the own row.
@@ -96,11 +96,11 @@
 }
 
 /// The link to one process; whoever finds none opens it while the others wait.
-type Slot = tokio::sync::Mutex<Option<Arc<Line>>>;
+type Slot = tokio::sync::Mutex<Option<Arc<PeerLink>>>;
 
 /// A link with the orders that wait for their outcome on it.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct PeerLink {
     incarnation: u64,
     sender: Sender<Frame>,
     pending: Mutex<Pending>,
@@ -114,7 +114,7 @@
     beaten: Option<Instant>,
     waiting: Map<u64, oneshot::Sender<Outcome>>,
     /// Questions for news of a table.
-    news: Map<u64, oneshot::Sender<Option<News>>>,
+    news: Map<u64, oneshot::Sender<Option<TableUpdate>>>,
 }
 
 impl Pending {
@@ -137,7 +137,7 @@
             subscribers: Mutex::default(),
             loads: Mutex::default(),
             held: Mutex::default(),
-            board: Board::default(),
+            call_loads: CallLoadTable::default(),
             stage: watch::Sender::default(),
             rewrite: Notify::new(),
             tables: Tables::default(),
@@ -196,8 +196,8 @@
     /// Tells all linked processes that this one stops, and that its work is for the next one.
     ///
     /// Others would go on to send it orders until it is gone, and lose them with it.
-    pub fn leave(&self, own: &Member) {
-        lock(&self.members).leave();
+    pub fn announce_leaving(&self, own: &Member) {
+        lock(&self.members).mark_leaving();
         let leaving = Frame::Leaving {
             id: own.id.clone(),
             incarnation: own.incarnation,
@@ -206,7 +206,7 @@
     }
 
     /// Waits until the orders of other processes have been carried out.
-    pub async fn finish(&self) {
+    pub async fn finish_orders(&self) {
         self.orders.close();
         self.orders.wait().await;
     }
@@ -258,7 +258,12 @@
     }
 
     /// Expected time until pieces of this rank that come now are made in a cell.
-    pub fn expected<D: Downstream>(&self, relay: &Relay<D>, cell: &Cell, rank: Rank) -> Duration {
+    pub fn expected_wait<D: Downstream>(
+        &self,
+        relay: &Relay<D>,
+        cell: &Cell,
+        rank: Rank,
+    ) -> Duration {
         let batches = relay.batches(&cell.service);
         let Some(batches) = batches else {
             return Duration::ZERO;
@@ -275,12 +280,12 @@
         fresh.map_or(batches.shape.call, |(waits, _)| waits.of(rank))
     }
 
-    pub(crate) fn note_load(&self, cell: Cell, waits: Waits) {
+    pub(crate) fn note_load(&self, cell: Cell, waits: WaitEstimates) {
         lock(&self.loads).insert(cell, (waits, Instant::now()));
     }
 
     /// Notes results of a cell that a request holds now, each of this size.
-    pub fn hold(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
+    pub fn record_results(&self, cell: &Cell, handles: &[Handle], bytes: u64) {
         let mut held = lock(&self.held);
         let results = &mut held.entry(cell.clone()).or_default().results;
         results.extend(handles.iter().map(|handle| (handle.clone(), bytes)));
@@ -296,9 +301,14 @@
     }
 
     /// Tells the owner of a cell that results are done with.
-    pub fn release<D: Downstream>(&self, relay: &Arc<Relay<D>>, results: Results, spent: Spent) {
+    pub fn release<D: Downstream>(
+        &self,
+        relay: &Arc<Relay<D>>,
+        results: Results,
+        spent: ReleaseKind,
+    ) {
         let Results { cell, handles } = &results;
-        if spent == Spent::Over
+        if spent == ReleaseKind::Over
             && let Some(held) = lock(&self.held).get_mut(cell)
         {
             for handle in handles {
@@ -322,7 +332,7 @@
         &self,
         relay: &Arc<Relay<D>>,
         member: &Member,
-    ) -> Option<Arc<Line>> {
+    ) -> Option<Arc<PeerLink>> {
         let slot = lock(&self.slots)
             .entry(member.id.clone())
             .or_default()
@@ -338,8 +348,8 @@
         let linked = timeout(CONNECT, wire::connect(member.address, &self.key)).await;
         match linked {
             Ok(Ok((sender, receiver))) => {
-                let open = Arc::new(Line::new(member.incarnation, sender));
-                talk::start(relay.clone(), open.clone(), receiver);
+                let open = Arc::new(PeerLink::new(member.incarnation, sender));
+                frame::start(relay.clone(), open.clone(), receiver);
                 *line = Some(open.clone());
                 Some(open)
             }
@@ -355,7 +365,7 @@
     }
 }
 
-impl Line {
+impl PeerLink {
     fn new(incarnation: u64, sender: Sender<Frame>) -> Self {
         let pending = Pending {
             next: 0,
@@ -386,7 +396,7 @@
 /// An order that waits on a link. One that is dropped is withdrawn, so that no runner works for a
 /// caller that has left.
 struct Waiting {
-    line: Arc<Line>,
+    line: Arc<PeerLink>,
     ticket: u64,
 }
 
@@ -411,14 +421,18 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled`].
-pub async fn make<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
+/// [`StageError`].
+pub async fn execute_order<D: Downstream>(
+    relay: &Arc<Relay<D>>,
+    cell: &Cell,
+    order: Order,
+) -> Outcome {
     for _ in 0..OWNERS {
         let owner = relay.peers.members(|members| members.owner(&cell.name()));
         let news = relay.peers.news_for(cell, &owner);
         if owner.id == relay.options.member.id {
             if let Some(results) = news {
-                relay.batcher(cell).hold(relay, &results);
+                relay.batcher(cell).record_results(relay, &results);
             }
             return make_here(relay, cell, order).await;
         }
@@ -429,7 +443,7 @@
         }
         let asked = ask(relay, &owner, cell, &order).await;
         match asked {
-            Asked::Ended(Err(Spoiled::NoRunner)) => break,
+            Asked::Ended(Err(StageError::NoRunner)) => break,
             Asked::Ended(outcome) => return outcome,
             Asked::Unreached => relay.peers.members(|members| members.suspect(&owner)),
             Asked::Lost => {
@@ -437,7 +451,7 @@
                     "request" => &*order.id, "stage" => order.stage);
                 relay.peers.members(|members| members.suspect(&owner));
                 if !relay.try_retry(&cell.service) {
-                    return Err(Spoiled::Failed);
+                    return Err(StageError::Failed);
                 }
             }
         }
@@ -448,7 +462,7 @@
 async fn make_here<D: Downstream>(relay: &Arc<Relay<D>>, cell: &Cell, order: Order) -> Outcome {
     let outcome = relay.batcher(cell).submit(relay, order).await;
     // The sending end is dropped without a word only when the order has been withdrawn.
-    outcome.unwrap_or(Err(Spoiled::Failed))
+    outcome.unwrap_or(Err(StageError::Failed))
 }
 
 /// What became of an order that another process was asked to carry out.
@@ -475,7 +489,7 @@
     let frame = Frame::Order {
         ticket,
         cell: cell.clone(),
-        sheet: Box::new(Sheet::new(order)),
+        sheet: Box::new(WireOrder::new(order)),
     };
     if waiting.line.sender.send(frame).await.is_err() {
         return Asked::Unreached;
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use silence::SILENCE_TIMEOUT;
 
-use crate::batch::Spoiled;
+use crate::batch::StageError;
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
 use crate::member;
@@ -15,7 +15,7 @@
 use crate::runner::{Runner, RunnerId};
 use crate::serve::{Job, content_name};
 use crate::telemetry::millis;
-use protocol::quarantine::{ANNOUNCED, Merge, Pass, Quarantine, Report};
+use protocol::quarantine::{ANNOUNCE_THRESHOLD, Admission, Merge, Quarantine, Report};
 use serde::{Deserialize, Serialize};
 use setting::Policy;
 use slog::{info, warn};
@@ -81,16 +81,16 @@
         let (sent, now) = (self.at(sent), self.now());
         let mut known = lock(&self.quarantine.known);
         if isolated {
-            known.lost_isolated(content, instance(runner), sent, now);
+            known.isolated_answer_lost(content, instance(runner), sent, now);
         } else {
-            known.lost(content, instance(runner), sent, now);
+            known.answer_lost(content, instance(runner), sent, now);
         }
     }
 
     /// Records that a runner has exited without announcing it.
     pub(crate) fn record_exit(&self, runner: &Runner) {
         let now = self.now();
-        let reports = lock(&self.quarantine.known).ended(&instance(runner), now);
+        let reports = lock(&self.quarantine.known).runner_exited(&instance(runner), now);
         for report in reports {
             info!(self.log, "runner exited during a request"; "runner" => &*runner.id,
                 "content" => content_name(report.content), "crashes" => report.count);
@@ -111,7 +111,7 @@
     pub(crate) fn record_answer(self: &Arc<Self>, content: ContentId, runner: &Runner) {
         let merged = {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&instance(runner), self.now());
+            known.runner_observed(&instance(runner), self.now());
             if known.is_idle() {
                 return;
             }
@@ -128,11 +128,11 @@
     pub(crate) fn record_batch_answer(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
         {
             let mut known = lock(&self.quarantine.known);
-            known.observed(&instance(runner), self.now());
+            known.runner_observed(&instance(runner), self.now());
             if known.is_idle() {
                 return;
             }
-            known.lives(&instance(runner));
+            known.runner_answered(&instance(runner));
         }
         for content in complete {
             self.record_answer(content, runner);
@@ -168,7 +168,8 @@
             self.peers
                 .members(|members| members.owner(&key(content)).id)
         };
-        if report.silences.len() >= ANNOUNCED as usize && owner() == self.options.member.id {
+        if report.silences.len() >= ANNOUNCE_THRESHOLD as usize && owner() == self.options.member.id
+        {
             self.check_silent(&report);
         }
         if was_held != is_held && self.trial_order(content) == 0 {
@@ -177,7 +178,8 @@
     }
 
     fn announce(&self, report: &Suspicion) {
-        self.telemetry.held(lock(&self.quarantine.known).held());
+        self.telemetry
+            .held(lock(&self.quarantine.known).held_count());
         self.peers.announce_suspicion(report);
     }
 
@@ -205,25 +207,25 @@
     /// Position of this process in the order in which processes may retry a quarantined request.
     fn trial_order(&self, content: ContentId) -> u32 {
         let row = key(content);
-        self.peers.members(|members| members.order(&row))
+        self.peers.members(|members| members.takeover_rank(&row))
     }
 
-    fn pass(&self, content: ContentId) -> Pass {
+    fn admission(&self, content: ContentId) -> Admission {
         let now = self.now();
         // The position is computed only if the request is quarantined.
-        let pass = lock(&self.quarantine.known).pass(content, 0, now);
-        if pass == Pass::Free {
-            return pass;
+        let admission = lock(&self.quarantine.known).admission(content, 0, now);
+        if admission == Admission::Free {
+            return admission;
         }
         let order = self.trial_order(content);
-        lock(&self.quarantine.known).pass(content, order, now)
+        lock(&self.quarantine.known).admission(content, order, now)
     }
 }
 
 /// Whether a report must be sent to all processes. A single unresponsive runner may merely be slow.
 fn must_announce(report: &Suspicion) -> bool {
     let concerns_all = !report.crashes.is_empty() || report.cleared.is_some();
-    concerns_all || report.tried.is_some() || report.silences.len() >= ANNOUNCED as usize
+    concerns_all || report.tried.is_some() || report.silences.len() >= ANNOUNCE_THRESHOLD as usize
 }
 
 /// Admits a request unless it is quarantined.
@@ -243,10 +245,10 @@
 
 /// Remaining quarantine time of one of a request's contents; counts the request as demand for it.
 fn remaining_quarantine<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
-    let Pass::Held(left) = job.relay.pass(content) else {
+    let Admission::Held(left) = job.relay.admission(content) else {
         return None;
     };
-    lock(&job.relay.quarantine.known).asked(content, job.relay.now());
+    lock(&job.relay.quarantine.known).touch(content, job.relay.now());
     Some(left)
 }
 
@@ -256,12 +258,12 @@
 /// # Errors
 ///
 /// [`Spoiled::Poison`] if the content is quarantined.
-pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, Spoiled> {
+pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, StageError> {
     let content = job.stage_content(stage);
-    match job.relay.pass(content) {
-        Pass::Free => Ok(false),
-        Pass::Held(_) => Err(Spoiled::Poison),
-        Pass::Trial => {
+    match job.relay.admission(content) {
+        Admission::Free => Ok(false),
+        Admission::Held(_) => Err(StageError::Poison),
+        Admission::Trial => {
             begin_trial(job, content);
             Ok(true)
         }
@@ -295,7 +297,7 @@
 /// [`Refusal::Poison`] if too few runners are up for half of the client's remaining time.
 async fn await_runners<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let since = Instant::now();
-    let patience = job.left() / 2;
+    let patience = job.remaining() / 2;
     loop {
         let standing = job.relay.standing(&job.service);
         let (may_run, crashes) = {
@@ -303,11 +305,11 @@
             let now = job.relay.now();
             let risk = match known.risk(job.content, now) {
                 // A single response was lost or is late, and its runner may still be running.
-                risk if risk < ANNOUNCED && known.crashes(job.content) == 0 => 0,
+                risk if risk < ANNOUNCE_THRESHOLD && known.crashes(job.content) == 0 => 0,
                 risk => risk,
             };
             let may_spread = known.may_spread(job.content, now);
-            (may_spread && standing.bears(risk), risk)
+            (may_spread && standing.allows_attempt(risk), risk)
         };
         let waited = since.elapsed();
         let outcome = match (may_run, waited >= patience) {
@@ -344,10 +346,10 @@
     if job.relay.options.policy.suspects == Policy::Shipped {
         await_runners(job).await?;
     }
-    match job.relay.pass(job.content) {
-        Pass::Free => {}
-        Pass::Trial => begin_trial(job, job.content),
-        Pass::Held(retry_after) => return Err(Refusal::Poison { retry_after }),
+    match job.relay.admission(job.content) {
+        Admission::Free => {}
+        Admission::Trial => begin_trial(job, job.content),
+        Admission::Held(retry_after) => return Err(Refusal::Poison { retry_after }),
     }
     Ok(())
 }
@@ -370,7 +372,7 @@
     let merged = match change.value.as_ref().map(Row::deserialize) {
         Some(Ok(row)) => lock(&relay.quarantine.known).restore(content, row.crashes, now),
         // Links are faster than the table, so anything newer than this row has been announced over them.
-        None => lock(&relay.quarantine.known).lapse(content, member::MAX_AGE, now),
+        None => lock(&relay.quarantine.known).discard_restored(content, member::MAX_AGE, now),
         Some(Err(error)) => {
             warn!(relay.log, "invalid quarantine row"; "row" => &change.key, "error" => %error);
             return true;
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -23,7 +23,7 @@
     /// Records that a runner has sent something, for whichever request.
     pub(crate) fn record_activity(&self, runner: &Runner, moment: Instant) {
         let at = self.at(moment);
-        lock(&self.quarantine.known).observed(&instance(runner), at);
+        lock(&self.quarantine.known).runner_observed(&instance(runner), at);
     }
 
     /// Probes runners that seem unresponsive during a request. A runner may be slow for that request only, and
@@ -46,12 +46,12 @@
 
     /// Records that a request is sent to a runner.
     pub(crate) fn record_sent(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).begin(content, instance(runner));
+        lock(&self.quarantine.known).attempt_started(content, instance(runner));
     }
 
     /// Records that a request is no longer in progress at a runner.
     pub(crate) fn record_finished(&self, content: ContentId, runner: &Runner) {
-        lock(&self.quarantine.known).over(content, &instance(runner));
+        lock(&self.quarantine.known).attempt_ended(content, &instance(runner));
     }
 
     /// Records that a request has waited so long for a runner, since it was sent, that the runner counts as
@@ -71,7 +71,7 @@
         let (sent, now) = (self.at(sent), self.now());
         let report = {
             let mut known = lock(&self.quarantine.known);
-            known.waited(content, &instance(runner), sent, now)
+            known.runner_unresponsive(content, &instance(runner), sent, now)
         };
         let Some(report) = report else { return };
         info!(self.log, "runner unresponsive during a request"; "runner" => &*runner.id,
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/plan_rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::feed::{Script, Told};
+use common::feed::{FeedReply, ScriptedFeed};
 use common::{Fake, body, configuration, ready, request, runner, unconfigured};
 use relay::configuration::{Configuration, LAST_RANK, Limits, Route, Workspace};
 use relay::follow;
@@ -16,13 +16,16 @@
 #[tokio::test(start_paused = true)]
 async fn never_back() {
     let told = vec![
-        Told::Rows(vec![("config", Some(json!(5)))]),
-        Told::Rows(vec![("config", Some(json!(3)))]),
-        Told::Rows(vec![("config", Some(json!("rubbish")))]),
-        Told::Rows(vec![("config", None)]),
+        FeedReply::Rows(vec![("config", Some(json!(5)))]),
+        FeedReply::Rows(vec![("config", Some(json!(3)))]),
+        FeedReply::Rows(vec![("config", Some(json!("rubbish")))]),
+        FeedReply::Rows(vec![("config", None)]),
     ];
     let relay = unconfigured(Fake::default());
-    let following = tokio::spawn(follow::plans(relay.clone(), Script::new(told)));
+    let following = tokio::spawn(follow::operator_table(
+        relay.clone(),
+        ScriptedFeed::new(told),
+    ));
     sleep(Duration::from_secs(5)).await;
     following.abort();
     assert_eq!(
@@ -72,7 +75,7 @@
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let mut request = request("a", "safe");
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     relay.serve(request).await;
     let sent = &fake.sent()[0];
     assert_eq!(sent.workspace.as_deref(), Some("coop"));
@@ -89,7 +92,7 @@
 async fn refused_at_once() {
     let relay = ready(Fake::default());
     let mut request = request("a", "staged");
-    request.patience = Some(Duration::from_millis(100));
+    request.timeout = Some(Duration::from_millis(100));
     let begun = tokio::time::Instant::now();
     let answer = relay.serve(request).await;
     assert_eq!(answer.status, 503);
--- a/crates/relay/tests/poison_pieces.rs
+++ b/crates/relay/tests/poison_pieces.rs
@@ -9,7 +9,7 @@
     reply, send, share_call,
 };
 use common::{Fake, StageCall};
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::{Relay, Request};
 use std::time::Duration;
 use tokio::task::JoinHandle;
@@ -85,7 +85,7 @@
     replies(sent).await;
     repeat(&relay, REPEATED, |number| poison(number + 1)).await;
     let failures = failures(&relay);
-    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
+    assert!(failures.len() <= CRASH_THRESHOLD as usize, "{failures:?}");
     assert_refused(&relay, asking("poison-last", POISON)).await;
     assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
@@ -111,7 +111,7 @@
     }
     let failures = failures(&relay);
     assert!(
-        (1..=CRASHES as usize + TRIALS).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize + TRIALS).contains(&failures.len()),
         "{failures:?}"
     );
     let longest = longest_unmade(&relay);
@@ -215,7 +215,10 @@
         repeat(&relay, REPEATED, |number| other(number + 1)),
     );
     let failures = failures(&relay);
-    assert!(failures.len() <= 2 * CRASHES as usize, "{failures:?}");
+    assert!(
+        failures.len() <= 2 * CRASH_THRESHOLD as usize,
+        "{failures:?}"
+    );
     assert_served(&[ask(&relay, asking("one-last", "one")).await]);
 }
 
@@ -239,7 +242,7 @@
     replies(sent).await;
     repeat(&relay, REPEATED, |number| large(number + 1)).await;
     let failures = failures(&relay);
-    assert!(failures.len() <= CRASHES as usize, "{failures:?}");
+    assert!(failures.len() <= CRASH_THRESHOLD as usize, "{failures:?}");
     assert_refused(&relay, large(100)).await;
     assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -8,7 +8,7 @@
     INNOCENT, LISTED, PAUSE, POISON, Reply, STAGE, ask, asking, assert_served, failures,
     is_quarantined, keep_list, relay, repeat, replies, share_call,
 };
-use protocol::quarantine::CRASHES;
+use protocol::quarantine::CRASH_THRESHOLD;
 use relay::{Relay, Request};
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 fn poison(number: usize, patience: Duration) -> Request {
     Request {
-        patience: Some(patience),
+        timeout: Some(patience),
         ..asking(&format!("{POISON}-{number}"), POISON)
     }
 }
@@ -46,7 +46,7 @@
 fn innocent(number: usize, patience: Duration) -> Request {
     let text = INNOCENT[number % INNOCENT.len()];
     Request {
-        patience: Some(patience),
+        timeout: Some(patience),
         ..asking(&format!("{text}-{number}"), text)
     }
 }
@@ -84,7 +84,7 @@
 fn assert_few(relay: &Relay<Fake>) {
     let failures = failures(relay);
     assert!(
-        (1..=CRASHES as usize).contains(&failures.len()),
+        (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
         "{failures:?}"
     );
 }
@@ -147,7 +147,7 @@
     let fault = Fault::new("popular", FaultSite::Model, Effect::Stalls);
     relay.downstream.faults.set([fault]);
     let popular = |number: usize| Request {
-        patience: Some(SHORT),
+        timeout: Some(SHORT),
         ..asking(&format!("popular-{number}"), "popular")
     };
     for number in 0..2 * FEW {
@@ -184,7 +184,7 @@
     relay.downstream.faults.set([fault]);
     for number in 0..4 {
         let popular = Request {
-            patience: Some(SHORT),
+            timeout: Some(SHORT),
             ..asking(&format!("popular-{number}"), "popular")
         };
         ask(&relay, popular).await;
