--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -32,7 +32,7 @@
 pub type Suspicion = Report<RunnerInstance>;
 
 /// Key prefix of the rows of quarantined requests.
-const KEY_PREFIX: &str = "quarantine/";
+const PREFIX: &str = "quarantine/";
 /// Interval at which a suspect request checks whether enough runners are up.
 const RUNNERS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Retry delay told to clients while runners are down: about the time that a runner takes to start.
@@ -355,13 +355,13 @@
 }
 
 fn key(content: ContentId) -> String {
-    format!("{KEY_PREFIX}{}", content_name(content))
+    format!("{PREFIX}{}", content_name(content))
 }
 
 /// Applies a changed row of the membership table if it is that of a quarantined request, and returns whether it
 /// is.
 pub(crate) fn apply_row<D: Downstream>(relay: &Arc<Relay<D>>, change: &store::Change) -> bool {
-    let Some(name) = change.key.strip_prefix(KEY_PREFIX) else {
+    let Some(name) = change.key.strip_prefix(PREFIX) else {
         return false;
     };
     let Ok(content) = ContentId::from_str_radix(name, 16) else {
