--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -334,7 +334,7 @@
     }
 
     /// The load that this process puts on the runners of services that have recently received prompts.
-    pub(crate) fn burdens(&self) -> Vec<(ServiceId, CallLoads)> {
+    pub(crate) fn call_loads(&self) -> Vec<(ServiceId, CallLoads)> {
         let now = self.now();
         let pools = lock(&self.pools);
         let prompted = pools
@@ -396,41 +396,50 @@
     }
 
     /// Chooses the cell that makes the pieces of a request. A cell in `domain` is preferred to any other cell
-    /// whose expected wait is not shorter by more than `patience`.
-    pub fn cell(&self, service: &ServiceId, domain: Option<&str>, patience: Duration) -> Cell {
+    /// whose expected wait is not shorter by more than `max_domain_wait`.
+    pub fn cell(
+        &self,
+        service: &ServiceId,
+        domain: Option<&str>,
+        max_domain_wait: Duration,
+    ) -> Cell {
         let cells = self.cells(service);
-        let near = |share: &CellRunners| domain.is_some_and(|wanted| share.is_near(wanted));
-        let cost = |share: &&CellRunners| {
-            let is_distant = domain.is_some() && !near(share);
-            let wait = if is_distant { patience } else { Duration::ZERO };
-            self.peers.expected_wait(self, &share.cell, LAST_RANK) + wait
+        let is_near = |cell: &CellRunners| domain.is_some_and(|wanted| cell.is_near(wanted));
+        let cost = |candidate: &&CellRunners| {
+            let is_distant = domain.is_some() && !is_near(candidate);
+            let wait = if is_distant {
+                max_domain_wait
+            } else {
+                Duration::ZERO
+            };
+            self.peers.expected_wait(self, &candidate.cell, LAST_RANK) + wait
         };
         // Two random cells are compared rather than all, since many processes with the same load reports would
         // all choose the same cell. One cell near the wanted domain is added if there is one.
         let sampled = (0..2).map(|_| &cells[self.random(|rng| rng.random_range(0..cells.len()))]);
         let offset = self.random(|rng| rng.random_range(0..cells.len()));
         let rotated = (0..cells.len()).map(|step| &cells[(offset + step) % cells.len()]);
-        let wanted = rotated.filter(|share| near(share)).take(1);
+        let wanted = rotated.filter(|candidate| is_near(candidate)).take(1);
         let chosen = sampled.chain(wanted).min_by_key(cost);
-        chosen.map_or_else(|| Cell::first(service), |share| share.cell.clone())
+        chosen.map_or_else(|| Cell::first(service), |chosen| chosen.cell.clone())
     }
 
     /// The cell that makes the pieces of requests during which runners have exited. It is the same for each
     /// attempt, so that a single process sends them to one runner at a time.
     pub(crate) fn suspect_cell(&self, service: &ServiceId, content: ContentId) -> Cell {
         let cells = self.cells(service);
-        let place = content as usize % cells.len().max(1);
-        let share = cells.get(place);
-        share.map_or_else(|| Cell::first(service), |share| share.cell.clone())
+        let index = content as usize % cells.len().max(1);
+        let chosen = cells.get(index);
+        chosen.map_or_else(|| Cell::first(service), |chosen| chosen.cell.clone())
     }
 
     /// Starts waiting calls of a service after one of its runners has come back.
     pub(crate) fn restart_calls(self: &Arc<Self>, service: &ServiceId) {
         let batchers = lock(&self.batchers);
-        let concerned = batchers.iter().filter(|(cell, _)| cell.service == *service);
-        let concerned: Vec<_> = concerned.map(|(_, batcher)| batcher.clone()).collect();
+        let affected = batchers.iter().filter(|(cell, _)| cell.service == *service);
+        let affected: Vec<_> = affected.map(|(_, batcher)| batcher.clone()).collect();
         drop(batchers);
-        for batcher in concerned {
+        for batcher in affected {
             batcher.dispatch(self);
         }
     }
--- a/crates/relay/src/peer/call_loads.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -65,7 +65,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (service, burdens) in relay.burdens() {
+        for (service, burdens) in relay.call_loads() {
             tell_one(&relay, service, burdens).await;
         }
     }
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -103,8 +103,8 @@
         let now = Instant::now();
         let warmups = lock(&self.warmups);
         let open = |id: &RunnerId| {
-            let place = self.peers.members(|members| members.may_send(&share, id));
-            place && warmups.is_interval_over(id, &share, now)
+            let may_send = self.peers.members(|members| members.may_send(&share, id));
+            may_send && warmups.is_interval_over(id, &share, now)
         };
         cold.into_iter().filter(|id| !open(id)).collect()
     }
