--- a/crates/relay/tests/common/configurations.rs
+++ b/crates/relay/tests/common/configurations.rs
@@ -5,14 +5,14 @@
 use relay::configuration::{BatchSettings, Kind, Limits, Route, Service, Share, Stage, Workspace};
 use std::time::Duration;
 
-/// The plan with these routes besides, which hold nothing but their names.
+/// The configuration of [`configuration`] with additional routes of these names.
 pub(crate) fn configuration_with_routes(version: u64, names: &[&str]) -> Configuration {
     let more = names.iter().map(|name| route(name, Kind::Safe));
     configuration_of(version, more)
 }
 
-/// A plan with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a
-/// stream that is not) and `/staged/`.
+/// A configuration with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a stream that
+/// is not resumable), `/staged/` (one stage) and `/chained/` (two).
 pub(crate) fn configuration(version: u64) -> Configuration {
     configuration_of(version, [])
 }
--- a/crates/relay/tests/common/faults.rs
+++ b/crates/relay/tests/common/faults.rs
@@ -1,4 +1,4 @@
-//! Runners that fail: by themselves, or under requests that harm them.
+//! Injection of runner failures: spontaneous ones, and those caused by requests.
 
 use super::parts::Parts;
 use futures::StreamExt;
@@ -11,42 +11,42 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time that a runner works on a request before that harms it.
-pub(crate) const HARMED_AFTER: Duration = Duration::from_millis(50);
+/// Time that a runner works on a request before its fault takes effect.
+pub(crate) const FAULT_DELAY: Duration = Duration::from_millis(50);
 
-/// Where a request is worked on.
+/// Where in the processing of a request a fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultSite {
     Stage(usize),
-    /// Before its answer begins.
+    /// At the model, before the response begins.
     Model,
-    /// After the first part of its answer.
+    /// At the model, after the first part of the response.
     Answer,
 }
 
-/// What becomes of a runner.
+/// Effect of a fault on a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// It ends; nothing listens at its address any more.
-    Ends,
-    /// It answers nobody any more; its address refuses nobody.
+    /// It exits; nothing listens at its address any more.
+    Exits,
+    /// It becomes unresponsive to all requests; connections to it are not refused.
     Silent,
-    /// It answers all others.
+    /// It does not respond to the request, but does to all others.
     Stalls,
 }
 
-/// What requests do to the runners that work on them.
+/// A fault that requests cause at the runners that work on them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
-    /// Beginning of the requests' names.
+    /// Prefix of the requests' names.
     pub(crate) prefix: &'static str,
     pub(crate) site: FaultSite,
-    /// The piece that does it; each of them if none is named.
+    /// The piece that causes the fault; any piece if `None`.
     pub(crate) piece: Option<u32>,
     pub(crate) effect: Effect,
 }
 
-/// What a request does to its runner, and its name.
+/// Effect of a fault, and the name of the request that causes it.
 pub(crate) type Cause = (Effect, String);
 
 impl Fault {
@@ -59,38 +59,38 @@
         }
     }
 
-    fn is_of(&self, (id, site, piece): (&str, FaultSite, u32)) -> bool {
-        let piece = self.piece.is_none_or(|deadly| deadly == piece);
+    fn matches(&self, (id, site, piece): (&str, FaultSite, u32)) -> bool {
+        let piece = self.piece.is_none_or(|faulty| faulty == piece);
         id.starts_with(self.prefix) && self.site == site && piece
     }
 }
 
-/// A runner that has failed.
+/// A runner failure.
 #[derive(Clone, Debug)]
 pub(crate) struct RunnerFailure {
     pub(crate) runner: String,
     pub(crate) at: Instant,
-    /// The request that harmed it; none if it failed by itself.
+    /// The request that caused it; `None` if it was spontaneous.
     pub(crate) request: Option<String>,
 }
 
-/// Runners that are not well now.
+/// Runners that are currently failed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    ended: BTreeSet<String>,
+    exited: BTreeSet<String>,
     silent: BTreeSet<String>,
 }
 
 impl Health {
     fn failure(&self, runner: &str) -> Option<Effect> {
-        if self.ended.contains(runner) {
-            return Some(Effect::Ends);
+        if self.exited.contains(runner) {
+            return Some(Effect::Exits);
         }
         self.silent.contains(runner).then_some(Effect::Silent)
     }
 }
 
-/// All runners' health; clones share it.
+/// Injected faults and health of all runners. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerFaults {
     faults: Arc<Mutex<Vec<Fault>>>,
@@ -99,47 +99,47 @@
 }
 
 impl RunnerFaults {
-    /// From now on these requests harm runners, and no others.
+    /// Replaces the faults that requests cause from now on.
     pub(crate) fn set(&self, faults: impl IntoIterator<Item = Fault>) {
         *self.faults.lock().expect("no holder panics") = faults.into_iter().collect();
     }
 
-    /// What the first request that does harm does to a runner, and its name.
-    pub(crate) fn fault<'a>(
+    /// The fault that the first faulty request among `work` causes.
+    pub(crate) fn triggered<'a>(
         &self,
         work: impl IntoIterator<Item = (&'a str, FaultSite, u32)>,
     ) -> Option<Cause> {
         let faults = self.faults.lock().expect("no holder panics");
         let of = |one: (&'a str, FaultSite, u32)| {
-            let fault = faults.iter().find(|fault| fault.is_of(one))?;
+            let fault = faults.iter().find(|fault| fault.matches(one))?;
             Some((fault.effect, one.0.to_owned()))
         };
         work.into_iter().find_map(of)
     }
 
-    /// Runners that have failed, in the order in which they did.
+    /// All runner failures so far, in order.
     pub(crate) fn failures(&self) -> Vec<RunnerFailure> {
         self.failures.lock().expect("no holder panics").clone()
     }
 
-    /// The runner ends by itself.
+    /// Makes a runner exit spontaneously.
     pub(crate) fn end(&self, runner: &str) {
-        self.put(runner, Effect::Ends, None);
+        self.fail(runner, Effect::Exits, None);
     }
 
-    /// The runner has started anew.
+    /// Restarts a runner.
     pub(crate) fn start(&self, runner: &str) {
         self.health.send_modify(|health| {
-            health.ended.remove(runner);
+            health.exited.remove(runner);
             health.silent.remove(runner);
         });
     }
 
     pub(crate) fn has_ended(&self, runner: &str) -> bool {
-        self.health.borrow().ended.contains(runner)
+        self.health.borrow().exited.contains(runner)
     }
 
-    pub(crate) fn is_well(&self, runner: &str) -> bool {
+    pub(crate) fn is_healthy(&self, runner: &str) -> bool {
         self.health.borrow().failure(runner).is_none()
     }
 
@@ -147,8 +147,8 @@
         self.health.subscribe()
     }
 
-    fn put(&self, runner: &str, effect: Effect, request: Option<String>) {
-        if effect == Effect::Stalls || !self.is_well(runner) {
+    fn fail(&self, runner: &str, effect: Effect, request: Option<String>) {
+        if effect == Effect::Stalls || !self.is_healthy(runner) {
             return;
         }
         self.failures
@@ -161,14 +161,14 @@
             });
         self.health.send_modify(|health| {
             let failed = match effect {
-                Effect::Ends => &mut health.ended,
+                Effect::Exits => &mut health.exited,
                 _ => &mut health.silent,
             };
             failed.insert(runner.to_owned());
         });
     }
 
-    /// A connection to a runner at whose address nothing listens.
+    /// Connects to a runner, which is refused if nothing listens at its address.
     pub(crate) fn connect(&self, runner: &str) -> Result<(), Failure> {
         let reason = "refused".to_owned();
         let reason = NotRun::Unreachable { reason };
@@ -176,24 +176,24 @@
         (!self.has_ended(runner)).then_some(()).ok_or(refused)
     }
 
-    /// Waits until a call is not worked on any more, which the harm of its own requests may do.
-    pub(crate) async fn failure(&self, runner: &str, cause: Option<Cause>) -> Effect {
-        if self.is_well(runner)
+    /// Waits until the work on a call stops, because the runner fails or the call's own fault `cause` takes effect.
+    pub(crate) async fn wait_for_failure(&self, runner: &str, cause: Option<Cause>) -> Effect {
+        if self.is_healthy(runner)
             && let Some((effect, request)) = cause
         {
-            sleep(HARMED_AFTER).await;
-            self.put(runner, effect, Some(request));
+            sleep(FAULT_DELAY).await;
+            self.fail(runner, effect, Some(request));
             if effect == Effect::Stalls {
                 return effect;
             }
         }
         let mut health = self.watch();
         let failed = health.wait_for(|health| health.failure(runner).is_some());
-        let failed = failed.await.expect("the ward is there");
+        let failed = failed.await.expect("the health is observed");
         failed.failure(runner).expect("it has failed")
     }
 
-    /// What a call at the runner ends with.
+    /// The failure that the caller sees after the work on its call has stopped.
     pub(crate) async fn outcome(
         &self,
         runner: &str,
@@ -203,11 +203,11 @@
         let mut health = self.watch();
         let cut = async {
             match effect {
-                Effect::Ends => {}
+                Effect::Exits => {}
                 Effect::Silent => {
                     let is_silent = |health: &Health| health.silent.contains(runner);
                     let started = health.wait_for(|health| !is_silent(health)).await;
-                    started.expect("the ward is there");
+                    started.expect("the health is observed");
                 }
                 Effect::Stalls => std::future::pending().await,
             }
@@ -221,7 +221,8 @@
         }
     }
 
-    /// The body of an answer that goes on as long as its runner does, which its own request may harm.
+    /// Wraps a response body so that it is cut off when the runner fails, or when the request's own fault `cause`
+    /// takes effect.
     pub(crate) fn guard(&self, runner: &str, parts: Parts, cause: Option<Cause>) -> Parts {
         let parts: Parts = match &cause {
             Some(_) => Box::pin(parts.chain(stream::pending())),
@@ -234,7 +235,7 @@
                 let (mut parts, faults, runner) = state?;
                 let part = tokio::select! {
                     biased;
-                    effect = faults.failure(&runner, cause) => {
+                    effect = faults.wait_for_failure(&runner, cause) => {
                         let failure = faults.outcome(&runner, effect, Duration::MAX).await;
                         let reason = failure.to_string();
                         return Some((Err(IncompleteBody { reason }), None));
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes at the relay's interfaces.
+//! Fakes of the relay's interfaces, and relays that use them.
 #![allow(dead_code)]
 
 mod configurations;
@@ -32,12 +32,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// An entry of a runner.
+/// A runner's entry in the platform's list.
 pub(crate) fn entry(service: &str) -> Option<Value> {
     Some(json!({ "service": service }))
 }
 
-/// A runner; its port is the sum of the bytes of its name.
+/// A runner whose port is the sum of the bytes of its name.
 pub(crate) fn runner(id: &str, service: &str) -> Runner {
     let port = id.bytes().map(u16::from).sum::<u16>();
     Runner {
@@ -52,14 +52,15 @@
     }
 }
 
-/// Time that a call of the stage service takes, and what a piece adds.
+/// Time that a call to the stage service takes without pieces.
 pub(crate) const CALL: Duration = Duration::from_millis(200);
+/// Time that each piece adds to a call.
 pub(crate) const PIECE: Duration = Duration::from_millis(20);
-/// Bytes that a relay may take up.
+/// Memory limit of a relay in bytes.
 pub(crate) const MEMORY: usize = 64 << 20;
-/// Time until a runner begins to answer a request.
+/// Time until a runner begins to respond to a request.
 pub(crate) const ANSWER: Duration = Duration::from_millis(5);
-/// Time of a call none of whose pieces has room.
+/// Time of a call in which the runner has no space for the result of any piece.
 pub(crate) const REFUSAL: Duration = Duration::from_millis(5);
 
 /// A request to a route of [`configuration`].
@@ -83,27 +84,27 @@
     }
 }
 
-/// What the fake does with one call.
+/// How the fake handles one call.
 #[derive(Clone, Debug)]
 pub(crate) enum Behavior {
-    /// Answers with this status, with or without proof, and this body.
+    /// Responds with this status and body; `proven` is that of the [`Reply`].
     Answer {
         status: u16,
         proven: bool,
         body: &'static str,
     },
-    /// Streams these parts, one every 10 ms, and then ends as told.
+    /// Streams these parts, one every 10 ms, followed by `end`.
     Stream {
         parts: Vec<&'static str>,
         end: StreamEnd,
     },
-    /// Refuses.
+    /// Refuses the call.
     Refuse(NotRun),
-    /// Takes the call and loses the answer.
+    /// Accepts the call and loses the response.
     Lose,
-    /// Takes the call and says nothing.
+    /// Accepts the call and never responds; the runner answers no probe any more.
     Silent,
-    /// Ends within a stream; nothing listens there any more.
+    /// The runner exits in the middle of a stream; nothing listens at its address any more.
     Crash,
 }
 
@@ -115,7 +116,7 @@
     Silent,
 }
 
-/// A call that a runner was sent.
+/// A call that was sent to a runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     pub(crate) at: Instant,
@@ -128,7 +129,7 @@
     pub(crate) workspace: Option<String>,
 }
 
-/// A call that carried pieces.
+/// A call that contained pieces of a stage.
 #[derive(Clone, Debug)]
 pub(crate) struct StageCall {
     pub(crate) at: Instant,
@@ -136,10 +137,10 @@
     pub(crate) items: Vec<Item>,
 }
 
-/// What the fake does with one call that carries pieces.
+/// How the fake handles one call that contains pieces.
 pub(crate) type StageBehavior = Result<Vec<PieceOutcome>, Failure>;
 
-/// Runners that do what they were told, call by call, whichever of them is called.
+/// Fake of all runners. Calls are handled by the queued behaviors in order, whichever runner is called.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fake {
     pub(crate) behaviors: Arc<Mutex<VecDeque<Behavior>>>,
@@ -147,23 +148,23 @@
     pub(crate) sent: Arc<Mutex<Vec<Sent>>>,
     pub(crate) stage_calls: Arc<Mutex<Vec<StageCall>>>,
     pub(crate) released: Arc<Mutex<Vec<Handle>>>,
-    /// Time that a runner takes to note results that are given back.
+    /// Time that a runner takes to release results.
     pub(crate) release_time: Arc<Mutex<Duration>>,
-    /// Time until a connection to a runner is there.
+    /// Time that it takes to connect to a runner.
     pub(crate) connect_time: Arc<Mutex<Duration>>,
-    /// Time between requests that runners ask for in their answers.
+    /// Time between requests that runners ask for in their responses.
     pub(crate) spacing: Arc<Mutex<Option<Duration>>>,
-    /// Body of the requests that end whatever runner they are sent to.
-    pub(crate) deadly: Arc<Mutex<Option<Bytes>>>,
-    /// Request whose pieces end whatever runner makes them.
-    pub(crate) deadly_piece: Arc<Mutex<Option<String>>>,
-    /// Runners that answer nobody.
+    /// Body of the requests that crash any runner that they are sent to.
+    pub(crate) crash_body: Arc<Mutex<Option<Bytes>>>,
+    /// Request whose pieces crash any runner that makes them.
+    pub(crate) crash_piece: Arc<Mutex<Option<String>>>,
+    /// Runners that are unresponsive.
     pub(crate) silent: Arc<Mutex<Vec<String>>>,
     /// Runners at whose addresses nothing listens.
-    pub(crate) ended: Arc<Mutex<Vec<String>>>,
-    /// Whether calls that runners were told nothing about are answered by streams.
+    pub(crate) exited: Arc<Mutex<Vec<String>>>,
+    /// Whether calls without a queued behavior are answered by streams.
     pub(crate) streams: Arc<Mutex<bool>>,
-    /// Runners that fail, and requests that harm them.
+    /// Injected faults.
     pub(crate) faults: RunnerFaults,
 }
 
@@ -185,7 +186,7 @@
         self.stage_calls.lock().expect("no holder panics").clone()
     }
 
-    /// An event after those that the caller has, if calls are answered by streams.
+    /// A stream with the first event after `resume_after`, if calls are answered by streams.
     fn stream(&self, resume_after: Option<u64>) -> Option<Behavior> {
         let event = match resume_after {
             None => "id: 1\ndata: x\n\n",
@@ -233,18 +234,18 @@
             let reason = NotRun::Unreachable { reason };
             return Err(Failure::NotRun { reason });
         }
-        let deadly = self.deadly.lock().expect("no holder panics").clone();
-        let behavior = match deadly.is_some_and(|deadly| deadly == call.message.body) {
+        let crash_body = self.crash_body.lock().expect("no holder panics").clone();
+        let behavior = match crash_body.is_some_and(|crash_body| crash_body == call.message.body) {
             true => Some(Behavior::Crash),
             false => self.behaviors.lock().expect("no holder panics").pop_front(),
         };
         let behavior = behavior.or_else(|| self.stream(call.resume_after));
-        let fault = |site| self.faults.fault([(&*call.id, site, 0)]);
+        let fault = |site| self.faults.triggered([(&*call.id, site, 0)]);
         let cause = fault(FaultSite::Model);
         let is_answered = cause.is_none();
         tokio::select! {
             biased;
-            effect = self.faults.failure(&runner.id, cause) => {
+            effect = self.faults.wait_for_failure(&runner.id, cause) => {
                 let failure = self.faults.outcome(&runner.id, effect, Duration::MAX);
                 return Err(failure.await);
             }
@@ -283,8 +284,8 @@
                 std::future::pending().await
             }
             Behavior::Crash => {
-                let mut ended = self.ended.lock().expect("no holder panics");
-                ended.push(runner.id.to_string());
+                let mut exited = self.exited.lock().expect("no holder panics");
+                exited.push(runner.id.to_string());
                 Ok(reply(
                     200,
                     true,
@@ -303,7 +304,7 @@
     ) -> Result<BatchReply, Failure> {
         self.connect(is_open).await?;
         let count = u32::try_from(items.len()).expect("few items");
-        let stage_calls = StageCall {
+        let call = StageCall {
             at: Instant::now(),
             runner: runner.id.to_string(),
             items: items.clone(),
@@ -311,12 +312,12 @@
         self.stage_calls
             .lock()
             .expect("no holder panics")
-            .push(stage_calls);
+            .push(call);
         self.faults.connect(&runner.id)?;
-        let deadly = self.deadly_piece.lock().expect("no holder panics").clone();
-        if deadly.is_some_and(|deadly| items.iter().any(|item| *item.id == *deadly)) {
-            let mut ended = self.ended.lock().expect("no holder panics");
-            ended.push(runner.id.to_string());
+        let crash_piece = self.crash_piece.lock().expect("no holder panics").clone();
+        if crash_piece.is_some_and(|id| items.iter().any(|item| *item.id == *id)) {
+            let mut exited = self.exited.lock().expect("no holder panics");
+            exited.push(runner.id.to_string());
             let reason = "reset".to_owned();
             return Err(Failure::Lost { reason });
         }
@@ -325,20 +326,23 @@
             .lock()
             .expect("no holder panics")
             .pop_front();
-        let refused =
-            |made: &Vec<PieceOutcome>| made.iter().all(|made| *made == PieceOutcome::NoRoom);
+        let is_refused = |outcomes: &Vec<PieceOutcome>| {
+            outcomes
+                .iter()
+                .all(|outcome| *outcome == PieceOutcome::NoRoom)
+        };
         let time = match &behavior {
-            // Pieces without room are not worked on.
-            Some(Ok(made)) if refused(made) => REFUSAL,
+            // Pieces for whose results there is no space are not worked on.
+            Some(Ok(outcomes)) if is_refused(outcomes) => REFUSAL,
             _ => CALL + PIECE * count,
         };
         let work = items
             .iter()
             .map(|item| (&*item.id, FaultSite::Stage(item.stage), item.piece));
-        let cause = self.faults.fault(work);
+        let cause = self.faults.triggered(work);
         tokio::select! {
             biased;
-            effect = self.faults.failure(&runner.id, cause) => {
+            effect = self.faults.wait_for_failure(&runner.id, cause) => {
                 let failure = self.faults.outcome(&runner.id, effect, patience);
                 return Err(failure.await);
             }
@@ -351,12 +355,9 @@
             );
             PieceOutcome::Done(name.into())
         };
-        let made = behavior.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
+        let outcomes = behavior.unwrap_or_else(|| Ok(items.iter().map(made).collect()))?;
         let spacing = *self.spacing.lock().expect("no holder panics");
-        Ok(BatchReply {
-            outcomes: made,
-            spacing,
-        })
+        Ok(BatchReply { outcomes, spacing })
     }
 
     async fn release(&self, _runner: &Runner, handles: Vec<Handle>) -> Result<(), Failure> {
@@ -370,13 +371,13 @@
     }
 
     async fn has_ended(&self, runner: &Runner) -> bool {
-        let ended = self.ended.lock().expect("no holder panics");
-        ended.iter().any(|id| **id == *runner.id) || self.faults.has_ended(&runner.id)
+        let exited = self.exited.lock().expect("no holder panics");
+        exited.iter().any(|id| **id == *runner.id) || self.faults.has_ended(&runner.id)
     }
 
     async fn answers(&self, runner: &Runner) -> bool {
         let silent = self.silent.lock().expect("no holder panics");
-        self.faults.is_well(&runner.id) && silent.iter().all(|id| **id != *runner.id)
+        self.faults.is_healthy(&runner.id) && silent.iter().all(|id| **id != *runner.id)
     }
 
     fn holder(&self, handle: &Handle) -> Option<SocketAddr> {
@@ -385,15 +386,15 @@
 }
 
 thread_local! {
-    /// What the clock shows that counts suspensions; each test has a thread of its own.
-    pub(crate) static SINCE_START: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    /// Reading of the clock that counts suspensions. Each test runs on its own thread.
+    pub(crate) static TIME_SINCE_BOOT: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
 fn time_since_boot() -> Duration {
-    SINCE_START.get()
+    TIME_SINCE_BOOT.get()
 }
 
-/// A relay that knows nothing yet.
+/// A relay without a configuration or a list of runners.
 pub(crate) fn unconfigured(fake: Fake) -> Arc<Relay<Fake>> {
     unconfigured_member(fake, member())
 }
@@ -402,7 +403,7 @@
     member_at("relay-1", SocketAddr::from(([127, 0, 0, 1], 1)))
 }
 
-/// A process in its first start.
+/// The membership entry of a relay in its first incarnation.
 pub(crate) fn member_at(id: &str, address: SocketAddr) -> Member {
     Member {
         id: id.into(),
@@ -414,9 +415,9 @@
     }
 }
 
-/// The same as one of several processes.
+/// A relay without a configuration or a list of runners, as the given member.
 pub(crate) fn unconfigured_member(fake: Fake, member: Member) -> Arc<Relay<Fake>> {
-    start(fake, options(member))
+    relay_with(fake, options(member))
 }
 
 fn options(member: Member) -> Options {
@@ -440,7 +441,7 @@
     }
 }
 
-fn start(fake: Fake, options: Options) -> Arc<Relay<Fake>> {
+fn relay_with(fake: Fake, options: Options) -> Arc<Relay<Fake>> {
     let mut registry = metric::Registry::default();
     Relay::new(
         options,
@@ -455,26 +456,26 @@
     configured(unconfigured(fake))
 }
 
-/// A relay that knows nothing yet but which regions failure domains are in.
+/// A relay without a configuration that knows the region of each of these failure domains.
 pub(crate) fn with_regions(fake: Fake, domains: &[(&str, &str)]) -> Arc<Relay<Fake>> {
     let region = |(domain, region): &(&str, &str)| ((*domain).into(), (*region).into());
     let options = Options {
         regions: domains.iter().map(region).collect(),
         ..options(member())
     };
-    start(fake, options)
+    relay_with(fake, options)
 }
 
-/// The same with other decisions than those that ship.
+/// A relay like that of [`ready`], with other than the shipped policies.
 pub(crate) fn with_policies(fake: Fake, policy: setting::relay::Policies) -> Arc<Relay<Fake>> {
     let options = Options {
         policy,
         ..options(member())
     };
-    configured(start(fake, options))
+    configured(relay_with(fake, options))
 }
 
-/// The same with [`configuration`] in force and two runners of each service.
+/// Adds [`configuration`] and two runners of each service to a relay.
 pub(crate) fn configured(relay: Arc<Relay<Fake>>) -> Arc<Relay<Fake>> {
     relay.adopt(configuration(1));
     let runners = [
@@ -488,7 +489,7 @@
     relay
 }
 
-/// The body of an answer, and whether it ended as a whole one.
+/// Status and body of an answer, and whether the body was complete.
 pub(crate) async fn body(answer: relay::Answer) -> (u16, String, bool) {
     let mut text = Vec::new();
     let mut whole = true;
@@ -506,7 +507,7 @@
     (answer.status, String::from_utf8(text).expect("text"), whole)
 }
 
-/// Source of an item's piece, for matching.
+/// Number of inputs of an item; 0 if its source is a key.
 pub(crate) fn inputs(item: &Item) -> usize {
     match &item.source {
         Origin::Key(_) => 0,
--- a/crates/relay/tests/common/parts.rs
+++ b/crates/relay/tests/common/parts.rs
@@ -1,4 +1,4 @@
-//! Bodies of the fake's answers.
+//! Response bodies of the fake.
 
 use super::StreamEnd;
 use bytes::Bytes;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Body of an answer.
+/// Body of a response.
 pub(crate) type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteBody>> + Send>>;
 
-/// Parts that come one every 10 ms.
+/// A body whose parts arrive one every 10 ms.
 pub(crate) fn parts(parts: Vec<&'static str>, end: StreamEnd) -> Parts {
     let parts = parts
         .into_iter()
--- a/crates/relay/tests/common/poison.rs
+++ b/crates/relay/tests/common/poison.rs
@@ -1,4 +1,4 @@
-//! Callers of the staged route, beside one whose request harms runners.
+//! Clients of the staged route, next to one whose requests are faulty.
 
 use super::faults::RunnerFaults;
 use super::{Fake, body, ready, request, runner};
@@ -10,32 +10,32 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Time that callers wait for their answers.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(4);
-/// Time between two attempts of a caller.
-pub(crate) const PAUSE: Duration = Duration::from_millis(400);
-/// Time for which the platform's list names a runner after its end.
-pub(crate) const LISTED: Duration = Duration::from_millis(2_700);
-/// Time until it has started anew after that.
-pub(crate) const RETURN: Duration = Duration::from_secs(1);
-/// Time for which a request is repeated before it may be due for a trial.
-pub(crate) const REPEATED: Duration = Duration::from_secs(3);
-/// Runners of the stage, all of them in one cell.
-pub(crate) const STAGE: usize = 8;
-/// Name and body of a request that harms runners.
+/// Timeout of the clients.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay between two attempts of a client.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Time for which the platform lists a runner after its exit.
+pub(crate) const LISTED_AFTER_EXIT: Duration = Duration::from_millis(2_700);
+/// Time that a runner takes to restart after it is no longer listed.
+pub(crate) const RESTART_TIME: Duration = Duration::from_secs(1);
+/// Time for which a request is retried; too short for a trial to become due.
+pub(crate) const RETRY_PERIOD: Duration = Duration::from_secs(3);
+/// Number of runners of the stage, which form one cell.
+pub(crate) const STAGE_RUNNERS: usize = 8;
+/// Name and body of a faulty request.
 pub(crate) const POISON: &str = "poison";
-/// Names and bodies of some that do not.
+/// Names and bodies of requests without faults.
 pub(crate) const INNOCENT: [&str; 3] = ["one", "two", "three"];
-/// Workspace of the callers.
+/// Workspace of the clients.
 pub(crate) const WORKSPACE: &str = "coop";
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) whole: bool,
     pub(crate) retry_after: Option<Duration>,
-    pub(crate) after: Duration,
+    pub(crate) elapsed: Duration,
 }
 
 impl Reply {
@@ -44,27 +44,27 @@
     }
 }
 
-/// An attempt with one piece for each stage; its body tells what it asks for.
-pub(crate) fn asking(id: &str, text: &str) -> Request {
-    asking_on("staged", id, text)
+/// An attempt on the staged route with one piece per stage; its body is `text`.
+pub(crate) fn attempt(id: &str, text: &str) -> Request {
+    attempt_on("staged", id, text)
 }
 
-pub(crate) fn asking_on(route: &str, id: &str, text: &str) -> Request {
+pub(crate) fn attempt_on(route: &str, id: &str, text: &str) -> Request {
     let request = request(id, route);
     let message = Message {
         body: text.to_owned().into(),
         ..Message::clone(&request.message)
     };
     Request {
-        timeout: Some(PATIENCE),
+        timeout: Some(TIMEOUT),
         pieces: vec![1, 1],
         message: Arc::new(message),
         ..request
     }
 }
 
-/// Serves an attempt to its end.
-pub(crate) async fn ask(relay: &Arc<Relay<Fake>>, request: Request) -> Reply {
+/// Serves an attempt until its response is complete.
+pub(crate) async fn serve(relay: &Arc<Relay<Fake>>, request: Request) -> Reply {
     let begun = Instant::now();
     let answer = relay.serve(request).await;
     let retry_after = answer.retry_after;
@@ -73,42 +73,42 @@
         status,
         whole,
         retry_after,
-        after: begun.elapsed(),
+        elapsed: begun.elapsed(),
     }
 }
 
-/// The same in a task of its own, which has sent the pieces of its first stage by now.
+/// Serves an attempt in a separate task, and returns once the pieces of its first stage have been sent.
 pub(crate) async fn send(relay: &Arc<Relay<Fake>>, request: Request) -> JoinHandle<Reply> {
     let relay = relay.clone();
-    let asking = tokio::spawn(async move { ask(&relay, request).await });
+    let attempt = tokio::spawn(async move { serve(&relay, request).await });
     sleep(Duration::from_millis(1)).await;
-    asking
+    attempt
 }
 
-pub(crate) async fn reply(asking: JoinHandle<Reply>) -> Reply {
-    asking.await.expect("no panic")
+pub(crate) async fn reply(attempt: JoinHandle<Reply>) -> Reply {
+    attempt.await.expect("no panic")
 }
 
-pub(crate) async fn replies(asking: impl IntoIterator<Item = JoinHandle<Reply>>) -> Vec<Reply> {
+pub(crate) async fn replies(attempts: impl IntoIterator<Item = JoinHandle<Reply>>) -> Vec<Reply> {
     let mut replies = Vec::new();
-    for asking in asking {
-        replies.push(reply(asking).await);
+    for attempt in attempts {
+        replies.push(reply(attempt).await);
     }
     replies
 }
 
-/// Attempts that together take all runners of the stage, each with a call of its own.
+/// Starts attempts that occupy all runners of the stage with a call each.
 pub(crate) async fn occupy(relay: &Arc<Relay<Fake>>, round: usize) -> Vec<JoinHandle<Reply>> {
     let mut busy = Vec::new();
-    for number in 0..STAGE {
+    for number in 0..STAGE_RUNNERS {
         let id = format!("busy-{round}-{number}");
-        busy.push(send(relay, asking(&id, &id)).await);
+        busy.push(send(relay, attempt(&id, &id)).await);
     }
     busy
 }
 
-/// Attempts of the innocent callers and others after them, none of which finds a runner idle: they share
-/// a call. Gives what became of the innocent ones, and the others.
+/// Starts innocent attempts and then others while all runners are busy, so that their pieces share a call. Returns
+/// the replies to the innocent attempts and the tasks of the others.
 pub(crate) async fn share_call(
     relay: &Arc<Relay<Fake>>,
     round: usize,
@@ -116,7 +116,7 @@
 ) -> (Vec<Reply>, Vec<JoinHandle<Reply>>) {
     let mut innocent = occupy(relay, round).await;
     for text in INNOCENT {
-        innocent.push(send(relay, asking(&format!("{text}-{round}"), text)).await);
+        innocent.push(send(relay, attempt(&format!("{text}-{round}"), text)).await);
     }
     let mut sent = Vec::new();
     for other in others {
@@ -125,11 +125,11 @@
     (replies(innocent).await, sent)
 }
 
-/// The attempt is refused at once, honestly, and no runner gets anything of it.
+/// Asserts that an attempt is refused at once with a retry delay, and that no runner gets any part of it.
 pub(crate) async fn assert_refused(relay: &Arc<Relay<Fake>>, request: Request) {
     let id = request.id.clone();
-    let reply = ask(relay, request).await;
-    assert_eq!((reply.status, reply.after), (503, Duration::ZERO));
+    let reply = serve(relay, request).await;
+    assert_eq!((reply.status, reply.elapsed), (503, Duration::ZERO));
     assert!(reply.retry_after > Some(Duration::ZERO), "{reply:?}");
     let stage_calls = calls(relay).into_iter().flatten();
     assert!(
@@ -141,21 +141,21 @@
     assert!(sent.all(|call| call.id != *id));
 }
 
-/// All attempts are answered as they should be.
+/// Asserts that all attempts were served.
 pub(crate) fn assert_served(replies: &[Reply]) {
     let unserved: Vec<&Reply> = replies.iter().filter(|reply| !reply.is_served()).collect();
     assert!(unserved.is_empty(), "{unserved:?}");
 }
 
-/// Runners that have failed so far, with the requests that did it.
+/// Runners that have failed so far, with the requests that caused it.
 pub(crate) fn failures(relay: &Relay<Fake>) -> Vec<(String, String)> {
     let failures = relay.downstream.faults.failures().into_iter();
     let names = failures.map(|failure| (failure.runner, failure.request.unwrap_or_default()));
     names.collect()
 }
 
-/// Repeats a request for some time, each attempt under a new name.
-pub(crate) async fn repeat(
+/// Retries a request for some time, each attempt under a new name.
+pub(crate) async fn retry_for(
     relay: &Arc<Relay<Fake>>,
     time: Duration,
     attempt: impl Fn(usize) -> Request,
@@ -163,42 +163,42 @@
     let begun = Instant::now();
     let mut replies = Vec::new();
     while begun.elapsed() < time {
-        replies.push(ask(relay, attempt(replies.len())).await);
-        sleep(PAUSE).await;
+        replies.push(serve(relay, attempt(replies.len())).await);
+        sleep(RETRY_DELAY).await;
     }
     replies
 }
 
-/// Whether an attempt that asks for this would be refused since it is held back.
+/// Whether attempts with this body are quarantined.
 pub(crate) fn is_quarantined(relay: &Relay<Fake>, text: &str) -> bool {
-    relay.is_quarantined(asking("x", text).content(Some(WORKSPACE)))
+    relay.is_quarantined(attempt("x", text).content(Some(WORKSPACE)))
 }
 
-/// Runners that answer each request, as many of the stage and of the service as said; there are at
-/// least two of each.
+/// A relay with `stage` runners of the stage and `plain` runners of the model that serve each request, but at least
+/// two of each.
 pub(crate) fn relay(stage: usize, plain: usize) -> Arc<Relay<Fake>> {
     let relay = ready(fake());
     add_runners(&relay, stage, plain);
     relay
 }
 
-/// Runners that answer each request.
+/// A fake whose runners serve each request.
 pub(crate) fn fake() -> Fake {
     let fake = Fake::default();
     *fake.streams.lock().expect("free") = true;
     fake
 }
 
-/// More runners than the two of each service. Addresses follow from names; those of the stage differ from all
-/// others.
+/// Adds runners to the two of each service. Addresses are derived from names, which are chosen so that those of the
+/// stage differ from all others.
 pub(crate) fn add_runners(relay: &Relay<Fake>, stage: usize, plain: usize) {
     let stages = (3..=stage).map(|number| runner(&format!("s-{number}"), "stage"));
     let plains = (3..=plain).map(|number| runner(&format!("a-{number}"), "plain"));
     relay.update(stages.chain(plains).map(Change::Listed).collect());
 }
 
-/// Takes runners that have failed from the list, and starts them anew if so wanted.
-pub(crate) fn keep_list(relays: &[&Arc<Relay<Fake>>], back: Option<Duration>) {
+/// Maintains the list of runners: removes failed ones, and restarts them after `restart_time` if that is set.
+pub(crate) fn maintain_list(relays: &[&Arc<Relay<Fake>>], restart_time: Option<Duration>) {
     let relays: Vec<Arc<Relay<Fake>>> = relays.iter().map(|relay| Arc::clone(relay)).collect();
     let faults = relays[0].downstream.faults.clone();
     tokio::spawn(async move {
@@ -208,7 +208,13 @@
             for failure in faults.failures().split_off(seen) {
                 seen += 1;
                 let (relays, faults) = (relays.clone(), faults.clone());
-                tokio::spawn(replace(relays, faults, failure.runner, back, seen as u64));
+                tokio::spawn(replace(
+                    relays,
+                    faults,
+                    failure.runner,
+                    restart_time,
+                    seen as u64,
+                ));
             }
             if health.changed().await.is_err() {
                 return;
@@ -221,18 +227,20 @@
     relays: Vec<Arc<Relay<Fake>>>,
     faults: RunnerFaults,
     id: String,
-    back: Option<Duration>,
+    restart_time: Option<Duration>,
     start: u64,
 ) {
-    sleep(LISTED).await;
+    sleep(LISTED_AFTER_EXIT).await;
     let Some(known) = relays[0].runner(&id) else {
         return;
     };
     for relay in &relays {
         relay.update(vec![Change::Gone(id.as_str().into())]);
     }
-    let Some(back) = back else { return };
-    sleep(back).await;
+    let Some(restart_time) = restart_time else {
+        return;
+    };
+    sleep(restart_time).await;
     faults.start(&id);
     let anew = Runner {
         started: Some(start),
@@ -243,7 +251,7 @@
     }
 }
 
-/// Names of the requests whose pieces each call has carried.
+/// Names of the requests whose pieces each stage call contained.
 pub(crate) fn calls(relay: &Relay<Fake>) -> Vec<Vec<String>> {
     let ids = |call: &super::StageCall| {
         let mut ids: Vec<String> = call.items.iter().map(|item| item.id.to_string()).collect();
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that counts its calls, for many relays.
+//! An in-memory table service for many relays, which counts its calls.
 
 use super::feed::ScriptedFeed;
 use relay::follow::{InvalidRow, TableSource};
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The service; clones share it.
+/// The table service. Clones share its tables.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
     state: Arc<Mutex<State>>,
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// The last change of each row.
+    /// Value and revision of the last change of each row.
     rows: BTreeMap<(String, String), (Option<Value>, RowRevision)>,
     revision: RowRevision,
     calls: BTreeMap<String, usize>,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Calls so far by what they were for.
+    /// Number of calls so far, by operation and table.
     pub(crate) fn calls(&self) -> BTreeMap<String, usize> {
         self.state().calls.clone()
     }
 
-    /// Writes a row as its owner does, without a call of the system.
+    /// Writes a row directly; this is not counted as a call.
     pub(crate) fn put(&self, table: &str, key: &str, value: Option<Value>) -> RowRevision {
         let revision = {
             let mut state = self.state();
--- a/crates/relay/tests/common/stage.rs
+++ b/crates/relay/tests/common/stage.rs
@@ -1,11 +1,11 @@
-//! Orders of a stage, for the tests of what carries them.
+//! Orders of stage pieces.
 
 use relay::batch::{Cell, Order};
 use relay::downstream::Source;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pieces of the first stage that are on time for a second.
+/// An order for pieces of the first stage, due in one second.
 pub(crate) fn order(id: &str, pieces: u32) -> Order {
     let now = Instant::now();
     Order {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The cell that makes them.
+/// The cell that executes these orders.
 pub(crate) fn cell() -> Cell {
     Cell {
         service: "stage".into(),
--- a/crates/relay/tests/ended_runner.rs
+++ b/crates/relay/tests/ended_runner.rs
@@ -41,13 +41,18 @@
 }
 
 fn end(relay: &Relay<Fake>, id: &str) {
-    relay.downstream.ended.lock().expect("free").push(id.into());
+    relay
+        .downstream
+        .exited
+        .lock()
+        .expect("free")
+        .push(id.into());
 }
 
 fn is_up(relay: &Relay<Fake>, id: &str) -> bool {
     !relay
         .downstream
-        .ended
+        .exited
         .lock()
         .expect("free")
         .contains(&id.to_owned())
@@ -82,7 +87,7 @@
     for number in 0..8 {
         serve(&relay, &format!("q{number}"), "x").await;
     }
-    relay.downstream.ended.lock().expect("free").clear();
+    relay.downstream.exited.lock().expect("free").clear();
     sleep(Duration::from_secs(1)).await;
     let before = sent_to(&relay, "p-1");
     for number in 0..40 {
@@ -112,10 +117,10 @@
     sleep(RETURN).await;
     relay
         .downstream
-        .ended
+        .exited
         .lock()
         .expect("free")
-        .retain(|ended| *ended != id);
+        .retain(|exited| *exited != id);
     relay.update(vec![Change::Listed(Runner {
         started: Some(start),
         ..runner(&id, "plain")
@@ -126,7 +131,7 @@
 /// later. Gives how many were up at the least, and how many other requests were not served.
 async fn beside_poison(runners: usize) -> (usize, usize) {
     let relay = relay(runners);
-    *relay.downstream.deadly.lock().expect("free") = Some(POISON.into());
+    *relay.downstream.crash_body.lock().expect("free") = Some(POISON.into());
     let ids: Vec<String> = (1..=runners).map(|number| format!("p-{number}")).collect();
     let (mut least, mut unserved) = (runners, 0);
     let mut down: Vec<String> = Vec::new();
@@ -142,8 +147,8 @@
             let status = serve(&relay, &format!("other-{round}-{number}"), "other").await;
             unserved += usize::from(status != 200);
         }
-        let ended = ids.iter().filter(|id| !is_up(&relay, id));
-        let fresh: Vec<_> = ended.filter(|id| !down.contains(id)).cloned().collect();
+        let exited = ids.iter().filter(|id| !is_up(&relay, id));
+        let fresh: Vec<_> = exited.filter(|id| !down.contains(id)).cloned().collect();
         down = ids
             .iter()
             .filter(|id| !is_up(&relay, id))
--- a/crates/relay/tests/last_check.rs
+++ b/crates/relay/tests/last_check.rs
@@ -101,7 +101,7 @@
 async fn left_while_waiting() {
     let relay = ready(Fake::default());
     let set_deadly = |text: Option<&'static str>| {
-        *relay.downstream.deadly.lock().expect("free") = text.map(Bytes::from);
+        *relay.downstream.crash_body.lock().expect("free") = text.map(Bytes::from);
     };
     set_deadly(Some("poison"));
     let waiting = tokio::spawn({
@@ -111,8 +111,8 @@
     sleep(LEAVES_AFTER).await;
     set_deadly(None);
     // One runner has ended; a suspect does not get the one that is left.
-    let ended = relay.downstream.ended.lock().expect("free").clone();
-    let left = if ended == ["p-1"] { "p-2" } else { "p-1" };
+    let exited = relay.downstream.exited.lock().expect("free").clone();
+    let left = if exited == ["p-1"] { "p-2" } else { "p-1" };
     assert_eq!(relay.downstream.sent().len(), 1);
     let others = ["p-3", "p-4", "p-5"].map(|id| Change::Listed(runner(id, "plain")));
     let changes = others.into_iter().chain([leaving(left, "plain")]);
--- a/crates/relay/tests/poison_linked.rs
+++ b/crates/relay/tests/poison_linked.rs
@@ -1,59 +1,61 @@
-//! Requests that harm runners, at two linked relays of which one forms the calls of the stage.
+//! Poison requests at two linked relays, one of which forms the calls of the stage.
 
 mod common;
 
 use common::faults::{Effect, Fault, FaultSite};
 use common::pair::{Node, pair};
 use common::poison::{
-    INNOCENT, PAUSE, POISON, REPEATED, RETURN, STAGE, ask, asking, assert_refused, assert_served,
-    calls, failures, is_quarantined, keep_list, repeat, share_call,
+    INNOCENT, POISON, RESTART_TIME, RETRY_DELAY, RETRY_PERIOD, STAGE_RUNNERS, assert_refused,
+    assert_served, attempt, calls, failures, is_quarantined, maintain_list, retry_for, serve,
+    share_call,
 };
 use protocol::quarantine::CRASH_THRESHOLD;
 use relay::Request;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time that callers of requests wait which silence runners.
-const SHORT: Duration = Duration::from_millis(450);
-/// Time for which such a request is repeated, before it may be due for a trial.
-const SILENT: Duration = Duration::from_secs(5);
-/// Time for which a request is repeated at a relay that has just come to form the calls, from before the
-/// runners are back until it may be due for a trial.
-const CHANGED: Duration = Duration::from_secs(4);
+/// Timeout of the requests that make runners unresponsive.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(450);
+/// Time for which such a request is retried; too short for a trial to become due.
+const SILENT_RETRY_PERIOD: Duration = Duration::from_secs(5);
+/// Time for which a request is retried at a relay that has just become the owner of the cell. It is long enough for
+/// the runners to restart and too short for a trial to become due.
+const NEW_OWNER_RETRY_PERIOD: Duration = Duration::from_secs(4);
 /// Time after which all runners are busy and the innocent requests wait.
-const BUSY: Duration = Duration::from_millis(100);
-/// Runners of the model; few attempts meet one that is silent already.
-const PLAIN: usize = 100;
-/// Relays.
+const BUSY_AFTER: Duration = Duration::from_millis(100);
+/// Number of runners of the model, so many that few attempts meet one that is unresponsive already.
+const MODEL_RUNNERS: usize = 100;
+/// Number of relays.
 const RELAYS: usize = 2;
 
-/// Two relays, with a request that does harm to runners there.
-async fn harmed(
+/// Two relays, and a fault of the poison requests at their runners.
+async fn pair_with_fault(
     site: FaultSite,
     effect: Effect,
     stage: usize,
-    back: Option<Duration>,
+    restart_time: Option<Duration>,
 ) -> (Node, Node) {
-    let (asking, owner) = pair(stage, PLAIN).await;
+    let (admitting, owner) = pair(stage, MODEL_RUNNERS).await;
     let fault = Fault::new(POISON, site, effect);
-    asking.relay.downstream.faults.set([fault]);
-    keep_list(&[&asking.relay, &owner.relay], back);
-    (asking, owner)
+    admitting.relay.downstream.faults.set([fault]);
+    maintain_list(&[&admitting.relay, &owner.relay], restart_time);
+    (admitting, owner)
 }
 
 fn poison(number: usize) -> Request {
-    asking(&format!("{POISON}-{number}"), POISON)
+    attempt(&format!("{POISON}-{number}"), POISON)
 }
 
-/// Guards against a relay that admits a request which has ended three runners, as another relay knows that
-/// forms the calls.
+/// Guards against a relay that admits a request although the relay that forms its calls knows it to have crashed
+/// three runners.
 #[tokio::test(start_paused = true)]
 async fn announced_to_admitting() {
-    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, None).await;
-    let innocent = |number: usize| asking(&format!("one-{number}"), "one");
+    let (admitting, owner) =
+        pair_with_fault(FaultSite::Stage(0), Effect::Exits, STAGE_RUNNERS, None).await;
+    let innocent = |number: usize| attempt(&format!("one-{number}"), "one");
     let (_, served) = tokio::join!(
-        repeat(&admitting.relay, REPEATED, poison),
-        repeat(&admitting.relay, REPEATED, innocent),
+        retry_for(&admitting.relay, RETRY_PERIOD, poison),
+        retry_for(&admitting.relay, RETRY_PERIOD, innocent),
     );
     assert_served(&served);
     let failures = failures(&owner.relay);
@@ -65,36 +67,41 @@
     assert_refused(&owner.relay, poison(101)).await;
 }
 
-/// Guards against a request that ends runners anew since another relay has come to form the calls.
+/// Guards against a request that crashes further runners after the ownership of the cell has moved to another relay.
 #[tokio::test(start_paused = true)]
 async fn owner_changes() {
-    // Two of four are all that it may end before some are back.
-    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, 4, Some(RETURN)).await;
-    ask(&admitting.relay, poison(0)).await;
+    // The request may crash at max_failures two of four runners before some have restarted.
+    let (admitting, owner) =
+        pair_with_fault(FaultSite::Stage(0), Effect::Exits, 4, Some(RESTART_TIME)).await;
+    serve(&admitting.relay, poison(0)).await;
     assert!(!failures(&owner.relay).is_empty());
     owner.relay.peers.announce_leaving(&owner.member);
-    sleep(PAUSE).await;
+    sleep(RETRY_DELAY).await;
     let next = admitting
         .relay
         .peers
         .members(|members| members.owner("stage/0"));
     assert_eq!(next.id, admitting.member.id);
-    repeat(&admitting.relay, CHANGED, |number| poison(number + 1)).await;
+    retry_for(&admitting.relay, NEW_OWNER_RETRY_PERIOD, |number| {
+        poison(number + 1)
+    })
+    .await;
     let failures = failures(&owner.relay);
     assert!(failures.len() <= CRASH_THRESHOLD as usize, "{failures:?}");
     assert_refused(&admitting.relay, poison(100)).await;
 }
 
-/// Guards against crashes that count at the relay alone which admitted the attempt.
+/// Guards against crashes that are counted only at the relay that admitted the attempt.
 #[tokio::test(start_paused = true)]
-async fn ended_by_turns() {
-    let (one, other) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, None).await;
+async fn crashes_via_alternating_relays() {
+    let (one, other) =
+        pair_with_fault(FaultSite::Stage(0), Effect::Exits, STAGE_RUNNERS, None).await;
     let begun = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < REPEATED {
+    while begun.elapsed() < RETRY_PERIOD {
         let node = [&one, &other][number % RELAYS];
-        ask(&node.relay, poison(number)).await;
-        sleep(PAUSE).await;
+        serve(&node.relay, poison(number)).await;
+        sleep(RETRY_DELAY).await;
         number += 1;
     }
     let failures = failures(&one.relay);
@@ -106,32 +113,42 @@
     assert_refused(&other.relay, poison(101)).await;
 }
 
-/// Guards against runners that a request silences at each relay apart, since none of them tells of it.
+/// Guards against relays that do not announce unresponsive runners, so that a request makes runners unresponsive at
+/// each of them separately.
 #[tokio::test(start_paused = true)]
-async fn silenced_by_turns() {
-    let (one, other) = harmed(FaultSite::Model, Effect::Silent, STAGE, None).await;
+async fn silenced_via_alternating_relays() {
+    let (one, other) = pair_with_fault(FaultSite::Model, Effect::Silent, STAGE_RUNNERS, None).await;
     let attempt = |number: usize| Request {
-        timeout: Some(SHORT),
+        timeout: Some(SHORT_TIMEOUT),
         ..poison(number)
     };
     let later = async {
-        sleep((SHORT + PAUSE) / 2).await;
-        repeat(&other.relay, SILENT, |number| attempt(100 + number)).await
+        sleep((SHORT_TIMEOUT + RETRY_DELAY) / 2).await;
+        retry_for(&other.relay, SILENT_RETRY_PERIOD, |number| {
+            attempt(100 + number)
+        })
+        .await
     };
-    tokio::join!(repeat(&one.relay, SILENT, attempt), later);
+    tokio::join!(retry_for(&one.relay, SILENT_RETRY_PERIOD, attempt), later);
     let failures = failures(&one.relay);
-    let most = RELAYS * CRASH_THRESHOLD as usize;
-    assert!((1..=most).contains(&failures.len()), "{failures:?}");
+    let max_failures = RELAYS * CRASH_THRESHOLD as usize;
+    assert!((1..=max_failures).contains(&failures.len()), "{failures:?}");
 }
 
-/// Guards against pieces of others that the relay which forms the calls has lost with a call of the poison
-/// request: the relay that admitted them gets them all the same.
+/// Guards against the loss of innocent pieces that the owner of the cell has put into a call with a poison request:
+/// the relay that admitted them must still get their results.
 #[tokio::test(start_paused = true)]
-async fn others_of_admitting() {
-    let (admitting, owner) = harmed(FaultSite::Stage(0), Effect::Ends, STAGE, Some(RETURN)).await;
+async fn shared_call_of_admitting_relay() {
+    let (admitting, owner) = pair_with_fault(
+        FaultSite::Stage(0),
+        Effect::Exits,
+        STAGE_RUNNERS,
+        Some(RESTART_TIME),
+    )
+    .await;
     let beside = async {
-        sleep(BUSY).await;
-        ask(&owner.relay, poison(0)).await
+        sleep(BUSY_AFTER).await;
+        serve(&owner.relay, poison(0)).await
     };
     let ((innocent, _), _) = tokio::join!(share_call(&admitting.relay, 0, Vec::new()), beside);
     let first = calls(&owner.relay).into_iter();
--- a/crates/relay/tests/poison_places.rs
+++ b/crates/relay/tests/poison_places.rs
@@ -1,12 +1,12 @@
-//! Requests that end runners at several places: at stages of their route and at the model.
+//! Poison requests that crash runners in several places: in stages of their route and at the model.
 
 mod common;
 
 use common::Fake;
 use common::faults::{Effect, Fault, FaultSite};
 use common::poison::{
-    INNOCENT, POISON, REPEATED, RETURN, STAGE, ask, asking_on, assert_served, failures, keep_list,
-    occupy, relay, repeat, replies, reply, send,
+    INNOCENT, POISON, RESTART_TIME, RETRY_PERIOD, STAGE_RUNNERS, assert_served, attempt_on,
+    failures, maintain_list, occupy, relay, replies, reply, retry_for, send, serve,
 };
 use protocol::quarantine::CRASH_THRESHOLD;
 use relay::downstream::Item;
@@ -15,104 +15,103 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Time within which the first stage of requests is being made that all runners are busy for at first.
+/// Time at which the first stage of the attempts that had to wait for busy runners is being made.
 const FIRST_STAGE: Duration = Duration::from_millis(490);
 
-/// Beginnings of the names of attempts that end runners at one place and at the other one.
+/// Name prefixes of the attempts that crash runners in the first and in the second place.
 const PLACES: [&str; 2] = ["poison-first", "poison-second"];
 
-/// A relay with runners for a request that ends them at these places.
-fn harmed(sites: [FaultSite; 2]) -> Arc<Relay<Fake>> {
-    let relay = relay(STAGE, STAGE);
+/// A relay whose runners crash under poison requests in these places.
+fn relay_with_faults(sites: [FaultSite; 2]) -> Arc<Relay<Fake>> {
+    let relay = relay(STAGE_RUNNERS, STAGE_RUNNERS);
     let faults = PLACES.into_iter().zip(sites);
-    let faults = faults.map(|(prefix, site)| Fault::new(prefix, site, Effect::Ends));
+    let faults = faults.map(|(prefix, site)| Fault::new(prefix, site, Effect::Exits));
     relay.downstream.faults.set(faults);
-    keep_list(&[&relay], Some(RETURN));
+    maintain_list(&[&relay], Some(RESTART_TIME));
     relay
 }
 
-/// An attempt that ends runners at one place after the other in turn.
-fn by_turns(route: &str, number: usize) -> Request {
+/// An attempt of the poison request; successive numbers alternate between the two places.
+fn alternating(route: &str, number: usize) -> Request {
     let prefix = PLACES[number % PLACES.len()];
-    asking_on(route, &format!("{prefix}-{number}"), POISON)
+    attempt_on(route, &format!("{prefix}-{number}"), POISON)
 }
 
-/// Repeats the request beside innocent ones, which are all served; no place loses more runners than it
-/// takes to know the request.
+/// Retries the poison request next to innocent ones. Asserts that all innocent ones are served, and that no place
+/// loses more runners than it takes to quarantine the request.
 async fn assert_bounded(relay: &Arc<Relay<Fake>>, route: &str) {
     let innocent = async {
-        repeat(relay, REPEATED, |number| {
+        retry_for(relay, RETRY_PERIOD, |number| {
             let text = INNOCENT[number % INNOCENT.len()];
-            asking_on(route, &format!("{text}-{number}"), text)
+            attempt_on(route, &format!("{text}-{number}"), text)
         })
         .await
     };
-    let attempt = |number| by_turns(route, number);
-    let (_, innocent) = tokio::join!(repeat(relay, REPEATED, attempt), innocent);
+    let attempt = |number| alternating(route, number);
+    let (_, innocent) = tokio::join!(retry_for(relay, RETRY_PERIOD, attempt), innocent);
     assert_served(&innocent);
     let failures = failures(relay);
     for prefix in PLACES {
-        let there = failures.iter().filter(|(_, by)| by.starts_with(prefix));
+        let in_place = failures.iter().filter(|(_, by)| by.starts_with(prefix));
         assert!(
-            there.count() <= CRASH_THRESHOLD as usize,
+            in_place.count() <= CRASH_THRESHOLD as usize,
             "{prefix}: {failures:?}"
         );
     }
     assert!(!failures.is_empty());
 }
 
-/// Guards against a request whose first stage is made by runners that live, which says nothing of its
-/// second one.
+/// Guards against a successful first stage that clears a request which crashes the runners of its second stage.
 #[tokio::test(start_paused = true)]
 async fn second_stage() {
-    let relay = harmed([FaultSite::Stage(1), FaultSite::Stage(1)]);
+    let relay = relay_with_faults([FaultSite::Stage(1), FaultSite::Stage(1)]);
     assert_bounded(&relay, "chained").await;
 }
 
-/// Guards against a request that is known at one stage and goes on to end the runners of another one.
+/// Guards against a request that is quarantined for one stage but still crashes the runners of another.
 #[tokio::test(start_paused = true)]
 async fn both_stages() {
-    let relay = harmed([FaultSite::Stage(0), FaultSite::Stage(1)]);
+    let relay = relay_with_faults([FaultSite::Stage(0), FaultSite::Stage(1)]);
     assert_bounded(&relay, "chained").await;
 }
 
-/// Guards against a request that is counted for its stage and for its model apart, and against pieces that
-/// are made for one that the model's runners do not survive.
+/// Guards against separate crash counts for a request's stage and its model, and against pieces that are made for a
+/// request that crashes the runners of the model.
 #[tokio::test(start_paused = true)]
 async fn stage_and_model() {
-    let relay = harmed([FaultSite::Stage(0), FaultSite::Model]);
+    let relay = relay_with_faults([FaultSite::Stage(0), FaultSite::Model]);
     assert_bounded(&relay, "staged").await;
 }
 
-/// Guards against innocent pieces of a later stage that are lost with a call of the poison request.
+/// Guards against the loss of innocent pieces of a later stage that share a call with a poison request.
 #[tokio::test(start_paused = true)]
-async fn later_call_shared() {
-    let relay = harmed([FaultSite::Stage(1), FaultSite::Stage(1)]);
+async fn later_stage_call_shared() {
+    let relay = relay_with_faults([FaultSite::Stage(1), FaultSite::Stage(1)]);
     let begun = Instant::now();
-    let mut asked = occupy(&relay, 0).await;
-    let poison = send(&relay, by_turns("chained", 0)).await;
+    let mut attempts = occupy(&relay, 0).await;
+    let poison = send(&relay, alternating("chained", 0)).await;
     for text in INNOCENT {
-        asked.push(send(&relay, asking_on("chained", text, text)).await);
+        attempts.push(send(&relay, attempt_on("chained", text, text)).await);
     }
-    // All runners but the one that makes their first stage.
+    // Full calls occupy all runners except the one that makes the first stage of these requests.
     sleep_until(begun + FIRST_STAGE).await;
-    for number in 1..STAGE {
+    for number in 1..STAGE_RUNNERS {
         let id = format!("full-{number}");
         let full = Request {
             pieces: vec![4],
-            ..asking_on("staged", &id, &id)
+            ..attempt_on("staged", &id, &id)
         };
-        asked.push(send(&relay, full).await);
+        attempts.push(send(&relay, full).await);
     }
-    assert_served(&replies(asked).await);
+    assert_served(&replies(attempts).await);
     assert_eq!(reply(poison).await.status, 503);
     let stage_calls = relay.downstream.stage_calls();
-    let is_deadly = |item: &Item| item.stage == 1 && item.id.starts_with(POISON);
+    let is_poison = |item: &Item| item.stage == 1 && item.id.starts_with(POISON);
     let first = stage_calls
         .iter()
-        .find(|call| call.items.iter().any(is_deadly));
+        .find(|call| call.items.iter().any(is_poison));
     assert!(first.is_some_and(|call| call.items.len() > 1));
-    assert_served(&[ask(&relay, asking_on("chained", "one-again", "one")).await]);
+    assert_served(&[serve(&relay, attempt_on("chained", "one-again", "one")).await]);
     let failures = failures(&relay);
     assert!(
         (1..=CRASH_THRESHOLD as usize).contains(&failures.len()),
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -127,7 +127,7 @@
         body(relay.serve(poison(&format!("q{number}"))).await).await;
         sleep(PAUSE).await;
     }
-    assert_eq!(relay.downstream.ended.lock().expect("free").len(), 3);
+    assert_eq!(relay.downstream.exited.lock().expect("free").len(), 3);
     assert!(held(&relay).await);
 }
 
@@ -169,13 +169,13 @@
 #[tokio::test(start_paused = true)]
 async fn ended_in_one_moment() {
     let relay = relay();
-    let mut ended = Vec::new();
+    let mut exited = Vec::new();
     for number in 0..3 {
-        ended.extend(broken(&relay, poison(&format!("q{number}"))).await.1);
+        exited.extend(broken(&relay, poison(&format!("q{number}"))).await.1);
     }
-    ended.sort();
-    ended.dedup();
-    let gone = ended.iter().map(|id| Change::Gone(id.as_str().into()));
+    exited.sort();
+    exited.dedup();
+    let gone = exited.iter().map(|id| Change::Gone(id.as_str().into()));
     relay.update(gone.collect());
     assert!(!held(&relay).await);
 }
@@ -263,14 +263,14 @@
 #[tokio::test(start_paused = true)]
 async fn few_trials() {
     let relay = poisoned().await;
-    let mut ended = 0;
+    let mut exited = 0;
     for second in 0..100 {
         let id = format!("again{second}");
         let (_, sent) = attempt(&relay, poison(&id)).await;
-        ended += usize::from(sent.is_some());
+        exited += usize::from(sent.is_some());
         sleep(Duration::from_secs(1) - PAUSE).await;
     }
-    assert!((1..=3).contains(&ended), "{ended}");
+    assert!((1..=3).contains(&exited), "{exited}");
 }
 
 /// A poison request ends all runners of a small service one after the other, and a popular request was
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unseen.rs
@@ -67,11 +67,11 @@
 /// Guards against a piece that ends each runner of its stage: calls carry the pieces of several requests,
 /// and nobody can tell which one it was.
 #[tokio::test(start_paused = true)]
-async fn deadly_piece() {
+async fn crash_piece() {
     let relay = relay();
-    let mut ended = BTreeSet::new();
+    let mut exited = BTreeSet::new();
     for number in 0..ATTEMPTS {
-        *relay.downstream.deadly_piece.lock().expect("free") = Some(format!("poison-{number}"));
+        *relay.downstream.crash_piece.lock().expect("free") = Some(format!("poison-{number}"));
         let before = relay.downstream.stage_calls().len();
         let deadly = Order {
             expires_at: Instant::now() + PAUSE / 2,
@@ -81,18 +81,18 @@
         for call in relay.downstream.stage_calls().split_off(before) {
             if !relay
                 .downstream
-                .ended
+                .exited
                 .lock()
                 .expect("free")
                 .contains(&call.runner)
             {
                 continue;
             }
-            if ended.insert(call.runner.clone()) {
+            if exited.insert(call.runner.clone()) {
                 unlist_later(&relay, call.runner);
             }
         }
         sleep(PAUSE).await;
     }
-    assert!(ended.len() <= CRASH_THRESHOLD as usize, "{ended:?}");
+    assert!(exited.len() <= CRASH_THRESHOLD as usize, "{exited:?}");
 }
--- a/crates/relay/tests/process_paused.rs
+++ b/crates/relay/tests/process_paused.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::feed::{FeedReply, ScriptedFeed};
-use common::{Behavior, Fake, SINCE_START, body, configuration, entry, request, unconfigured};
+use common::{Behavior, Fake, TIME_SINCE_BOOT, body, configuration, entry, request, unconfigured};
 use relay::downstream::NotRun;
 use relay::{Relay, follow};
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 
 /// The VM is suspended: the steady clock stands still.
 fn suspend() {
-    SINCE_START.set(SINCE_START.get() + PAUSE);
+    TIME_SINCE_BOOT.set(TIME_SINCE_BOOT.get() + PAUSE);
 }
 
 /// The process does not run for a while; all clocks go on.
 async fn stop(time: Duration) {
-    SINCE_START.set(SINCE_START.get() + time);
+    TIME_SINCE_BOOT.set(TIME_SINCE_BOOT.get() + time);
     advance(time).await;
 }
 
