--- a/crates/relay/tests/home_regions.rs
+++ b/crates/relay/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may run in some regions only.
+//! Requests that may run only in some regions.
 
 mod common;
 
@@ -7,12 +7,12 @@
 use relay::runner::{Change, Runner};
 use relay::{Answer, Body};
 
-/// A relay with a runner in each of two regions, `north` and `south`, and one whose region is not
-/// known.
+/// Serves a request at a relay with a runner in each of the regions `north` and `south` and one whose region is
+/// unknown. `route` and `workspace` list the regions that they allow.
 async fn serve(route: &[&str], workspace: &[&str]) -> (Fake, Answer) {
     let fake = Fake::default();
     let relay = with_regions(fake.clone(), &[("a", "north"), ("b", "south")]);
-    relay.adopt(confined(route, workspace));
+    relay.adopt(restricted(route, workspace));
     let listed = [("p-n", "a"), ("p-s", "b"), ("p-u", "c")].map(|(id, domain)| {
         Change::Listed(Runner {
             domain: domain.into(),
@@ -24,16 +24,16 @@
     (fake, answer)
 }
 
-fn homes(regions: &[&str]) -> AllowedRegions {
-    regions.iter().map(|region| (*region).into()).collect()
+fn regions(names: &[&str]) -> AllowedRegions {
+    names.iter().map(|name| (*name).into()).collect()
 }
 
-/// Routes of [`configuration`] with these homes of route and workspace.
-fn confined(route: &[&str], workspace: &[&str]) -> Configuration {
+/// A configuration in which a route of [`configuration`] and a workspace allow only these regions.
+fn restricted(route: &[&str], workspace: &[&str]) -> Configuration {
     let whole = configuration(2);
     let safe = whole.route("host", "/safe/x").expect("there");
     let route = Route {
-        homes: homes(route),
+        homes: regions(route),
         ..Route::clone(safe)
     };
     let service = Service {
@@ -45,7 +45,7 @@
     let workspace = Workspace {
         name: "coop".into(),
         rank: None,
-        homes: homes(workspace),
+        homes: regions(workspace),
     };
     let keys = vec![(workspace, vec!["key".to_owned()])];
     Configuration::new(2, vec![route], vec![service], keys, Limits::default())
@@ -55,10 +55,10 @@
     fake.sent().into_iter().map(|sent| sent.runner).collect()
 }
 
-/// A workspace's data may not leave its region. A request that ran elsewhere would break the law that
-/// its owner is under, whoever is idle there.
+/// Guards against requests that run outside their allowed regions because runners are idle there: the workspace's
+/// owner may be legally bound to keep its data in the region.
 #[tokio::test]
-async fn stays_home() {
+async fn runs_in_allowed_region() {
     for (route, workspace) in [
         (&["south"][..], &[][..]),
         (&[], &["south"]),
@@ -70,10 +70,10 @@
     }
 }
 
-/// Route and workspace have no home in common, or none that has a runner. The caller is told so and
+/// Route and workspace have no allowed region in common, or none that has a runner. The client must be told so, and
 /// that the request has not run.
 #[tokio::test]
-async fn no_home() {
+async fn no_common_region() {
     for (route, workspace) in [(&["north"][..], &["south"][..]), (&["west"], &[])] {
         let (fake, answer) = serve(route, workspace).await;
         assert!(ran_at(&fake).is_empty());
@@ -87,9 +87,9 @@
     }
 }
 
-/// Requests without homes run anywhere, also where the region is not known.
+/// Requests without allowed regions run anywhere, even where the region is unknown.
 #[tokio::test]
-async fn no_homes_named() {
+async fn unrestricted() {
     let (fake, answer) = serve(&[], &[]).await;
     assert_eq!(answer.status, 200);
     assert_eq!(ran_at(&fake).len(), 1);
--- a/crates/relay/tests/plan_rules.rs
+++ b/crates/relay/tests/configuration_rules.rs
@@ -1,4 +1,4 @@
-//! What the configuration says of a request, and which configuration holds.
+//! How the configuration applies to a request, and which configuration is in force.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// An older configuration arrives late, from a slow store or a peer. It must not undo the newer
-/// one: keys that were taken away would work again.
+/// An older configuration arrives late, from a slow store or a peer. It must not replace the newer one: revoked keys
+/// would work again.
 #[tokio::test(start_paused = true)]
-async fn never_back() {
-    let told = vec![
+async fn older_version_ignored() {
+    let replies = vec![
         FeedReply::Rows(vec![("config", Some(json!(5)))]),
         FeedReply::Rows(vec![("config", Some(json!(3)))]),
         FeedReply::Rows(vec![("config", Some(json!("rubbish")))]),
@@ -24,7 +24,7 @@
     let relay = unconfigured(Fake::default());
     let following = tokio::spawn(follow::operator_table(
         relay.clone(),
-        ScriptedFeed::new(told),
+        ScriptedFeed::new(replies),
     ));
     sleep(Duration::from_secs(5)).await;
     following.abort();
@@ -36,10 +36,10 @@
     );
 }
 
-/// A process that has just started knows no configuration. It must not say that a route or key does
-/// not exist: callers would not come back.
+/// A process that has just started has no configuration. It must not respond that a route or key does not exist, since
+/// clients would not retry.
 #[tokio::test(start_paused = true)]
-async fn nothing_known() {
+async fn not_ready() {
     let relay = unconfigured(Fake::default());
     let answer = relay.serve(request("a", "safe")).await;
     assert_eq!(answer.status, 503);
@@ -50,7 +50,7 @@
     assert!(relay.is_ready());
 }
 
-/// Unknown keys and routes get their own refusals, and nothing is sent.
+/// Requests with unknown keys or routes are refused with their own statuses, and nothing is sent to a runner.
 #[tokio::test(start_paused = true)]
 async fn refusals() {
     let fake = Fake::default();
@@ -69,9 +69,9 @@
     assert!(fake.sent().is_empty());
 }
 
-/// The runner hears whose request it is and how much time is left, whatever the caller wrote.
+/// A runner is replies the workspace of a request and its remaining time, whatever the client stated.
 #[tokio::test(start_paused = true)]
-async fn told_to_runner() {
+async fn passed_to_runner() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let mut request = request("a", "safe");
@@ -86,8 +86,8 @@
     );
 }
 
-/// Pieces that cannot be made before the deadline: the caller is told at once and can go
-/// elsewhere, rather than when its time is over.
+/// A request whose pieces cannot be made before its deadline is refused at once rather than at its timeout, so that the
+/// client can go elsewhere.
 #[tokio::test(start_paused = true)]
 async fn refused_at_once() {
     let relay = ready(Fake::default());
@@ -100,8 +100,8 @@
     assert_eq!(begun.elapsed(), Duration::ZERO);
 }
 
-/// A host is named with capitals, or two routes share the beginning of a path: the longest one
-/// that fits holds.
+/// Host names are case-insensitive, and among routes whose prefixes match, the one with the longest prefix is
+/// used.
 #[test]
 fn longest_prefix() {
     let configuration = configuration(1);
@@ -112,10 +112,10 @@
     assert!(configuration.route("host", "/safe").is_none());
 }
 
-/// A caller comes back after a refusal with less time than others of its route. Its pieces go
-/// behind those of requests that can still be on time; it is late already, whatever is done.
+/// A client that retries after a refusal has a shorter timeout than others of its route. Its request is already late, so
+/// its pieces come after those of requests that can still be on time.
 #[tokio::test(start_paused = true)]
-async fn comes_back() {
+async fn retry_detected() {
     let relay = ready(Fake::default());
     let whole = Duration::from_secs(4);
     assert_eq!(relay.waited_before("staged", whole), Duration::ZERO);
@@ -124,9 +124,9 @@
     assert_eq!(relay.waited_before("other", left), Duration::ZERO);
 }
 
-/// Callers count the time that they have left to the millisecond, and one that has just connected has
-/// a few less than one that was connected. That is no second attempt: nearly all first ones would go
-/// behind the few that came with the longest time.
+/// Clients state their remaining time in milliseconds, and one that has just connected has a few less than one with an
+/// open connection. It must not count as a retry: nearly all first attempts would come after the few with the
+/// longest timeout.
 #[tokio::test(start_paused = true)]
 async fn first_attempts_differ() {
     let relay = ready(Fake::default());
@@ -136,11 +136,10 @@
     assert_eq!(relay.waited_before("staged", connected), Duration::ZERO);
 }
 
-/// Callers of one route differ in how long they are ready to wait, by a seventh of it. Taken for
-/// waited time, the difference would make every second one late on arrival: it is refused in a burst
-/// that leaves room for it.
+/// Timeouts of clients on one route differ by a seventh. If the difference counted as time already waited, every second
+/// request would be late on arrival, and refused in a burst although there is capacity for it.
 #[tokio::test(start_paused = true)]
-async fn patience_differs() {
+async fn timeouts_differ() {
     let relay = ready(Fake::default());
     relay.waited_before("staged", Duration::from_secs(6));
     for patience in [5_100, 5_400, 5_900] {
@@ -152,9 +151,9 @@
     assert_eq!(waited, Duration::from_secs(2));
 }
 
-/// Two workspaces of one rank send requests on routes of different ranks. Without the route's rank
-/// all would be as urgent; without that of the workspace first, an urgent workspace would wait behind
-/// the urgent routes of others.
+/// Two workspaces send requests on routes of different ranks. Without the route's rank, all requests of workspaces of
+/// one rank would be equally urgent. If the workspace's rank did not come first, an urgent workspace would wait
+/// behind the urgent routes of others.
 #[test]
 fn ranks_combine() {
     let route = |name: &str, rank| Route {
@@ -165,7 +164,7 @@
                 .expect("listed"),
         )
     };
-    let (urgent, patient) = (route("safe", 0), route("stream", 2));
+    let (urgent, normal) = (route("safe", 0), route("stream", 2));
     let workspace = |rank| Workspace {
         homes: Default::default(),
         name: "coop".into(),
@@ -173,20 +172,20 @@
     };
     let workspaces = [Some(0), Some(1)].map(workspace);
     let keys = workspaces.clone().map(|workspace| (workspace, Vec::new()));
-    let routes = vec![urgent.clone(), patient.clone()];
+    let routes = vec![urgent.clone(), normal.clone()];
     let configuration = Configuration::new(1, routes, Vec::new(), keys.into(), Limits::default());
     let [first, second] = workspaces.each_ref().map(Some);
     let ranks = [
         configuration.rank(first, &urgent),
-        configuration.rank(first, &patient),
+        configuration.rank(first, &normal),
         configuration.rank(second, &urgent),
-        configuration.rank(second, &patient),
+        configuration.rank(second, &normal),
     ];
     assert_eq!(ranks, [0, 1, 2, 3]);
 }
 
-/// A configuration has more pairs of ranks than are told apart. Their order must hold all the same,
-/// and none may be more than the last rank, which runners would not understand.
+/// A configuration has more pairs of ranks than there are ranks. Their order must be preserved, and no rank may exceed
+/// the last one, since runners would not understand it.
 #[test]
 fn many_ranks() {
     let shape = configuration(1);
@@ -212,10 +211,10 @@
     assert_eq!((ranks.first(), ranks.last()), (Some(&0), Some(&LAST_RANK)));
 }
 
-/// The process is about to end while a request still waits for its stages. The caller hears that
-/// it has not run; a connection that is cut says nothing.
+/// The process is about to exit while a request still waits for its stages. The client must be replies that the request
+/// has not run, which a closed connection would not tell.
 #[tokio::test(start_paused = true)]
-async fn process_ends() {
+async fn process_exits() {
     let fake = Fake::default();
     let relay = ready(fake.clone());
     let waiting = tokio::spawn({
--- a/crates/relay/tests/ended_runner.rs
+++ b/crates/relay/tests/exited_runner.rs
@@ -1,5 +1,4 @@
-//! Runners that have ended while the platform's list still names them, and what a request that ends
-//! runners may do to a service of few.
+//! Runners that have exited but are still listed by the platform, and poison requests in services of few runners.
 
 mod common;
 
@@ -11,12 +10,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Body of the request that ends runners.
+/// Body of the poison request.
 const POISON: &str = "poison";
-/// Time that a runner takes to come back.
-const RETURN: Duration = Duration::from_secs(3);
+/// Time that a runner takes to restart.
+const RESTART_TIME: Duration = Duration::from_secs(3);
 
-/// A relay with so many runners of the plain service.
+/// A relay with this many runners of the plain service.
 fn relay(runners: usize) -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
     let more = (3..=runners).map(|number| Change::Listed(runner(&format!("p-{number}"), "plain")));
@@ -24,7 +23,7 @@
     relay
 }
 
-fn asking(id: &str, text: &'static str) -> relay::Request {
+fn request_with_body(id: &str, text: &'static str) -> relay::Request {
     let request = request(id, "safe");
     let message = Message {
         body: text.into(),
@@ -37,7 +36,7 @@
 }
 
 async fn serve(relay: &Arc<Relay<Fake>>, id: &str, text: &'static str) -> u16 {
-    body(relay.serve(asking(id, text)).await).await.0
+    body(relay.serve(request_with_body(id, text)).await).await.0
 }
 
 fn end(relay: &Relay<Fake>, id: &str) {
@@ -63,10 +62,10 @@
     sent.iter().filter(|call| call.runner == id).count()
 }
 
-/// Guards against requests that run out of tries, since each of them is sent first to runners that have
-/// ended: the list names those for three seconds more.
+/// Guards against requests that use up their attempts because each of them is first sent to runners that have exited;
+/// the platform lists these for three more seconds.
 #[tokio::test(start_paused = true)]
-async fn found_once() {
+async fn detected_once() {
     let relay = relay(4);
     for id in ["p-1", "p-2", "p-3"] {
         end(&relay, id);
@@ -79,7 +78,7 @@
     }
 }
 
-/// Guards against a runner that gets no work although it is back, at the address that it had.
+/// Guards against a runner that gets no work although it is available again at its old address.
 #[tokio::test(start_paused = true)]
 async fn back_again() {
     let relay = relay(2);
@@ -96,25 +95,24 @@
     assert!(sent_to(&relay, "p-1") > before);
 }
 
-/// Guards against callers that wait, or are told to come back at once, when all runners are known to have
-/// ended.
+/// Guards against clients that wait, or are told to retry at once, although all runners are known to have exited.
 #[tokio::test(start_paused = true)]
 async fn none_left() {
     let relay = relay(2);
     end(&relay, "p-1");
     end(&relay, "p-2");
     serve(&relay, "first", "x").await;
-    let (sent, began) = (relay.downstream.sent().len(), Instant::now());
-    let answer = relay.serve(asking("second", "x")).await;
+    let (sent, begun) = (relay.downstream.sent().len(), Instant::now());
+    let answer = relay.serve(request_with_body("second", "x")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after >= Some(Duration::from_secs(1)));
-    assert!(began.elapsed() < Duration::from_millis(100));
+    assert!(begun.elapsed() < Duration::from_millis(100));
     assert_eq!(relay.downstream.sent().len(), sent);
 }
 
-/// A runner that has ended starts again, under its name.
-async fn come_back(relay: Arc<Relay<Fake>>, id: String, start: u64) {
-    sleep(RETURN).await;
+/// Restarts a runner that has exited, under its old name.
+async fn restart_later(relay: Arc<Relay<Fake>>, id: String, start: u64) {
+    sleep(RESTART_TIME).await;
     relay
         .downstream
         .exited
@@ -127,47 +125,47 @@
     })]);
 }
 
-/// A caller repeats a request that ends its runner, as soon as it may; runners come back some seconds
-/// later. Gives how many were up at the least, and how many other requests were not served.
+/// Retries a poison request as soon as possible, while runners restart some seconds after they crash. Returns the
+/// smallest number of runners that were up, and the number of other requests that were not served.
 async fn beside_poison(runners: usize) -> (usize, usize) {
     let relay = relay(runners);
     *relay.downstream.crash_body.lock().expect("free") = Some(POISON.into());
     let ids: Vec<String> = (1..=runners).map(|number| format!("p-{number}")).collect();
-    let (mut least, mut unserved) = (runners, 0);
+    let (mut min_up, mut unserved) = (runners, 0);
     let mut down: Vec<String> = Vec::new();
     for round in 0..40 {
-        let poisoning = relay.clone();
+        let poisoned = relay.clone();
         let poison = tokio::spawn(async move {
-            serve(&poisoning, &format!("poison-{round}"), POISON).await;
+            serve(&poisoned, &format!("poison-{round}"), POISON).await;
         });
         sleep(Duration::from_millis(100)).await;
         let up = ids.iter().filter(|id| is_up(&relay, id)).count();
-        least = least.min(up);
+        min_up = min_up.min(up);
         for number in 0..3 {
             let status = serve(&relay, &format!("other-{round}-{number}"), "other").await;
             unserved += usize::from(status != 200);
         }
         let exited = ids.iter().filter(|id| !is_up(&relay, id));
-        let fresh: Vec<_> = exited.filter(|id| !down.contains(id)).cloned().collect();
+        let newly_exited: Vec<_> = exited.filter(|id| !down.contains(id)).cloned().collect();
         down = ids
             .iter()
             .filter(|id| !is_up(&relay, id))
             .cloned()
             .collect();
-        for id in fresh {
-            tokio::spawn(come_back(relay.clone(), id, round));
+        for id in newly_exited {
+            tokio::spawn(restart_later(relay.clone(), id, round));
         }
         poison.abort();
     }
-    (least, unserved)
+    (min_up, unserved)
 }
 
-/// Guards against one request that shuts a service of few runners for everybody.
+/// Guards against a single request that crashes all runners of a small service.
 #[tokio::test(start_paused = true)]
 async fn few_runners() {
     for runners in [2, 3, 4] {
-        let (least, unserved) = beside_poison(runners).await;
-        assert!(least >= 1, "{runners} runners");
+        let (min_up, unserved) = beside_poison(runners).await;
+        assert!(min_up >= 1, "{runners} runners");
         assert_eq!(unserved, 0, "{runners} runners");
     }
 }
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -1,4 +1,4 @@
-//! Requests that end each runner that begins to run them.
+//! Poison requests, which crash each runner that begins to serve them.
 
 mod common;
 
@@ -15,17 +15,17 @@
 use store::Table as _;
 use tokio::time::{sleep, timeout};
 
-/// Longer than any step takes, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
-/// Time between two attempts of a caller.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Upper limit for any step, even on a busy machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Delay between two attempts of a client.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// An attempt of the caller whose request no runner survives.
+/// An attempt of the poison request.
 fn poison(id: &str) -> Request {
-    asking(id, "once", "poison")
+    request_with_body(id, "once", "poison")
 }
 
-fn asking(id: &str, route: &str, body: &'static str) -> Request {
+fn request_with_body(id: &str, route: &str, body: &'static str) -> Request {
     let request = request(id, route);
     let message = Message {
         body: body.into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// A relay with enough runners to lose some.
+/// A relay with enough runners to lose some of them.
 fn relay() -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
     let more = (3..9).map(|number| Change::Listed(runner(&format!("p-{number}"), "plain")));
@@ -45,9 +45,9 @@
     relay
 }
 
-/// Serves an attempt whose stream breaks at the runner that it is sent to; gives the status and that
-/// runner.
-async fn broken(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
+/// Serves an attempt whose stream is cut off by its runner. Returns the status and the runner, if one was sent the
+/// request.
+async fn serve_cut_off(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
     let crash = Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
         end: StreamEnd::Broken,
@@ -60,23 +60,23 @@
     (status, sent.first().map(|call| call.runner.clone()))
 }
 
-/// The same, and the runner's entry lapses.
-async fn attempt(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
-    let (status, runner) = broken(relay, request).await;
+/// Serves an attempt whose runner crashes: its stream is cut off and its entry is removed.
+async fn serve_crashing(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
+    let (status, runner) = serve_cut_off(relay, request).await;
     if let Some(id) = &runner {
         relay.update(vec![Change::Gone(id.as_str().into())]);
     }
-    sleep(PAUSE).await;
+    sleep(RETRY_DELAY).await;
     (status, runner)
 }
 
-/// A caller repeats a request that no runner survives, each time under a new name. A relay that takes
-/// each attempt for a new request ends one runner after the other with it, and all that they serve.
+/// A client retries a poison request, each time under a new name. A relay that took each attempt for a new request would
+/// crash one runner after the other, and interrupt all other requests there.
 #[tokio::test(start_paused = true)]
-async fn sent_no_more() {
+async fn quarantined_after_crashes() {
     let relay = relay();
     for number in 0..3 {
-        let (status, runner) = attempt(&relay, poison(&format!("q{number}"))).await;
+        let (status, runner) = serve_crashing(&relay, poison(&format!("q{number}"))).await;
         assert_eq!((status, runner.is_some()), (200, true));
     }
     let before = relay.downstream.sent().len();
@@ -86,8 +86,8 @@
     assert_eq!(relay.downstream.sent().len(), before);
 }
 
-/// The next call is answered as it should be.
-fn whole(relay: &Relay<Fake>) {
+/// Makes the next call succeed.
+fn set_success(relay: &Relay<Fake>) {
     let whole = Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
         end: StreamEnd::Whole,
@@ -95,97 +95,99 @@
     *relay.downstream.behaviors.lock().expect("free") = [whole].into();
 }
 
-/// Serves an attempt whose caller asks for something else.
-async fn innocent(relay: &Arc<Relay<Fake>>) -> u16 {
-    whole(relay);
-    let answer = relay.serve(asking("other", "once", "other")).await;
+/// Serves a request with a different body, which its runner survives.
+async fn serve_innocent(relay: &Arc<Relay<Fake>>) -> u16 {
+    set_success(relay);
+    let answer = relay
+        .serve(request_with_body("other", "once", "other"))
+        .await;
     body(answer).await.0
 }
 
-/// Whether an attempt is refused that its runner would survive.
-async fn held(relay: &Arc<Relay<Fake>>) -> bool {
-    whole(relay);
+/// Whether an attempt of the poison request is refused even though its runner would survive it.
+async fn is_quarantined(relay: &Arc<Relay<Fake>>) -> bool {
+    set_success(relay);
     let answer = relay.serve(poison("last")).await;
     body(answer).await.0 == 503
 }
 
-async fn poisoned() -> Arc<Relay<Fake>> {
+async fn relay_with_quarantine() -> Arc<Relay<Fake>> {
     let relay = relay();
     for number in 0..3 {
-        attempt(&relay, poison(&format!("q{number}"))).await;
+        serve_crashing(&relay, poison(&format!("q{number}"))).await;
     }
     relay
 }
 
-/// The platform goes on to list a runner for three seconds after its end. A relay that waits for the
-/// list lets the request end four runners more.
+/// The platform lists a runner for three seconds after its exit. A relay that waited for the list would let the request
+/// crash four more runners.
 #[tokio::test(start_paused = true)]
-async fn listed_on() {
+async fn quarantined_while_listed() {
     let relay = relay();
     for number in 0..3 {
         *relay.downstream.behaviors.lock().expect("free") = [Behavior::Crash].into();
         body(relay.serve(poison(&format!("q{number}"))).await).await;
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     assert_eq!(relay.downstream.exited.lock().expect("free").len(), 3);
-    assert!(held(&relay).await);
+    assert!(is_quarantined(&relay).await);
 }
 
-/// Other requests of the same workspace and route go on to be served.
+/// Other requests of the same workspace and route are still served.
 #[tokio::test(start_paused = true)]
 async fn others_served() {
-    let relay = poisoned().await;
-    assert!(held(&relay).await);
-    assert_eq!(innocent(&relay).await, 200);
+    let relay = relay_with_quarantine().await;
+    assert!(is_quarantined(&relay).await);
+    assert_eq!(serve_innocent(&relay).await, 200);
 }
 
-/// Runners garble answers and live on. A popular request would be refused for a minute, although
+/// Runners cut off responses but keep running. A popular request must not be refused for a minute for this, since
 /// nothing is wrong with it.
 #[tokio::test(start_paused = true)]
-async fn runners_live_on() {
+async fn runners_survive() {
     let relay = relay();
     for number in 0..6 {
-        broken(&relay, poison(&format!("q{number}"))).await;
-        sleep(PAUSE).await;
+        serve_cut_off(&relay, poison(&format!("q{number}"))).await;
+        sleep(RETRY_DELAY).await;
     }
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// Runners crash under a popular request that others answer in between. They did not crash because of
-/// it.
+/// Runners crash during a popular request that others serve in between, so the request is not the cause.
 #[tokio::test(start_paused = true)]
-async fn answered_in_between() {
+async fn served_in_between() {
     let relay = relay();
     for number in 0..4 {
-        attempt(&relay, poison(&format!("q{number}"))).await;
-        whole(&relay);
+        serve_crashing(&relay, poison(&format!("q{number}"))).await;
+        set_success(&relay);
         let answer = relay.serve(poison(&format!("r{number}"))).await;
         assert_eq!(body(answer).await.0, 200);
     }
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
 /// A failure domain loses power while each of its runners works on the same popular request.
 #[tokio::test(start_paused = true)]
-async fn ended_in_one_moment() {
+async fn crashed_simultaneously() {
     let relay = relay();
     let mut exited = Vec::new();
     for number in 0..3 {
-        exited.extend(broken(&relay, poison(&format!("q{number}"))).await.1);
+        exited.extend(serve_cut_off(&relay, poison(&format!("q{number}"))).await.1);
     }
     exited.sort();
     exited.dedup();
     let gone = exited.iter().map(|id| Change::Gone(id.as_str().into()));
     relay.update(gone.collect());
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// A runner leaves as planned and cuts what it still has at its end: its entry was gone before.
+/// A runner shuts down as planned and cuts off its remaining streams when it exits. It has announced its shutdown and
+/// lost its entry before.
 #[tokio::test(start_paused = true)]
 async fn left_before() {
     let relay = relay();
     for number in 0..3 {
-        let (_, sent) = broken(&relay, poison(&format!("q{number}"))).await;
+        let (_, sent) = serve_cut_off(&relay, poison(&format!("q{number}"))).await;
         let id = sent.expect("sent");
         let leaving = Runner {
             leaving: true,
@@ -193,12 +195,12 @@
         };
         relay.update(vec![Change::Listed(leaving)]);
         relay.update(vec![Change::Gone(id.as_str().into())]);
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// A runner comes back under the name that it had, before its entry lapses.
+/// A runner restarts under its old name before its entry expires.
 #[tokio::test(start_paused = true)]
 async fn restarted() {
     let relay = ready(Fake::default());
@@ -213,30 +215,30 @@
     };
     list(1);
     for start in 2..5 {
-        broken(&relay, poison(&format!("q{start}"))).await;
+        serve_cut_off(&relay, poison(&format!("q{start}"))).await;
         list(start);
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
-    assert!(held(&relay).await);
+    assert!(is_quarantined(&relay).await);
 }
 
-/// Two runners have ended under a request, and a third one ends while the next attempt waits for its
-/// stages. It must not be sent on when they are made.
+/// Two runners have crashed during a request, and a third one crashes while the next attempt waits for its stages. The
+/// attempt must not be sent to a runner when they are made.
 #[tokio::test(start_paused = true)]
-async fn held_back_after_stages() {
+async fn quarantined_after_stages() {
     let relay = relay();
-    let request = asking("q", "staged", "poison");
+    let request = request_with_body("q", "staged", "poison");
     let crash = |(turn, id): (u32, &&str)| Crash {
         runner: ((*id).into(), None),
-        sent: PAUSE * turn,
-        lost: PAUSE * turn,
+        sent: RETRY_DELAY * turn,
+        lost: RETRY_DELAY * turn,
         isolated: false,
     };
     let report = |first, runners: &[&str]| Suspicion {
         crashes: (first..).zip(runners).map(crash).collect(),
         ..Suspicion::new(request.content(Some("coop")))
     };
-    sleep(PAUSE * 4).await;
+    sleep(RETRY_DELAY * 4).await;
     relay.merge_suspicion(&report(1, &["x-2", "x-1"]), "test");
     let serving = tokio::spawn({
         let (relay, request) = (relay.clone(), request.clone());
@@ -248,73 +250,74 @@
     assert!(relay.downstream.sent().is_empty());
 }
 
-/// A request is held back for no fault of its own, or the fault has been mended. One attempt is let
-/// through after a while, and its answer clears the request.
+/// A request is quarantined although it was not the cause, or the fault has been fixed. One trial is let through after a
+/// while, and its success clears the request.
 #[tokio::test(start_paused = true)]
-async fn tried_again() {
-    let relay = poisoned().await;
-    assert!(held(&relay).await);
+async fn cleared_by_trial() {
+    let relay = relay_with_quarantine().await;
+    assert!(is_quarantined(&relay).await);
     sleep(Duration::from_secs(6)).await;
-    assert!(!held(&relay).await);
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// A caller goes on to ask for minutes. What its request may still end is bounded.
+/// A client retries for minutes. The number of runners that its request may still crash is bounded.
 #[tokio::test(start_paused = true)]
 async fn few_trials() {
-    let relay = poisoned().await;
+    let relay = relay_with_quarantine().await;
     let mut exited = 0;
     for second in 0..100 {
         let id = format!("again{second}");
-        let (_, sent) = attempt(&relay, poison(&id)).await;
+        let (_, sent) = serve_crashing(&relay, poison(&id)).await;
         exited += usize::from(sent.is_some());
-        sleep(Duration::from_secs(1) - PAUSE).await;
+        sleep(Duration::from_secs(1) - RETRY_DELAY).await;
     }
     assert!((1..=3).contains(&exited), "{exited}");
 }
 
-/// A poison request ends all runners of a small service one after the other, and a popular request was
-/// running at each of them. It is served again within seconds.
+/// A poison request crashes all runners of a small service one after the other while a popular request runs at each of
+/// them. The popular request must be served again within seconds.
 #[tokio::test(start_paused = true)]
-async fn popular_beside_poison() {
-    let relay = poisoned().await;
-    assert!(held(&relay).await);
+async fn popular_next_to_poison() {
+    let relay = relay_with_quarantine().await;
+    assert!(is_quarantined(&relay).await);
     sleep(Duration::from_secs(6)).await;
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// The trial ends a runner as well: the next one comes four times as late.
+/// A trial crashes its runner, so the next one is allowed only after four times the delay.
 #[tokio::test(start_paused = true)]
 async fn trial_fails() {
-    let relay = poisoned().await;
+    let relay = relay_with_quarantine().await;
     sleep(Duration::from_secs(6)).await;
-    assert!(attempt(&relay, poison("trial")).await.1.is_some());
+    assert!(serve_crashing(&relay, poison("trial")).await.1.is_some());
     sleep(Duration::from_secs(18)).await;
-    assert!(held(&relay).await);
+    assert!(is_quarantined(&relay).await);
     sleep(Duration::from_secs(4)).await;
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
 }
 
-/// A row of the table of the processes, as another process wrote it.
+/// The row of the poison request in the membership table, as another process wrote it.
 fn row(value: Option<Value>) -> Vec<(&'static str, Option<Value>)> {
     let name = format!("quarantine/{:016x}", poison("q").content(Some("coop")));
     vec![(name.leak(), value)]
 }
 
-/// All processes were killed. One that has just started knows nothing from others; the table tells.
+/// All processes were killed. A process that has just started cannot learn of the quarantine from others, but does so
+/// from the table.
 #[tokio::test(start_paused = true)]
 async fn known_after_start() {
     let relay = relay();
     let rows = FeedReply::At(5, row(Some(json!({ "crashes": 3 }))));
     let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new([rows])));
-    sleep(PAUSE).await;
-    assert!(held(&relay).await);
+    sleep(RETRY_DELAY).await;
+    assert!(is_quarantined(&relay).await);
     following.abort();
 }
 
-/// The row is gone once the request has been answered somewhere.
+/// The row is deleted after the request has been served elsewhere, which clears the request.
 #[tokio::test(start_paused = true)]
-async fn row_gone() {
+async fn row_deleted() {
     let relay = relay();
     let told = [
         FeedReply::At(5, row(Some(json!({ "crashes": 3 })))),
@@ -322,31 +325,31 @@
     ];
     let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(told)));
     sleep(Duration::from_secs(4)).await;
-    assert!(!held(&relay).await);
+    assert!(!is_quarantined(&relay).await);
     following.abort();
 }
 
-/// What is held back is written down, and dropped once it is cleared.
+/// The row of a quarantined request is written, and deleted once the request is cleared.
 #[tokio::test(start_paused = true)]
-async fn row_kept() {
-    let relay = poisoned().await;
+async fn row_written() {
+    let relay = relay_with_quarantine().await;
     let table = store::Memory::default();
     let keeping = tokio::spawn(relay::quarantine::write_rows(relay.clone(), table.clone()));
     let (key, _) = row(None).remove(0);
-    sleep(PAUSE).await;
+    sleep(RETRY_DELAY).await;
     let written = table.read("relay", key).await.expect("there");
     assert_eq!(written.map(|row| row.value), Some(json!({ "crashes": 3 })));
     sleep(Duration::from_secs(61)).await;
-    assert!(!held(&relay).await);
-    sleep(PAUSE).await;
+    assert!(!is_quarantined(&relay).await);
+    sleep(RETRY_DELAY).await;
     assert_eq!(table.read("relay", key).await.expect("there"), None);
     keeping.abort();
 }
 
-/// Each attempt reaches another process, and each process sees one runner end. None of them alone
-/// would hold the request back.
+/// Each attempt reaches a different process, which sees one runner crash. None of them alone would quarantine the
+/// request.
 #[tokio::test]
-async fn told_by_peers() {
+async fn announced_by_peers() {
     let relay = relay();
     let (sender, mut receiver) = common::link::open(&relay).await;
     let content = poison("q").content(Some("coop"));
@@ -364,8 +367,8 @@
         let frame = peer::Frame::Suspicion(suspicion);
         sender.send(frame).await.expect("linked");
     }
-    let passed_on = async {
-        // The relay passes on to all what it has taken in.
+    let forwarded = async {
+        // The relay forwards what it has merged.
         loop {
             let frame = receiver.recv().await.expect("linked").expect("open");
             if matches!(frame, peer::Frame::Suspicion(suspicion) if suspicion.count == 3) {
@@ -373,8 +376,8 @@
             }
         }
     };
-    timeout(LONG, passed_on).await.expect("told");
-    assert!(held(&relay).await);
+    timeout(STEP_TIMEOUT, forwarded).await.expect("forwarded");
+    assert!(is_quarantined(&relay).await);
     sender
         .send(peer::Frame::Suspicion(Suspicion {
             cleared: Some(Duration::ZERO),
@@ -383,9 +386,9 @@
         .await
         .expect("linked");
     let cleared = async {
-        while held(&relay).await {
+        while is_quarantined(&relay).await {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, cleared).await.expect("cleared");
+    timeout(STEP_TIMEOUT, cleared).await.expect("cleared");
 }
--- a/crates/relay/tests/poison_unseen.rs
+++ b/crates/relay/tests/poison_unattributed.rs
@@ -1,4 +1,4 @@
-//! Requests that end runners in ways that the evidence does not show.
+//! Poison requests whose crashes cannot be attributed to them directly.
 
 mod common;
 
@@ -14,13 +14,13 @@
 use tokio::time::{Instant, sleep};
 
 /// Time between two attempts.
-const PAUSE: Duration = Duration::from_millis(700);
-/// Time for which the platform's list names a runner after its end.
-const LISTED: Duration = Duration::from_secs(3);
-/// Attempts of the caller.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Time for which the platform lists a runner after its exit.
+const LISTED_AFTER_EXIT: Duration = Duration::from_secs(3);
+/// Number of attempts.
 const ATTEMPTS: usize = 9;
 
-/// A relay with a runner of each service for each attempt.
+/// A relay with one runner of each service per attempt.
 fn relay() -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
     let more = |service: &'static str| {
@@ -33,51 +33,54 @@
     relay
 }
 
-/// Takes a runner from the list some seconds after its end.
+/// Removes a runner from the list some seconds after its exit.
 fn unlist_later(relay: &Arc<Relay<Fake>>, id: String) {
     let relay = relay.clone();
     tokio::spawn(async move {
-        sleep(LISTED).await;
+        sleep(LISTED_AFTER_EXIT).await;
         relay.update(vec![Change::Gone(id.as_str().into())]);
     });
 }
 
-/// Guards against a request that silences one runner after the other, whose addresses refuse nobody:
-/// each is known to have ended only once the list says so.
+/// Guards against a request that makes one runner after the other unresponsive. Their addresses refuse no
+/// connections, so a failure is certain only once the runner is no longer listed.
 #[tokio::test(start_paused = true)]
-async fn silenced_runners() {
+async fn unresponsive_runners() {
     let relay = relay();
-    let mut silenced = BTreeSet::new();
+    let mut unresponsive = BTreeSet::new();
     for number in 0..ATTEMPTS {
         *relay.downstream.behaviors.lock().expect("free") = [Behavior::Silent].into();
         let mut attempt = request(&format!("q{number}"), "once");
-        attempt.timeout = Some(PAUSE / 2);
+        attempt.timeout = Some(RETRY_DELAY / 2);
         let before = relay.downstream.sent().len();
         body(relay.serve(attempt).await).await;
         for call in relay.downstream.sent().split_off(before) {
-            if silenced.insert(call.runner.clone()) {
+            if unresponsive.insert(call.runner.clone()) {
                 unlist_later(&relay, call.runner);
             }
         }
-        sleep(PAUSE / 2).await;
+        sleep(RETRY_DELAY / 2).await;
     }
-    assert!(silenced.len() <= CRASH_THRESHOLD as usize, "{silenced:?}");
+    assert!(
+        unresponsive.len() <= CRASH_THRESHOLD as usize,
+        "{unresponsive:?}"
+    );
 }
 
-/// Guards against a piece that ends each runner of its stage: calls carry the pieces of several requests,
-/// and nobody can tell which one it was.
+/// Guards against a piece that crashes each runner of its stage. Calls contain pieces of several requests, so a crash
+/// does not show which of them caused it.
 #[tokio::test(start_paused = true)]
-async fn crash_piece() {
+async fn poison_piece() {
     let relay = relay();
     let mut exited = BTreeSet::new();
     for number in 0..ATTEMPTS {
         *relay.downstream.crash_piece.lock().expect("free") = Some(format!("poison-{number}"));
         let before = relay.downstream.stage_calls().len();
-        let deadly = Order {
-            expires_at: Instant::now() + PAUSE / 2,
+        let poison = Order {
+            expires_at: Instant::now() + RETRY_DELAY / 2,
             ..order(&format!("poison-{number}"), 1)
         };
-        let _ = relay.batcher(&cell()).submit(&relay, deadly).await;
+        let _ = relay.batcher(&cell()).submit(&relay, poison).await;
         for call in relay.downstream.stage_calls().split_off(before) {
             if !relay
                 .downstream
@@ -92,7 +95,7 @@
                 unlist_later(&relay, call.runner);
             }
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     assert!(exited.len() <= CRASH_THRESHOLD as usize, "{exited:?}");
 }
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -1,4 +1,4 @@
-//! Runners that ask for fewer requests in their answers.
+//! Rate limits that runners ask for in their responses.
 
 mod common;
 
@@ -11,55 +11,54 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time between two requests of the load.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay between two requests of the load.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves requests one after the other for so long, and gives how many runners got.
+/// Serves requests one after the other for some time, and returns how many were sent to runners.
 async fn load(relay: &Arc<Relay<Fake>>, time: Duration) -> usize {
     let before = relay.downstream.sent().len();
-    for _ in 0..time.as_millis() / PAUSE.as_millis() {
+    for _ in 0..time.as_millis() / REQUEST_INTERVAL.as_millis() {
         body(relay.serve(request("a", "safe")).await).await;
-        sleep(PAUSE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
     relay.downstream.sent().len() - before
 }
 
-/// Both runners name a limit of one request a second. Neither gets more than that on average, however
-/// many callers ask.
+/// Both runners ask for a limit of one request per second. Neither gets more than that on average, whatever the load.
 #[tokio::test(start_paused = true)]
-async fn kept_alone() {
+async fn limit_kept() {
     let relay = limited().await;
     assert!(load(&relay, Duration::from_secs(10)).await <= 2 * 11);
 }
 
-fn limit(relay: &Relay<Fake>, spacing: Option<Duration>) {
+fn set_limit(relay: &Relay<Fake>, spacing: Option<Duration>) {
     *relay.downstream.spacing.lock().expect("free") = spacing;
 }
 
-/// A relay both of whose runners have just named a limit of one request a second.
+/// A relay both of whose runners have just asked for a limit of one request per second.
 async fn limited() -> Arc<Relay<Fake>> {
     let relay = ready(Fake::default());
     relay.peers.members(Members::mark_listed);
-    limit(&relay, Some(Duration::from_secs(1)));
+    set_limit(&relay, Some(Duration::from_secs(1)));
     load(&relay, Duration::from_secs(1)).await;
     relay
 }
 
-/// The runner says no more that it is in need. Kept to for ever, the limit would leave it idle.
+/// The runners no longer ask for a limit. A limit that stayed in force would leave them idle.
 #[tokio::test(start_paused = true)]
-async fn over() {
+async fn limit_ends() {
     let relay = limited().await;
-    limit(&relay, None);
+    set_limit(&relay, None);
     load(&relay, Duration::from_secs(2)).await;
     assert!(load(&relay, Duration::from_secs(1)).await >= 20);
 }
 
-/// Requests that no runner takes now are refused at once, as not run.
+/// Requests that no runner may be sent now are refused at once, as not run.
 #[tokio::test(start_paused = true)]
 async fn refused_at_once() {
     let relay = limited().await;
-    // What both runners take in this second.
-    load(&relay, PAUSE * 2).await;
+    // Uses up what both runners accept in this second.
+    load(&relay, REQUEST_INTERVAL * 2).await;
     let begun = Instant::now();
     let answer = relay.serve(request("a", "safe")).await;
     assert_eq!(answer.status, 503);
@@ -67,11 +66,11 @@
     assert!(begun.elapsed() < Duration::from_millis(50));
 }
 
-/// A runner that starts anew has no limit until it names one.
+/// A restarted runner has no limit until it asks for one.
 #[tokio::test(start_paused = true)]
 async fn forgotten_at_restart() {
     let relay = limited().await;
-    limit(&relay, None);
+    set_limit(&relay, None);
     let restarted = |id| Runner {
         started: Some(2),
         ..runner(id, "plain")
@@ -82,21 +81,21 @@
     assert!(load(&relay, Duration::from_secs(1)).await >= 20);
 }
 
-/// In a large fleet a few processes send to such a runner. Those that do not would never hear from it
-/// that the limit is over: the others tell.
+/// In a large fleet only a few processes send to a limited runner. The others learn from these that the limit has
+/// ended, since they get no responses from the runner.
 #[tokio::test]
-async fn told_by_peers() {
+async fn announced_by_peers() {
     let relay = ready(Fake::default());
     relay.peers.members(Members::mark_listed);
     let (sender, mut receiver) = common::link::open(&relay).await;
     let mut status = Vec::new();
-    let turns = [
+    let notices = [
         (Some(Duration::from_secs(1_000)), Duration::from_millis(20)),
-        // Older than what is known: it must not undo it.
+        // This notice is older than the known limit and must not replace it.
         (None, Duration::from_secs(50)),
         (None, Duration::ZERO),
     ];
-    for (spacing, ago) in turns {
+    for (spacing, ago) in notices {
         for id in ["p-1", "p-2"] {
             let notice = LimitNotice {
                 runner: id.into(),
@@ -108,7 +107,7 @@
                 .await
                 .expect("linked");
         }
-        // Answered in their order, so that both have been taken in.
+        // Frames are processed in order, so the answer shows that both notices have been applied.
         let question = peer::Frame::AskPart {
             version: 1,
             offset: 0,
@@ -128,11 +127,11 @@
     assert_eq!(status, [503, 503, 200]);
 }
 
-/// Twenty processes are there: a few of them have a place at the runner, and the others leave it alone.
+/// Of twenty processes, only a few may send to a limited runner.
 #[tokio::test(start_paused = true)]
-async fn few_places() {
+async fn few_senders() {
     let mut sent = 0;
-    let mut places = 0;
+    let mut senders = 0;
     for own in 0..20 {
         let member = |number: usize| Member {
             id: format!("relay-{number}").into(),
@@ -151,25 +150,25 @@
             }
             members.mark_listed();
         });
-        limit(&relay, Some(Duration::from_secs(1)));
-        load(&relay, PAUSE).await;
+        set_limit(&relay, Some(Duration::from_secs(1)));
+        load(&relay, REQUEST_INTERVAL).await;
         let after = load(&relay, Duration::from_secs(20)).await;
         sent += after;
-        places += usize::from(after > 0);
+        senders += usize::from(after > 0);
     }
-    assert_eq!(places, 4);
+    assert_eq!(senders, 4);
     assert!((16..=24).contains(&sent), "{sent}");
 }
 
-/// Runners of a stage name a limit as well. The process that forms their calls keeps to it.
+/// Runners of a stage ask for a limit as well. The process that forms their calls keeps to it.
 #[tokio::test(start_paused = true)]
 async fn stage_limit_kept() {
     let relay = ready(Fake::default());
-    limit(&relay, Some(Duration::from_secs(1)));
+    set_limit(&relay, Some(Duration::from_secs(1)));
     let serving = (0..40).map(|number| {
         let relay = relay.clone();
         tokio::spawn(async move {
-            sleep(PAUSE * number).await;
+            sleep(REQUEST_INTERVAL * number).await;
             relay.serve(request(&format!("q{number}"), "staged")).await;
         })
     });
