--- a/crates/relay/src/configuration.rs
+++ b/crates/relay/src/configuration.rs
@@ -234,8 +234,8 @@
         let before = self.urgencies.partition_point(|other| *other < pair);
         let rank_count = usize::from(LAST_RANK) + 1;
         // If there are more pairs than ranks, neighboring pairs share a rank.
-        let most = self.urgencies.len().max(rank_count);
-        Rank::try_from(before * rank_count / most).map_or(LAST_RANK, |rank| rank.min(LAST_RANK))
+        let divisor = self.urgencies.len().max(rank_count);
+        Rank::try_from(before * rank_count / divisor).map_or(LAST_RANK, |rank| rank.min(LAST_RANK))
     }
 
     /// All distinct pairs of workspace rank and route rank that requests may have, in order.
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -28,7 +28,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Fraction of a route's longest timeout below which a request counts as a retry. A client that is refused
-/// for lack of capacity is told to wait for one [`RETRY_PART`]th of its time. The threshold lies midway
+/// for lack of capacity is told to wait for one [`RETRY_TIME_DIVISOR`]th of its time. The threshold lies midway
 /// between the remainder and the whole, since clients of one route differ in their initial timeouts.
 const MIN_FIRST_ATTEMPT_FRACTION: f64 = 1.0 - 0.5 / RETRY_TIME_DIVISOR as f64;
 
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     spacing: Option<Duration>,
-    /// When the response that carried the limit arrived.
+    /// Moment as of which the limit is known from a response.
     observed: Instant,
     /// When the limit was last announced.
     announced: Instant,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -35,7 +35,7 @@
 const PREFIX: &str = "quarantine/";
 /// Interval at which a suspect request checks whether enough runners are up.
 const RUNNERS_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Retry delay told to clients while runners are down: about the time that a runner takes to start.
+/// Retry delay given to clients while runners are down: about the time that a runner takes to start.
 const RUNNER_START_TIME: Duration = Duration::from_secs(1);
 /// Delay before a failed write of a row is repeated.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -50,7 +50,7 @@
 }
 
 impl State {
-    fn rewrite(&self, content: ContentId) {
+    fn schedule_write(&self, content: ContentId) {
         lock(&self.outdated).insert(content);
         self.changed.notify_one();
     }
@@ -96,7 +96,7 @@
                 "content" => content_name(report.content), "crashes" => report.count);
             self.announce(&report);
             if report.is_held() {
-                self.quarantine.rewrite(report.content);
+                self.quarantine.schedule_write(report.content);
             }
         }
     }
@@ -118,7 +118,7 @@
             known.answered(content, &instance(runner), self.now())
         };
         if let Merge::New { was_held: true, .. } = merged {
-            self.quarantine.rewrite(content);
+            self.quarantine.schedule_write(content);
         }
         self.propagate(content, merged, "response");
     }
@@ -173,7 +173,7 @@
             self.check_silent(&report);
         }
         if was_held != is_held && self.trial_order(content) == 0 {
-            self.quarantine.rewrite(content);
+            self.quarantine.schedule_write(content);
         }
     }
 
@@ -243,13 +243,14 @@
     }
 }
 
-/// Remaining quarantine time of one of a request's contents; counts the request as demand for it.
+/// Remaining quarantine time of one of a request's contents, if it is quarantined. Marks the content as requested, so
+/// that it does not expire.
 fn remaining_quarantine<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
-    let Admission::Held(left) = job.relay.admission(content) else {
+    let Admission::Held(remaining) = job.relay.admission(content) else {
         return None;
     };
     lock(&job.relay.quarantine.known).touch(content, job.relay.now());
-    Some(left)
+    Some(remaining)
 }
 
 /// Admits the pieces of a stage and returns whether they are a trial of a quarantined content. If so, the
@@ -257,7 +258,7 @@
 ///
 /// # Errors
 ///
-/// [`Spoiled::Poison`] if the content is quarantined.
+/// [`StageError::Poison`] if the content is quarantined.
 pub(crate) fn begin_stage<D: Downstream>(job: &Job<D>, stage: usize) -> Result<bool, StageError> {
     let content = job.stage_content(stage);
     match job.relay.admission(content) {
@@ -297,7 +298,7 @@
 /// [`Refusal::Poison`] if too few runners are up for half of the client's remaining time.
 async fn await_runners<D: Downstream>(job: &Job<D>) -> Result<(), Refusal> {
     let since = Instant::now();
-    let patience = job.remaining() / 2;
+    let max_wait = job.remaining() / 2;
     loop {
         let standing = job.relay.standing(&job.service);
         let (may_run, crashes) = {
@@ -312,7 +313,7 @@
             (may_spread && standing.allows_attempt(risk), risk)
         };
         let waited = since.elapsed();
-        let outcome = match (may_run, waited >= patience) {
+        let outcome = match (may_run, waited >= max_wait) {
             (true, _) if waited < RUNNERS_POLL_INTERVAL => return Ok(()),
             (true, _) => "sent",
             (false, true) => "given up",
@@ -388,18 +389,18 @@
     for content in expired {
         info!(relay.log, "quarantined request expired"; "content" => content_name(content));
         if relay.trial_order(content) == 0 {
-            relay.quarantine.rewrite(content);
+            relay.quarantine.schedule_write(content);
         }
     }
 }
 
 /// Schedules the rows of quarantined requests for writing after the table service was restored from an older
-/// copy.
+/// backup.
 pub(crate) fn rewrite_rows<D: Downstream>(relay: &Relay<D>) {
     let suspicions = relay.suspicions().into_iter();
     let quarantined = suspicions.filter(Report::is_held);
     for suspicion in quarantined.filter(|suspicion| relay.trial_order(suspicion.content) == 0) {
-        relay.quarantine.rewrite(suspicion.content);
+        relay.quarantine.schedule_write(suspicion.content);
     }
 }
 
@@ -418,7 +419,7 @@
         } else if let Err(error) = written {
             info!(relay.log, "quarantine row not written, will retry";
                 "content" => content_name(content), "error" => %error);
-            relay.quarantine.rewrite(content);
+            relay.quarantine.schedule_write(content);
             sleep(WRITE_RETRY_DELAY).await;
         }
     }
--- a/crates/relay/src/runner.rs
+++ b/crates/relay/src/runner.rs
@@ -69,7 +69,7 @@
 }
 
 impl Fleet {
-    /// Applies a change, and returns whether it has changed which runners accept new work.
+    /// Applies a change, and returns whether it has changed the runners that accept new work.
     pub fn apply(&mut self, change: Change) -> bool {
         match change {
             Change::Listed(runner) if runner.leaving => self.forget(&runner.id),
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -55,13 +55,13 @@
 
     fn mark_cold(&self, runner: &Runner, time: Duration, reason: &str) {
         let now = Instant::now();
-        let before = {
+        let was_cold = {
             let mut warmups = lock(&self.warmups);
-            let before = warmups.is_cold(&runner.id, now);
+            let was_cold = warmups.is_cold(&runner.id, now);
             warmups.set(&runner.id, now + time);
-            before
+            was_cold
         };
-        if !before && !time.is_zero() {
+        if !was_cold && !time.is_zero() {
             info!(self.log, "runner cold"; "runner" => &*runner.id, "service" => &*runner.service,
                 "for_ms" => millis(time), "by" => reason);
         }
@@ -128,15 +128,15 @@
     /// This process's share of a cold runner's request rate; `None` if membership data is not current.
     fn share(&self, rate: f64) -> Option<RateShare> {
         self.check_for_pause();
-        let bound = self.bound(rate);
+        let limit = self.rate_limit(rate);
         let now = self.now();
         self.peers.members(|members| {
-            let share = RateShare::new(&bound, members.count()?)?;
+            let share = RateShare::new(&limit, members.count()?)?;
             members.roster.may_act(now).then_some(share)
         })
     }
 
-    fn bound(&self, rate: f64) -> RateLimit {
+    fn rate_limit(&self, rate: f64) -> RateLimit {
         let settings = self.options.warmup;
         let max_per_second = rate * settings.excess + settings.slack;
         RateLimit {
