--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -418,7 +418,7 @@
             reason: "no runner takes it in the regions that it may run in",
             retry_after: RETRY_AFTER_REFUSED,
         },
-        None if job.relay.standing(&job.service).up == 0 => Refusal::Overloaded {
+        None if job.relay.availability(&job.service).up == 0 => Refusal::Overloaded {
             reason: "all runners have ended",
             retry_after: RETRY_AFTER_ALL_EXITED,
         },
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -152,10 +152,10 @@
             return None;
         }
         let now = Instant::now();
-        let standing = relay.standing(service);
-        let may_run = |crashes: u32| standing.allows_attempt(crashes);
+        let availability = relay.availability(service);
+        let may_run = |crashes: u32| availability.allows_attempt(crashes);
         for group_id in self.isolation.give_up(relay.at(now), may_run) {
-            self.abandon(relay, group_id, standing);
+            self.abandon(relay, group_id, availability);
         }
         let runners = self.runner_states.len();
         let (silent, absent) = (relay.silent(service), relay.absent(service));
@@ -184,11 +184,11 @@
         &mut self,
         relay: &Relay<D>,
         group_id: GroupId,
-        standing: Availability,
+        availability: Availability,
     ) {
         if let Some(waiting) = self.waiting.get(&group_id) {
             slog::info!(relay.log, "suspect pieces given up"; "request" => &*waiting.order.id,
-                "stage" => waiting.order.stage, "up" => standing.up, "down" => standing.down,
+                "stage" => waiting.order.stage, "up" => availability.up, "down" => availability.down,
                 "content" => crate::serve::content_name(waiting.order.content));
         }
         self.finish_order(group_id, Err(StageError::Poison));
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -470,15 +470,15 @@
     /// late already would be scheduled before those that can still be on time. Small differences are ignored:
     /// clients that merely started with a shorter timeout would count as late, be scheduled after all others
     /// and be refused although runners could have served them.
-    pub fn waited_before(&self, route: &str, patience: Duration) -> Duration {
+    pub fn waited_before(&self, route: &str, timeout: Duration) -> Duration {
         let mut timeouts = lock(&self.longest_timeouts);
         let Some(longest) = timeouts.get_mut(route) else {
-            timeouts.insert(route.to_owned(), patience);
+            timeouts.insert(route.to_owned(), timeout);
             return Duration::ZERO;
         };
-        *longest = patience.max(*longest);
-        if patience < longest.mul_f64(MIN_FIRST_ATTEMPT_FRACTION) {
-            return *longest - patience;
+        *longest = timeout.max(*longest);
+        if timeout < longest.mul_f64(MIN_FIRST_ATTEMPT_FRACTION) {
+            return *longest - timeout;
         }
         Duration::ZERO
     }
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -106,7 +106,7 @@
     }
 
     /// How many runners of a service are up and down, as far as this process knows.
-    pub(crate) fn standing(&self, service: &ServiceId) -> Availability {
+    pub(crate) fn availability(&self, service: &ServiceId) -> Availability {
         let listed = self.fleet(|fleet| fleet.of(service).len()).unwrap_or(0);
         let mut silent = self.silent(service);
         let mut outages = lock(&self.outages);
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -300,7 +300,7 @@
     let since = Instant::now();
     let max_wait = job.remaining() / 2;
     loop {
-        let standing = job.relay.standing(&job.service);
+        let availability = job.relay.availability(&job.service);
         let (may_run, crashes) = {
             let known = lock(&job.relay.quarantine.known);
             let now = job.relay.now();
@@ -310,7 +310,7 @@
                 risk => risk,
             };
             let may_spread = known.may_spread(job.content, now);
-            (may_spread && standing.allows_attempt(risk), risk)
+            (may_spread && availability.allows_attempt(risk), risk)
         };
         let waited = since.elapsed();
         let outcome = match (may_run, waited >= max_wait) {
@@ -323,8 +323,8 @@
             }
         };
         info!(job.relay.log, "suspect request waited for runners"; "request" => &*job.request.id,
-            "content" => content_name(job.content), "crashes" => crashes, "up" => standing.up,
-            "down" => standing.down, "runners_age_ms" => job.relay.runner_list_age().map(millis),
+            "content" => content_name(job.content), "crashes" => crashes, "up" => availability.up,
+            "down" => availability.down, "runners_age_ms" => job.relay.runner_list_age().map(millis),
             "waited_ms" => millis(waited), "outcome" => outcome);
         return match may_run {
             true => Ok(()),
