--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,8 +1,8 @@
-//! A request and the runners that it is sent to.
+//! Attempts of a request: selects runners and sends the request until one responds.
 
-mod flight;
+mod in_flight;
 
-pub use flight::InFlightCall;
+pub use in_flight::InFlightCall;
 
 use crate::downstream::{Call, Downstream, Failure, NotRun, Reply};
 use crate::graph::{self, Inputs, StageRun};
@@ -19,64 +19,68 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at};
 
-/// Runners that refuse a request before it is given up; each costs a round trip only.
+/// Refusals after which a request is given up. Each refusal costs only a round trip.
 const MAX_REFUSALS: u32 = 3;
-/// Time below which no call is sent any more: the way there and back and the shortest work.
+/// No call is sent with less time left than this, which covers the round trip and the shortest
+/// processing time.
 const MIN_CALL_TIME: Duration = Duration::from_millis(5);
-/// Time after which a runner that was sent a request has fetched its inputs. It does so before it
-/// reads the prompt, and its answer begins only after that; a few megabytes take milliseconds, and
-/// the room that they take up bounds what the stages can do.
+/// Time after which a runner has fetched the inputs of a request that was sent to it. It fetches
+/// them before it processes the prompt, and its response starts only after that. A few megabytes
+/// take milliseconds, and the room that they occupy limits the throughput of the stages.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(35);
-/// Part of the connections that a runner bears that all processes together may leave open unused.
+/// All processes together may keep one in this many of a runner's connections open and idle.
 const IDLE_CONNECTION_DIVISOR: usize = 3;
-/// When a caller may come back whose request no runner took.
+/// When to retry a request that no runner accepted.
 const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(200);
-/// When a caller may come back to a service all of whose runners have ended: about the time that one
-/// takes to start.
+/// When to retry a request to a service all of whose runners have exited. A runner takes about this
+/// long to start.
 const RETRY_AFTER_ALL_EXITED: Duration = Duration::from_secs(1);
-/// Parts of a stream that wait for a slow caller before its runner is read no further.
+/// Parts of a stream that are buffered for a slow client before reading from its runner stops.
 const STREAM_BUFFER_PARTS: usize = 32;
 
-/// How far a request has got.
+/// Progress of a request over its attempts.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Runners that it was sent to.
+    /// Runners that the request was sent to.
     pub tried: Vec<RunnerId>,
-    /// Runners that may have run it.
+    /// Number of runners that may have run the request.
     pub executions: u32,
-    /// Runners that refused it.
+    /// Number of runners that refused the request.
     pub refusals: u32,
-    /// Why the last one brought no answer.
+    /// Why the last runner gave no response.
     pub last_failure: Option<Failure>,
-    /// Why it was sent to no other one, if it is held back.
+    /// Why the request was sent to no other runner, if it is quarantined.
     pub quarantined: Option<Refusal>,
-    /// Whether a repeat has been counted for a call that was withdrawn.
+    /// Whether a retry has been charged to the budget for a call that was withdrawn before it was
+    /// sent.
     retry_counted: bool,
 }
 
-/// A call that has begun to be answered.
+/// A call whose response has started.
 pub type StartedCall<D> = (InFlightCall<D>, Reply<<D as Downstream>::Body>);
 
 impl Progress {
-    /// Whether the last runner refused the request because results that it needs are gone.
+    /// Whether the last runner refused the request because a result that it needs no longer exists.
     #[must_use]
     pub fn input_gone(&self) -> bool {
         let reason = NotRun::InputGone;
         self.last_failure == Some(Failure::NotRun { reason })
     }
 
-    /// Whether a repeat may be sent; counts it, once for each call that is sent.
-    fn may_repeat<D: Downstream>(&mut self, job: &Job<D>) -> bool {
+    /// Whether a retry may be sent. The retry is charged to the budget once for each call that is
+    /// sent.
+    fn try_retry<D: Downstream>(&mut self, job: &Job<D>) -> bool {
         self.retry_counted = self.retry_counted || job.relay.try_retry(&job.service);
         self.retry_counted
     }
 }
 
-/// Sends a request to runners until one answers.
+/// Sends a request to runners until one responds.
 ///
 /// # Errors
 ///
-/// [`Refusal`], of which only those that say so are given if no runner may have run it.
+/// A [`Refusal`]. One that states that the request has not run is returned only if no runner may
+/// have run it.
 pub async fn run<D: Downstream>(job: &Job<D>, mut inputs: Inputs<D>) -> Result<Answer, Refusal> {
     let mut progress = Progress::default();
     job.relay.count_first_attempts(&job.service, 1);
@@ -84,23 +88,23 @@
         let sent =
             send_or_recompute_inputs(job, &mut inputs, &mut progress, job.request.resume_after)
                 .await;
-        let Ok((flight, reply)) = sent else {
+        let Ok((in_flight, reply)) = sent else {
             return Err(final_refusal(job, &progress));
         };
         if job.streams() && reply.proven && is_success(reply.status) {
-            return Ok(forward_stream(job, inputs, flight, reply, progress));
+            return Ok(forward_stream(job, inputs, in_flight, reply, progress));
         }
-        if let Some(answer) = collect_response(job, flight, reply, &mut progress).await {
+        if let Some(answer) = collect_response(job, in_flight, reply, &mut progress).await {
             return Ok(answer);
         }
     }
 }
 
-/// Sends the request to one runner after the other until one begins to answer.
+/// Sends the request to one runner after another until a response starts.
 ///
 /// # Errors
 ///
-/// Nothing more than what `progress` says.
+/// Carries no information; `progress` tells the reason.
 pub async fn send<D: Downstream>(
     job: &Job<D>,
     inputs: &mut Inputs<D>,
@@ -108,58 +112,59 @@
     resume_after: Option<EventId>,
 ) -> Result<StartedCall<D>, ()> {
     loop {
-        let left = job.remaining();
-        if left < MIN_CALL_TIME || !may_send(job, progress) {
+        let remaining = job.remaining();
+        if remaining < MIN_CALL_TIME || !may_send(job, progress) {
             return Err(());
         }
-        let Some(mut runner) = pick_runner(job, &progress.tried, left) else {
+        let Some(mut runner) = pick_runner(job, &progress.tried, remaining) else {
             return Err(());
         };
         if let Err(refusal) = quarantine::admit_attempt(job).await {
             progress.quarantined = Some(refusal);
             return Err(());
         }
-        // That may have taken seconds.
+        // The wait above may have taken seconds.
         if !job.relay.is_open(&runner) {
             let Some(other) = pick_runner(job, &progress.tried, job.remaining()) else {
                 return Err(());
             };
             runner = other;
         }
-        if !progress.tried.is_empty() && !progress.may_repeat(job) {
+        if !progress.tried.is_empty() && !progress.try_retry(job) {
             return Err(());
         }
         job.relay.record_send_time(&runner);
         progress.tried.push(runner.id.clone());
-        let call = build_call(job, inputs, left, resume_after);
-        let mut flight = InFlightCall::new(job, runner);
-        let is_open = || job.relay.is_open(&flight.runner);
-        let calling = job.relay.downstream.call(&flight.runner, call, is_open);
-        let calling = release_inputs_when_fetched(calling, inputs);
-        let calling = record_silence(&flight, calling);
-        let result = timeout_at(job.deadline, calling).await;
+        let call = build_call(job, inputs, remaining, resume_after);
+        let mut in_flight = InFlightCall::new(job, runner);
+        let is_open = || job.relay.is_open(&in_flight.runner);
+        let response = job.relay.downstream.call(&in_flight.runner, call, is_open);
+        let response = release_inputs_when_fetched(response, inputs);
+        let response = record_silence(&in_flight, response);
+        let result = timeout_at(job.deadline, response).await;
         let result = result.unwrap_or_else(|_| {
-            flight.record_overdue();
+            in_flight.record_overdue();
             let reason = "no answer before the deadline".to_owned();
             Err(Failure::Lost { reason })
         });
-        log_call(job, &flight, left, inputs, progress, &result);
-        job.relay.update_limit(&flight.runner, flight.sent, &result);
+        log_call(job, &in_flight, remaining, inputs, progress, &result);
+        job.relay
+            .update_limit(&in_flight.runner, in_flight.sent_at, &result);
         progress.retry_counted &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
-                flight.record_activity();
-                flight.response_started();
+                in_flight.record_activity();
+                in_flight.response_started();
                 progress.executions += 1;
-                return Ok((flight, reply));
+                return Ok((in_flight, reply));
             }
-            Err(failure) => handle_failure(flight, failure, progress).await,
+            Err(failure) => handle_failure(in_flight, failure, progress).await,
         }
     }
 }
 
-/// The same, with the results made once more if they are gone: a runner that made some may have
-/// crashed, or was told to drop them before they were fetched.
+/// Like [`send`], but recomputes the inputs once if they no longer exist. A runner that stores them
+/// may have crashed, or may have been told to drop them before they were fetched.
 ///
 /// # Errors
 ///
@@ -179,62 +184,63 @@
     send(job, inputs, progress, resume_after).await
 }
 
-/// Waits for the beginning of an answer, and gives the inputs back once the runner has them.
+/// Waits for the response to start, and releases the inputs once the runner has fetched them.
 async fn release_inputs_when_fetched<D: Downstream, T>(
-    calling: impl Future<Output = T>,
+    response: impl Future<Output = T>,
     inputs: &mut Inputs<D>,
 ) -> T {
-    let mut calling = std::pin::pin!(calling);
+    let mut response = std::pin::pin!(response);
     tokio::select! {
-        result = &mut calling => return result,
+        result = &mut response => return result,
         () = sleep(INPUT_FETCH_TIME) => inputs.release(|_| true),
     }
-    calling.await
+    response.await
 }
 
-/// Waits for the beginning of an answer; a runner from which nothing comes meanwhile may be silent.
+/// Waits for the response to start, and records the call as overdue if nothing arrives in the
+/// meantime: the runner may be unresponsive.
 async fn record_silence<D: Downstream, T>(
-    flight: &InFlightCall<D>,
-    calling: impl Future<Output = T>,
+    in_flight: &InFlightCall<D>,
+    response: impl Future<Output = T>,
 ) -> T {
-    let mut calling = std::pin::pin!(calling);
+    let mut response = std::pin::pin!(response);
     tokio::select! {
-        result = &mut calling => return result,
-        () = sleep(SILENCE_TIMEOUT) => flight.record_overdue(),
+        result = &mut response => return result,
+        () = sleep(SILENCE_TIMEOUT) => in_flight.record_overdue(),
     }
-    calling.await
+    response.await
 }
 
 async fn handle_failure<D: Downstream>(
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     failure: Failure,
     progress: &mut Progress,
 ) {
     match &failure {
         Failure::Lost { .. } => {
             progress.executions += 1;
-            flight.lost().await;
+            in_flight.lost().await;
         }
         Failure::NotRun { reason } => {
-            // Nothing was sent: neither a try nor a refusal.
+            // Nothing was sent, so this counts neither as an attempt nor as a refusal.
             if *reason == NotRun::Withdrawn {
                 progress.tried.pop();
-                flight.not_run();
+                in_flight.not_run();
                 return;
             }
             progress.refusals += 1;
             match reason {
-                NotRun::Unreachable { .. } => flight.unreachable().await,
-                NotRun::Replaced => flight.failed(),
-                // A full runner is not a faulty one.
-                _ => flight.not_run(),
+                NotRun::Unreachable { .. } => in_flight.unreachable().await,
+                NotRun::Replaced => in_flight.failed(),
+                // A runner at capacity is not faulty.
+                _ => in_flight.not_run(),
             }
         }
     }
     progress.last_failure = Some(failure);
 }
 
-/// Whether the request may go to one more runner.
+/// Whether the request may be sent to another runner.
 fn may_send<D: Downstream>(job: &Job<D>, progress: &Progress) -> bool {
     if progress.refusals > MAX_REFUSALS || progress.input_gone() {
         return false;
@@ -245,13 +251,13 @@
 fn pick_runner<D: Downstream>(
     job: &Job<D>,
     tried: &[RunnerId],
-    left: Duration,
+    remaining: Duration,
 ) -> Option<Arc<Runner>> {
     let relay = &job.relay;
     let throttled = relay.throttled(&job.service);
     let limited = relay.limited(&job.service);
     let absent = relay.absent(&job.service);
-    let without = [
+    let excluded = [
         tried,
         &throttled,
         &limited,
@@ -265,8 +271,8 @@
         now: relay.now(),
         domain: &relay.options.domain,
         prefix: &[],
-        tried: &without,
-        slack: left,
+        tried: &excluded,
+        slack: remaining,
     };
     let processes = relay.processes();
     let id = relay.pool(&job.service, |pool| {
@@ -276,11 +282,11 @@
     relay.runner(&id)
 }
 
-/// Failure domain of the runner that would be picked now. What is made for the request is best
-/// made there: results that cross failure domains cost far more than those that do not.
+/// Failure domain of the runner that would be selected now. Inputs of the request are best computed
+/// there, since results that cross failure domains cost far more than those that do not.
 pub fn likely_runner_domain<D: Downstream>(job: &Job<D>) -> Option<DomainId> {
-    let left = job.remaining();
-    pick_runner(job, &[], left).map(|runner| runner.domain.clone())
+    let remaining = job.remaining();
+    pick_runner(job, &[], remaining).map(|runner| runner.domain.clone())
 }
 
 fn build_call<D: Downstream>(
@@ -305,37 +311,36 @@
     }
 }
 
-/// Connections to one runner that this process may leave open unused.
+/// Number of idle connections to one runner that this process may keep open.
 ///
-/// A runner resets connections beyond those that it bears, and a request that was just sent on one
-/// may have run as far as anybody can tell. Thirty processes that each keep a few open would take
-/// them all up.
+/// A runner resets connections beyond its limit, and it is then unknown whether a request that was
+/// just sent on one has run. Thirty processes that each keep a few open would use up the limit.
 fn idle_connections<D: Downstream>(job: &Job<D>) -> usize {
     let service = job.configuration.services.get(&job.service);
-    let bearable = service.map_or(0, |service| service.connections as usize);
-    bearable / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
+    let max_connections = service.map_or(0, |service| service.connections as usize);
+    max_connections / (job.relay.processes() * IDLE_CONNECTION_DIVISOR)
 }
 
 fn log_call<D: Downstream, B>(
     job: &Job<D>,
-    flight: &InFlightCall<D>,
-    left: Duration,
+    in_flight: &InFlightCall<D>,
+    remaining: Duration,
     inputs: &Inputs<D>,
     progress: &Progress,
     result: &Result<Reply<B>, Failure>,
 ) {
     info!(job.relay.log, "call"; "request" => &*job.request.id,
-        "runner" => &*flight.runner.id, "service" => &*job.service,
-        "attempt" => progress.tried.len(), "left_ms" => millis(left),
-        "in_flight" => flight.load_before.own,
-        "others_in_flight" => flight.load_before.others,
-        "told_age_ms" => flight.load_before.report_age.map(millis),
+        "runner" => &*in_flight.runner.id, "service" => &*job.service,
+        "attempt" => progress.tried.len(), "left_ms" => millis(remaining),
+        "in_flight" => in_flight.load_before.own,
+        "others_in_flight" => in_flight.load_before.others,
+        "told_age_ms" => in_flight.load_before.report_age.map(millis),
         "runners_age_ms" => job.relay.runner_list_age().map(millis),
-        "inputs" => inputs.leaves.len(), "took_ms" => millis(flight.sent.elapsed()),
+        "inputs" => inputs.leaves.len(), "took_ms" => millis(in_flight.sent_at.elapsed()),
         "outcome" => result.as_ref().map_or_else(ToString::to_string, |reply| reply.status.to_string()));
 }
 
-/// Whether callers take the status for the promise that the request has not run.
+/// Whether clients take the status as a guarantee that the request has not run.
 fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
@@ -344,29 +349,30 @@
     (200..300).contains(&status)
 }
 
-/// Reads an answer that is not a stream; `None` if it is no answer and another runner may be asked.
+/// Reads a response that is not a stream. Returns `None` if it is unusable and another runner may
+/// be tried.
 async fn collect_response<D: Downstream>(
     job: &Job<D>,
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: &mut Progress,
 ) -> Option<Answer> {
-    let elapsed = flight.sent.elapsed();
+    let elapsed = in_flight.sent_at.elapsed();
     let (status, headers) = (reply.status, reply.headers);
     let body = job.relay.answers.collect(reply.body);
     let body = timeout_at(job.deadline, body).await;
     if body.is_err() {
-        flight.record_overdue();
+        in_flight.record_overdue();
     }
     let failure = match body {
-        // A caller would take the status for the promise that nothing has run.
+        // The client would take the status as a guarantee that the request has not run.
         Ok(Ok(_)) if !job.route.repeatable() && promises_not_run(status) => {
             format!("status {status}, though it ran")
         }
         Ok(Ok(body)) if reply.proven => {
-            let good = status < 500;
-            if good || !may_send(job, progress) {
-                flight.answered(elapsed);
+            let is_usable = status < 500;
+            if is_usable || !may_send(job, progress) {
+                in_flight.answered(elapsed);
                 return Some(Answer {
                     status,
                     headers,
@@ -377,21 +383,21 @@
             format!("status {status}")
         }
         Ok(Ok(_)) => "answer without proof".to_owned(),
-        Ok(Err(broken)) => broken.reason,
+        Ok(Err(error)) => error.reason,
         Err(_) => "not whole before the deadline".to_owned(),
     };
-    info!(job.relay.log, "answer of no use"; "request" => &*job.request.id,
-        "runner" => &*flight.runner.id, "status" => status, "reason" => &failure);
-    flight.lost().await;
+    info!(job.relay.log, "response rejected"; "request" => &*job.request.id,
+        "runner" => &*in_flight.runner.id, "status" => status, "reason" => &failure);
+    in_flight.lost().await;
     progress.last_failure = Some(Failure::Lost { reason: failure });
     None
 }
 
-/// Passes a stream through in a task of its own.
+/// Forwards a stream in a task of its own.
 fn forward_stream<D: Downstream>(
     job: &Job<D>,
     inputs: Inputs<D>,
-    flight: InFlightCall<D>,
+    in_flight: InFlightCall<D>,
     reply: Reply<D::Body>,
     progress: Progress,
 ) -> Answer {
@@ -403,13 +409,13 @@
         body: Body::Stream(body),
     };
     let forwarder = splice::StreamForwarder::new(job.clone(), inputs, progress, parts);
-    tokio::spawn(forwarder.run(flight, reply.body));
+    tokio::spawn(forwarder.run(in_flight, reply.body));
     answer
 }
 
-/// What the caller is told once no more runner is asked.
+/// What the client is told when no more runners are tried.
 fn final_refusal<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
-    let left = job.remaining();
+    let remaining = job.remaining();
     if let (0, Some(quarantined)) = (progress.executions, &progress.quarantined) {
         return quarantined.clone();
     }
@@ -426,7 +432,7 @@
             reason: "no runner took it",
             retry_after: RETRY_AFTER_REFUSED,
         },
-        _ if left < MIN_CALL_TIME => Refusal::Late,
+        _ if remaining < MIN_CALL_TIME => Refusal::Late,
         Some(failure) => Refusal::Lost {
             reason: failure.to_string(),
         },
--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -1,4 +1,4 @@
-//! Pieces under which runners of their stage have ended.
+//! Isolation of pieces during which runners of their stage have exited.
 
 use super::StageError;
 use super::batch_call::BatchCall;
@@ -16,53 +16,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two checks whether suspects that wait may be sent to a runner.
+/// Interval at which waiting suspects are checked for whether they may be sent to a runner.
 pub(super) const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is known of the content of an order.
+/// What is known about the content of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ContentStatus {
-    /// Nothing speaks against it.
+    /// Nothing is known against it.
     Clear,
-    /// So many runners have ended under it.
+    /// This many runners have exited while processing it.
     Suspect(u32),
-    /// It is held back.
+    /// It is quarantined.
     Quarantined,
 }
 
-/// Notes what the failure of a call says of its runner and of what it carried.
+/// Records what the failure of a call shows about its runner and about its pieces.
 ///
-/// Waits a moment for whether the runner has ended, so that the pieces do not go on among others to the
-/// next one.
+/// Waits briefly to learn whether the runner has exited, so that the pieces are not sent to the
+/// next runner together with others.
 pub(super) async fn record_failure<D: Downstream>(
     relay: &Arc<Relay<D>>,
     batch_call: &BatchCall,
-    begun: Instant,
+    started_at: Instant,
     failure: &Failure,
 ) {
     if relay.options.policy.suspects == Policy::Naive {
         return;
     }
-    let is_unreached = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
-    let is_silent = begun.elapsed() >= batch_call.timeout();
+    let is_unreachable = |reason: &NotRun| matches!(reason, NotRun::Unreachable { .. });
+    let is_silent = started_at.elapsed() >= batch_call.timeout();
     match failure {
         Failure::Lost { .. } => {
             for content in &batch_call.contents {
-                relay.record_lost_answer(*content, &batch_call.runner, begun, batch_call.isolated);
+                relay.record_lost_answer(
+                    *content,
+                    &batch_call.runner,
+                    started_at,
+                    batch_call.isolated,
+                );
                 if is_silent {
-                    relay.record_overdue(*content, &batch_call.runner, begun);
+                    relay.record_overdue(*content, &batch_call.runner, started_at);
                 }
             }
         }
-        Failure::NotRun { reason } if is_unreached(reason) => {}
+        Failure::NotRun { reason } if is_unreachable(reason) => {}
         Failure::NotRun { .. } => return,
     }
     outage::probe_briefly(relay, &batch_call.runner).await;
 }
 
 impl State {
-    /// Moves the orders under which runners have ended out of the calls of the others, and those that have
-    /// been cleared back; ends those that are held back.
+    /// Isolates the orders during which runners have exited, returns those that have been cleared
+    /// to the shared queue, and ends those that are quarantined.
     pub(super) fn isolate_suspects<D: Downstream>(&mut self, relay: &Relay<D>, at: Duration) {
         if self.isolation.is_empty() && !relay.has_suspects() {
             return;
@@ -76,24 +81,24 @@
         }
     }
 
-    /// What is known of the orders that have pieces waiting.
+    /// Status of the orders that have pieces waiting.
     fn content_statuses<D: Downstream>(&self, relay: &Relay<D>) -> Vec<(GroupId, ContentStatus)> {
-        let waiting = self.waiting.iter();
-        let waiting = waiting.filter(|(_, waiting)| !waiting.unsent.is_empty());
+        let pending = self.pending.iter();
+        let pending = pending.filter(|(_, pending)| !pending.unsent.is_empty());
         let now = relay.now();
         relay.suspects(|known| {
             let status = |content: ContentId, trial: bool| {
                 let risk = known.risk(content, now);
-                let is_held = known.admission(content, 0, now) != Admission::Free;
+                let is_quarantined = known.admission(content, 0, now) != Admission::Free;
                 match risk {
-                    _ if is_held && !trial => ContentStatus::Quarantined,
+                    _ if is_quarantined && !trial => ContentStatus::Quarantined,
                     0 => ContentStatus::Clear,
                     risk => ContentStatus::Suspect(risk),
                 }
             };
-            waiting
-                .map(|(group_id, waiting)| {
-                    let order = &waiting.order;
+            pending
+                .map(|(group_id, pending)| {
+                    let order = &pending.order;
                     (*group_id, status(order.content, order.trial))
                 })
                 .collect()
@@ -104,10 +109,10 @@
         if self.isolation.withdraw(group_id).is_none() {
             return;
         }
-        let Some(waiting) = self.waiting.get(&group_id) else {
+        let Some(pending) = self.pending.get(&group_id) else {
             return;
         };
-        let group = self.group(waiting, group_id, relay);
+        let group = self.group(pending, group_id, relay);
         if let Some(batch_queue) = self.batch_queue.as_mut() {
             batch_queue.push(group);
         }
@@ -124,14 +129,14 @@
             self.isolation.set_crashes(group_id, crashes);
             return;
         }
-        let Some(waiting) = self.waiting.get(&group_id) else {
+        let Some(pending) = self.pending.get(&group_id) else {
             return;
         };
         let suspect = Suspect {
-            group: self.group(waiting, group_id, relay),
-            content: waiting.order.content,
+            group: self.group(pending, group_id, relay),
+            content: pending.order.content,
             crashes,
-            max_suspects: waiting.max_suspects,
+            max_suspects: pending.max_suspects,
             since: at,
         };
         if let Some(batch_queue) = self.batch_queue.as_mut() {
@@ -140,7 +145,7 @@
         self.isolation.push(suspect);
     }
 
-    /// The suspects of the next call, if some may be sent to one of these places now.
+    /// Selects the suspects of the next call, if some may be sent to one of these runners now.
     pub(super) fn select_suspects<D: Downstream>(
         &mut self,
         relay: &Relay<D>,
@@ -166,11 +171,11 @@
         let healthy: Vec<usize> = runner_states.iter().filter(healthy).copied().collect();
         healthy.into_iter().find_map(|index| {
             let room = self.runner_states[index].room(batches, now);
-            let space = CallCapacity {
+            let capacity = CallCapacity {
                 pieces: batches.shape.size,
                 room: room.free,
             };
-            let portions = self.isolation.take(runners, space, may_run);
+            let portions = self.isolation.take(runners, capacity, may_run);
             (!portions.is_empty()).then_some(Selection {
                 index,
                 room,
@@ -186,15 +191,16 @@
         group_id: GroupId,
         availability: Availability,
     ) {
-        if let Some(waiting) = self.waiting.get(&group_id) {
-            slog::info!(relay.log, "suspect pieces given up"; "request" => &*waiting.order.id,
-                "stage" => waiting.order.stage, "up" => availability.up, "down" => availability.down,
-                "content" => crate::serve::content_name(waiting.order.content));
+        if let Some(pending) = self.pending.get(&group_id) {
+            slog::info!(relay.log, "suspect pieces rejected"; "request" => &*pending.order.id,
+                "stage" => pending.order.stage, "up" => availability.up, "down" => availability.down,
+                "content" => crate::serve::content_name(pending.order.content));
         }
         self.finish_order(group_id, Err(StageError::Poison));
     }
 
-    /// Learns from the end of a call which of its orders may share their next ones.
+    /// Limits, from the outcome of a call, how many suspect orders may share the next calls of its
+    /// orders.
     pub(super) fn record_call_suspects(
         &mut self,
         batch_call: &BatchCall,
@@ -208,9 +214,9 @@
         }
         let max_suspects = batch_call.contents.len().div_ceil(2);
         for (group_id, _) in &batch_call.portions {
-            if let Some(waiting) = self.waiting.get_mut(group_id) {
-                waiting.max_suspects = max_suspects;
-                waiting.order.trial = false;
+            if let Some(pending) = self.pending.get_mut(group_id) {
+                pending.max_suspects = max_suspects;
+                pending.order.trial = false;
             }
         }
     }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -17,7 +17,7 @@
 use crate::telemetry::Telemetry;
 use crate::warmup::Warmups;
 use decide::Map;
-use decide::retry::window::{Quota, RepeatLimit};
+use decide::retry::window::{RetryBound, RetryQuota};
 use decide::route::{Pool, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +42,7 @@
     /// Failure domain that the relay runs in.
     pub domain: DomainId,
     /// Initial limit on the retries of all relays together.
-    pub retry_bound: RepeatLimit,
+    pub retry_bound: RetryBound,
     /// Number of processes that share this limit, used until membership is known.
     pub processes: usize,
     /// Membership entry of this process.
@@ -95,8 +95,8 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) limits: Mutex<Limits>,
     pools: Mutex<Map<ServiceId, Pool>>,
-    retry_bound: Mutex<RepeatLimit>,
-    quotas: Mutex<Map<ServiceId, Quota>>,
+    retry_bound: Mutex<RetryBound>,
+    quotas: Mutex<Map<ServiceId, RetryQuota>>,
     batchers: Mutex<Map<Cell, Arc<Batcher<D>>>>,
     /// Longest client timeout seen on each route.
     longest_timeouts: Mutex<Map<String, Duration>>,
@@ -190,7 +190,7 @@
         let version = configuration.version;
         *current = Some(Arc::new(configuration));
         drop(current);
-        self.peers.announce(version);
+        self.peers.announce_version(version);
         self.note_adopted(version);
         true
     }
@@ -355,15 +355,15 @@
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let processes = self.processes();
-        self.quota(service, |quota| quota.try_repeat(now, processes))
+        self.quota(service, |quota| quota.try_retry(now, processes))
     }
 
     /// Changes the limit on retries, as the operator has set it.
-    pub fn set_retry_bound(&self, bound: RepeatLimit) {
+    pub fn set_retry_bound(&self, bound: RetryBound) {
         *lock(&self.retry_bound) = bound;
         let now = self.now();
         for quota in lock(&self.quotas).values_mut() {
-            quota.set_limit(now, bound);
+            quota.set_bound(now, bound);
         }
     }
 
@@ -373,12 +373,12 @@
         self.peers.count().unwrap_or(self.options.processes)
     }
 
-    fn quota<T>(&self, service: &ServiceId, work: impl FnOnce(&mut Quota) -> T) -> T {
+    fn quota<T>(&self, service: &ServiceId, work: impl FnOnce(&mut RetryQuota) -> T) -> T {
         let bound = *lock(&self.retry_bound);
         let mut quotas = lock(&self.quotas);
         let quota = quotas
             .entry(service.clone())
-            .or_insert_with(|| Quota::new(bound));
+            .or_insert_with(|| RetryQuota::new(bound));
         work(quota)
     }
 
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -35,7 +35,7 @@
             let relay = self.clone();
             tokio::spawn(async move {
                 let probed = Instant::now();
-                if relay.downstream.answers(&runner).await {
+                if relay.downstream.responds(&runner).await {
                     info!(relay.log, "runner answered a probe"; "runner" => &*runner.id,
                         "after_ms" => millis(probed.elapsed()));
                     relay.record_activity(&runner, Instant::now());
--- a/crates/relay/src/splice.rs
+++ b/crates/relay/src/splice.rs
@@ -1,7 +1,7 @@
-//! One stream for the caller, made of the streams of one or more runners.
+//! Forwards a stream to the client, spliced from the streams of one or more runners.
 //!
-//! A runner may stop anywhere. Whole events are passed on as they come; where the route allows it,
-//! another runner goes on after the last one that was passed on.
+//! A runner may stop anywhere. Complete events are forwarded as they arrive. If the route allows
+//! it, another runner resumes after the last forwarded event.
 
 use crate::attempt::{self, InFlightCall, Progress};
 use crate::configuration::FIRST_RANK;
@@ -20,14 +20,15 @@
 use tokio::sync::mpsc::{self, error::SendError};
 use tokio::time::{Instant, sleep_until};
 
-/// Silence after which a stream is taken for dead where another runner may go on, at least. Engines
-/// that are merely crowded make an event every few hundred milliseconds.
+/// Minimum silence after which a stream counts as dead if another runner may resume it. Engines
+/// that are merely busy produce an event every few hundred milliseconds.
 const MIN_SILENCE: Duration = Duration::from_millis(1_000);
-/// The same, as a multiple of the longest pause that is still on time.
+/// Silence after which a stream counts as dead, as a multiple of the longest pause that is still on
+/// time.
 const SILENCE_GAPS: u32 = 3;
-/// Bytes that wait for one slow caller before its runner is read no further.
+/// Bytes that are buffered for a slow client before reading from its runner stops.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Time without reading after which a runner may break off a stream for want of a reader.
+/// Time without a read after which a runner may close a stream because nothing reads it.
 const UNREAD_LIMIT: Duration = Duration::from_secs(1);
 
 type Part = Result<Bytes, IncompleteBody>;
@@ -35,135 +36,139 @@
 
 /// How a runner's stream ended.
 enum End {
-    /// As it should.
+    /// Completely.
     Complete,
-    /// Before it was whole.
+    /// Before it was complete.
     Broken(String),
-    /// The caller has left.
+    /// The client has disconnected.
     ClientGone,
-    /// The request's time is over.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
 }
 
-/// A stream on its way to the caller.
+/// Forwards a stream to a client.
 pub struct StreamForwarder<D: Downstream> {
     job: Job<D>,
     inputs: Inputs<D>,
     progress: Progress,
     parts: Parts,
-    /// Memory for what waits for the caller.
+    /// Memory for data that the client has not read yet.
     memory: MemoryBudget,
-    /// Whether the runner's stream was not read for so long that it may break off for that.
-    unread: bool,
-    last: Option<EventId>,
+    /// Whether the runner's stream was left unread for so long that the runner may have closed it
+    /// for that.
+    was_unread: bool,
+    last_event: Option<EventId>,
     events: u64,
 }
 
 impl<D: Downstream> StreamForwarder<D> {
-    /// Nothing has been passed on yet.
+    /// Creates a forwarder that has forwarded nothing yet.
     pub fn new(job: Job<D>, inputs: Inputs<D>, progress: Progress, parts: Parts) -> Self {
-        let last = job.request.resume_after;
+        let last_event = job.request.resume_after;
         Self {
             job,
             inputs,
             progress,
             parts,
             memory: MemoryBudget::new(MAX_BUFFERED_BYTES),
-            unread: false,
-            last,
+            was_unread: false,
+            last_event,
             events: 0,
         }
     }
 
-    /// Passes a runner's stream on, and those of the runners after it.
-    pub async fn run(mut self, flight: InFlightCall<D>, body: D::Body) {
-        let (mut flight, mut body) = (flight, body);
+    /// Forwards a runner's stream, and the streams of the runners that resume it.
+    pub async fn run(mut self, in_flight: InFlightCall<D>, body: D::Body) {
+        let (mut in_flight, mut body) = (in_flight, body);
         loop {
-            let end = self.forward(&mut flight, body).await;
-            self.log(&flight, &end);
-            let elapsed = flight.sent.elapsed();
+            let end = self.forward(&mut in_flight, body).await;
+            self.log(&in_flight, &end);
+            let elapsed = in_flight.sent_at.elapsed();
             let reason = match end {
-                End::Complete => return flight.answered(elapsed),
+                End::Complete => return in_flight.answered(elapsed),
                 End::ClientGone => return,
                 End::DeadlineExceeded => {
-                    drop(flight);
-                    return self.abort("out of time").await;
+                    drop(in_flight);
+                    return self.abort("deadline exceeded").await;
                 }
                 End::Broken(reason) => reason,
             };
-            if self.unread {
-                drop(flight);
+            if self.was_unread {
+                drop(in_flight);
             } else {
-                flight.lost().await;
+                in_flight.lost().await;
             }
             let Some((next, reply)) = self.resume().await else {
                 return self.abort(&reason).await;
             };
-            (flight, body) = (next, reply.body);
+            (in_flight, body) = (next, reply.body);
         }
     }
 
-    async fn forward(&mut self, flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
+    async fn forward(&mut self, in_flight: &mut InFlightCall<D>, mut body: D::Body) -> End {
         let mut splitter = Splitter::default();
         let mut silent_since = Instant::now();
-        let mut is_noted = false;
-        self.unread = false;
+        let mut is_overdue_recorded = false;
+        self.was_unread = false;
         loop {
             let part = tokio::select! {
                 biased;
                 part = body.next() => part,
                 () = self.parts.closed() => return End::ClientGone,
                 () = sleep_until(self.job.deadline) => return End::DeadlineExceeded,
-                () = sleep_until(silent_since + SILENCE_TIMEOUT), if !is_noted => {
-                    is_noted = true;
-                    flight.record_overdue();
+                () = sleep_until(silent_since + SILENCE_TIMEOUT), if !is_overdue_recorded => {
+                    is_overdue_recorded = true;
+                    in_flight.record_overdue();
                     continue;
                 }
                 () = sleep_until(silent_since + self.silence_limit()) => {
-                    return End::Broken(format!("silent at {}", flight.runner.id));
+                    return End::Broken(format!("no data from runner {} in time", in_flight.runner.id));
                 }
             };
             match part {
                 Some(Ok(bytes)) => {
-                    flight.record_activity();
+                    in_flight.record_activity();
                     if let Some(end) = self.forward_events(splitter.push(&bytes)).await {
                         return end;
                     }
                 }
-                Some(Err(broken)) => return End::Broken(broken.reason),
+                Some(Err(error)) => return End::Broken(error.reason),
                 None if splitter.rest().is_empty() => return End::Complete,
-                None => return End::Broken("ended within an event".to_owned()),
+                None => return End::Broken("stream ended within an event".to_owned()),
             }
-            // A pause of the caller is no silence of the runner.
+            // A pause of the client does not count as silence of the runner.
             silent_since = Instant::now();
-            is_noted = false;
+            is_overdue_recorded = false;
         }
     }
 
     async fn forward_events(&mut self, events: Option<Events>) -> Option<End> {
         let events = events?;
         if events.first.is_some_and(|first| self.was_sent(first)) {
-            return Some(End::Broken("events that the caller has".to_owned()));
+            return Some(End::Broken(
+                "runner sent events that the client already has".to_owned(),
+            ));
         }
-        // The runner has fetched its inputs before it reads the prompt. Kept until the stream's end
-        // they would fill the runners that made them: 1.5 MB a piece for seconds where there is
-        // room for twelve.
+        // The runner has fetched its inputs before it processes the prompt. Kept until the end of
+        // the stream, they would fill the runners that computed them: 1.5 MB a piece for seconds,
+        // with room for twelve.
         self.inputs.release(|_| true);
         self.events += 1;
-        self.last = events.last.or(self.last);
-        let response_started = Instant::now();
+        self.last_event = events.last.or(self.last_event);
+        let started_at = Instant::now();
         let sent = tokio::select! {
             biased;
             sent = self.send(events.bytes) => sent,
             () = sleep_until(self.job.deadline) => return Some(End::DeadlineExceeded),
         };
-        self.unread |= response_started.elapsed() >= UNREAD_LIMIT;
+        self.was_unread |= started_at.elapsed() >= UNREAD_LIMIT;
         sent.is_err().then_some(End::ClientGone)
     }
 
-    /// Passes bytes on, once there is room for them beside what the caller has not read yet.
+    /// Sends bytes to the client once there is memory for them beside what the client has not read
+    /// yet.
     async fn send(&self, bytes: Bytes) -> Result<(), SendError<Part>> {
-        // A caller that keeps up holds nothing.
+        // A client that keeps up uses no budget.
         if self.parts.capacity() == self.parts.max_capacity() {
             return self.parts.send(Ok(bytes)).await;
         }
@@ -173,25 +178,26 @@
         self.parts.send(Ok(bytes)).await
     }
 
-    /// Whether the caller has this event. Ids increase; a runner that overlooks after which one it
-    /// should go on begins anew, and the caller would take text that it has for new.
+    /// Whether the client has received this event. Ids increase. A runner that ignores the id after
+    /// which to resume starts over, and the client would take repeated text for new text.
     fn was_sent(&self, id: EventId) -> bool {
-        self.last.is_some_and(|last| id <= last)
+        self.last_event.is_some_and(|last_event| id <= last_event)
     }
 
-    /// How long a silence is borne; for ever where no other runner may go on.
+    /// How long silence is tolerated. Where no other runner may resume, this is the whole timeout
+    /// of the route.
     fn silence_limit(&self) -> Duration {
         if !self.job.route.repeatable() {
             return self.job.route.timeout;
         }
-        let bearable = MIN_SILENCE.max(self.job.route.gap * SILENCE_GAPS);
+        let limit = MIN_SILENCE.max(self.job.route.gap * SILENCE_GAPS);
         if self.events == 0 {
-            return bearable + self.job.model_time() * 2;
+            return limit + self.job.model_time() * 2;
         }
-        bearable
+        limit
     }
 
-    /// Asks another runner to go on after the last event that was passed on.
+    /// Asks another runner to resume after the last forwarded event.
     async fn resume(&mut self) -> Option<(InFlightCall<D>, Reply<D::Body>)> {
         if !self.job.route.repeatable() {
             return None;
@@ -201,22 +207,23 @@
             &job,
             &mut self.inputs,
             &mut self.progress,
-            self.last,
+            self.last_event,
         )
         .await;
-        let (flight, reply) = sent.ok()?;
+        let (in_flight, reply) = sent.ok()?;
         if reply.proven && (200..300).contains(&reply.status) {
-            return Some((flight, reply));
+            return Some((in_flight, reply));
         }
-        flight.failed();
+        in_flight.failed();
         None
     }
 
-    /// The request as one of the most urgent, with time until half of what is left has passed, if the
-    /// caller has a part of its answer.
+    /// The request with top priority, and due after half of its remaining time or the target of its
+    /// route, whichever is longer, if the client has received part of the response.
     ///
-    /// Results that have to be made again count as late by when the request came. In a burst that is
-    /// what is given up first, although one call more saves all that went into the stream.
+    /// Inputs that have to be recomputed count as late, since the request arrived long ago. In a
+    /// burst, late requests are dropped first, although a single further call would save all the
+    /// work that went into the stream.
     fn with_top_priority(&self) -> Job<D> {
         let mut job = self.job.clone();
         if self.events > 0 {
@@ -226,26 +233,26 @@
         job
     }
 
-    /// Ends the caller's connection without the mark of a whole answer. The caller may have left
-    /// already, which is no matter.
+    /// Closes the client's connection without marking the response as complete. The client may
+    /// already have disconnected, which is harmless.
     async fn abort(self, reason: &str) {
-        info!(self.job.relay.log, "stream broken off"; "request" => &*self.job.request.id,
-            "reason" => reason, "last_event" => self.last, "tried" => self.progress.tried.len(),
+        info!(self.job.relay.log, "stream aborted"; "request" => &*self.job.request.id,
+            "reason" => reason, "last_event" => self.last_event, "tried" => self.progress.tried.len(),
             "resumable" => self.job.route.repeatable(),
             "after_ms" => millis(self.job.request.arrived.elapsed()));
         let reason = reason.to_owned();
         let _ = self.parts.send(Err(IncompleteBody { reason })).await;
     }
 
-    fn log(&self, flight: &InFlightCall<D>, end: &End) {
+    fn log(&self, in_flight: &InFlightCall<D>, end: &End) {
         let outcome = match end {
-            End::Complete => "whole",
+            End::Complete => "complete",
             End::Broken(reason) => reason,
-            End::ClientGone => "caller left",
-            End::DeadlineExceeded => "out of time",
+            End::ClientGone => "client disconnected",
+            End::DeadlineExceeded => "deadline exceeded",
         };
         info!(self.job.relay.log, "stream"; "request" => &*self.job.request.id,
-            "runner" => &*flight.runner.id, "outcome" => outcome, "last_event" => self.last,
+            "runner" => &*in_flight.runner.id, "outcome" => outcome, "last_event" => self.last_event,
             "parts" => self.events, "after_ms" => millis(self.job.request.arrived.elapsed()));
     }
 }
--- a/crates/relay/tests/at_most_once.rs
+++ b/crates/relay/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What may run once at most, and what a refusal says.
+//! Requests that may run at most once, and what a refusal guarantees.
 
 mod common;
 
@@ -21,15 +21,16 @@
     (fake, body(answer).await)
 }
 
-/// A runner prints a label and its answer is lost. A second runner would print it once more, so
-/// that two looms carry one serial; the caller hears that it may have run.
+/// A response is lost after the runner may have printed a label. Another runner would print it
+/// again, so that two looms carry one serial number; the client is told that the request may have
+/// run.
 #[tokio::test(start_paused = true)]
 async fn answer_lost() {
     let (fake, (status, ..)) = serve("unsafe", [Behavior::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
-/// The same for a request that may be repeated: another runner answers it.
+/// The same for a request that may be retried: another runner responds to it.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_safe() {
     let (fake, (status, text, _)) = serve("safe", [Behavior::Lose]).await;
@@ -39,15 +40,15 @@
     assert_ne!(sent[0].runner, sent[1].runner);
 }
 
-/// A stream that no other runner may go on with is lost before its first event. It is not sent
-/// again.
+/// The response to a stream that no other runner may resume is lost before its first event. The
+/// request is not sent again.
 #[tokio::test(start_paused = true)]
 async fn answer_lost_once() {
     let (fake, (status, ..)) = serve("once", [Behavior::Lose]).await;
     assert_eq!((status, fake.sent().len()), (502, 1));
 }
 
-/// A runner says that it has not run a request. That is certain, and another one may.
+/// A runner states that it has not run a request. The request may safely go to another runner.
 #[tokio::test(start_paused = true)]
 async fn refused_by_runner() {
     for reason in [
@@ -62,7 +63,7 @@
     }
 }
 
-/// Every runner refuses: the caller hears that the request has not run, and when to come back.
+/// All runners refuse: the client is told that the request has not run, and when to retry.
 #[tokio::test(start_paused = true)]
 async fn refused_by_all() {
     let fake = Fake::with_behaviors([
@@ -75,8 +76,8 @@
     assert!(answer.retry_after.is_some());
 }
 
-/// One runner refuses and the next one loses the answer. It may have run: saying otherwise would
-/// let the caller send it again.
+/// One runner refuses and the next one loses the response. The request may have run; saying
+/// otherwise would let the client send it again.
 #[tokio::test(start_paused = true)]
 async fn refused_then_lost() {
     let (_, (status, ..)) = serve(
@@ -90,16 +91,16 @@
     assert_eq!(status, 502);
 }
 
-/// A runner is silent until the deadline. The caller is told so, and nobody claims that the
-/// request has not run.
+/// A runner does not respond until the deadline. The client gets a timeout, which does not state
+/// that the request has not run.
 #[tokio::test(start_paused = true)]
 async fn silent_runner() {
     let (fake, (status, ..)) = serve("unsafe", [Behavior::Silent]).await;
     assert_eq!((status, fake.sent().len()), (504, 1));
 }
 
-/// A runner's own failure counts as run. For what may be repeated another runner is asked, and if
-/// it fails as well, its answer is the caller's.
+/// An error of the runner itself counts as a run. If the request may be retried, another runner is
+/// tried, and if that fails as well, its response goes to the client.
 #[tokio::test(start_paused = true)]
 async fn runner_fails() {
     let (fake, (status, ..)) = serve("safe", [FAILED]).await;
@@ -113,7 +114,7 @@
     assert_eq!((status, fake.sent().len()), (500, 1));
 }
 
-/// An answer without the runner's proof is nobody's answer, whatever its status says.
+/// A response without the runner's proof is rejected, whatever its status.
 #[tokio::test(start_paused = true)]
 async fn answer_without_proof() {
     let forged = || Behavior::Answer {
@@ -128,8 +129,8 @@
     assert_eq!((status, text.as_str()), (200, "done"));
 }
 
-/// An open connection may have died unnoticed, and takes the request with it. What may run once at
-/// most is given a new one.
+/// A pooled connection may have died unnoticed, in which case the request is lost with it. Requests
+/// that may run at most once get a new connection.
 #[tokio::test(start_paused = true)]
 async fn fresh_connection() {
     for (route, reuse) in [
@@ -143,8 +144,8 @@
     }
 }
 
-/// The budget of repeats is spent: a lost answer is told as such. Repeats of every request would
-/// double the load just when runners fail.
+/// The retry budget is exhausted, and a lost response is reported as such. Retrying every request
+/// would double the load just when runners fail.
 #[tokio::test(start_paused = true)]
 async fn budget_spent() {
     let fake = Fake::with_behaviors((0..200).map(|_| Behavior::Lose));
--- a/crates/relay/tests/common/faults.rs
+++ b/crates/relay/tests/common/faults.rs
@@ -1,4 +1,4 @@
-//! Injection of runner failures: spontaneous ones, and those caused by requests.
+//! Runners that fail: by themselves, or under requests that harm them.
 
 use super::parts::Parts;
 use futures::StreamExt;
@@ -135,7 +135,7 @@
         });
     }
 
-    pub(crate) fn has_ended(&self, runner: &str) -> bool {
+    pub(crate) fn has_exited(&self, runner: &str) -> bool {
         self.health.borrow().exited.contains(runner)
     }
 
@@ -173,7 +173,7 @@
         let reason = "refused".to_owned();
         let reason = NotRun::Unreachable { reason };
         let refused = Failure::NotRun { reason };
-        (!self.has_ended(runner)).then_some(()).ok_or(refused)
+        (!self.has_exited(runner)).then_some(()).ok_or(refused)
     }
 
     /// Waits until the work on a call stops, because the runner fails or the call's own fault `cause` takes effect.
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -5,16 +5,16 @@
 pub(crate) mod faults;
 pub(crate) mod feed;
 pub(crate) mod link;
-pub(crate) mod narrow;
 pub(crate) mod pair;
 mod parts;
 pub(crate) mod poison;
 pub(crate) mod service;
+pub(crate) mod slow_link;
 pub(crate) mod stage;
 
 use bytes::Bytes;
 pub(crate) use configurations::{configuration, configuration_with_routes};
-use decide::retry::window::RepeatLimit;
+use decide::retry::window::RetryBound;
 use faults::{FaultSite, RunnerFaults};
 use parts::{Parts, parts};
 use relay::downstream::{
@@ -229,7 +229,7 @@
             reuse: call.reuse,
             workspace: call.workspace.as_deref().map(str::to_owned),
         });
-        if self.has_ended(runner).await {
+        if self.has_exited(runner).await {
             let reason = "refused".to_owned();
             let reason = NotRun::Unreachable { reason };
             return Err(Failure::NotRun { reason });
@@ -295,7 +295,7 @@
         }
     }
 
-    async fn make(
+    async fn run_batch(
         &self,
         runner: &Runner,
         items: Vec<Item>,
@@ -370,12 +370,12 @@
         Ok(())
     }
 
-    async fn has_ended(&self, runner: &Runner) -> bool {
+    async fn has_exited(&self, runner: &Runner) -> bool {
         let exited = self.exited.lock().expect("no holder panics");
-        exited.iter().any(|id| **id == *runner.id) || self.faults.has_ended(&runner.id)
+        exited.iter().any(|id| **id == *runner.id) || self.faults.has_exited(&runner.id)
     }
 
-    async fn answers(&self, runner: &Runner) -> bool {
+    async fn responds(&self, runner: &Runner) -> bool {
         let silent = self.silent.lock().expect("no holder panics");
         self.faults.is_healthy(&runner.id) && silent.iter().all(|id| **id != *runner.id)
     }
@@ -423,7 +423,7 @@
 fn options(member: Member) -> Options {
     Options {
         domain: "a".into(),
-        retry_bound: RepeatLimit {
+        retry_bound: RetryBound {
             ratio: 0.2,
             slack: 40.0,
             window: Duration::from_secs(10),
