--- a/crates/relay/src/peer/call_loads.rs
+++ b/crates/relay/src/peer/call_loads.rs
@@ -94,7 +94,7 @@
         let _ = link.sender.try_send(&Frame::Burdens {
             service,
             from: own,
-            call_loads,
+            burdens: call_loads,
         });
     }
 }
