--- a/crates/relay/tests/poison_two_relays.rs
+++ b/crates/relay/tests/poison_two_relays.rs
@@ -49,7 +49,7 @@
 /// Guards against a relay that admits a request although the relay that forms its calls knows it to have crashed
 /// three runners.
 #[tokio::test(start_paused = true)]
-async fn announced_to_admitting() {
+async fn announced_to_admitting_relay() {
     let (admitting, owner) =
         pair_with_fault(FaultSite::Stage(0), Effect::Exits, STAGE_RUNNERS, None).await;
     let innocent = |number: usize| attempt(&format!("one-{number}"), "one");
