--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -133,7 +133,7 @@
         if !progress.tried.is_empty() && !progress.try_retry(job) {
             return Err(());
         }
-        job.relay.note_sent(&runner);
+        job.relay.record_send_time(&runner);
         progress.tried.push(runner.id.clone());
         let call = build_call(job, inputs, remaining, resume_after);
         let mut in_flight = InFlightCall::new(job, runner);
@@ -149,7 +149,7 @@
         });
         log_call(job, &in_flight, remaining, inputs, progress, &result);
         job.relay
-            .note_limit(&in_flight.runner, in_flight.sent_at, &result);
+            .update_limit(&in_flight.runner, in_flight.sent_at, &result);
         progress.retry_counted &= result.as_ref().is_err_and(Failure::is_withdrawn);
         match result {
             Ok(reply) => {
@@ -420,11 +420,11 @@
         return quarantined.clone();
     }
     match &progress.last_failure {
-        None if job.is_confined() => Refusal::Overloaded {
+        None if job.is_region_restricted() => Refusal::Overloaded {
             reason: "no runner takes it in the regions that it may run in",
             retry_after: RETRY_AFTER_REFUSED,
         },
-        None if job.relay.standing(&job.service).up == 0 => Refusal::Overloaded {
+        None if job.relay.availability(&job.service).up == 0 => Refusal::Overloaded {
             reason: "all runners have ended",
             retry_after: RETRY_AFTER_ALL_EXITED,
         },
