--- a/crates/decide/src/retry/always.rs
+++ b/crates/decide/src/retry/always.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Maximum number of attempts of one stage.
-const MAX_ATTEMPTS: u16 = 8;
+const ATTEMPT_LIMIT: u16 = 8;
 
 /// Retries every failed attempt immediately.
 #[derive(Clone, Copy, Debug, Default)]
@@ -12,7 +12,7 @@
 
 impl Retry for Always {
     fn retry(&mut self, _now: Duration, _failure: Failure, attempt: u16) -> bool {
-        attempt + 1 < MAX_ATTEMPTS
+        attempt + 1 < ATTEMPT_LIMIT
     }
 
     fn backoff(&self, _attempt: u16, _rng: &mut impl rand::Rng) -> Duration {
--- a/crates/decide/src/retry/budgeted.rs
+++ b/crates/decide/src/retry/budgeted.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Maximum number of attempts of one stage.
-const MAX_ATTEMPTS: u16 = 4;
+const ATTEMPT_LIMIT: u16 = 4;
 /// Base of the exponential backoff.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
 /// Retries a second that are allowed regardless of the number of successes.
@@ -92,7 +92,7 @@
 
 impl Retry for Budgeted {
     fn retry(&mut self, now: Duration, failure: Failure, attempt: u16) -> bool {
-        if attempt + 1 >= MAX_ATTEMPTS {
+        if attempt + 1 >= ATTEMPT_LIMIT {
             return false;
         }
         if failure == Failure::NotRun {
@@ -110,7 +110,7 @@
         if attempt == 0 {
             return Duration::ZERO;
         }
-        let max_wait = INITIAL_BACKOFF * 2_u32.pow(u32::from(attempt.min(MAX_ATTEMPTS)));
+        let max_wait = INITIAL_BACKOFF * 2_u32.pow(u32::from(attempt.min(ATTEMPT_LIMIT)));
         max_wait.mul_f64(rng.random_range(0.5..1.0))
     }
 
--- a/crates/decide/tests/common/repeats.rs
+++ b/crates/decide/tests/common/repeats.rs
@@ -11,7 +11,7 @@
 /// Number of processes in the settings, independent of the actual number.
 const CONFIGURED_PROCESSES: usize = 8;
 /// Maximum attempts of a request, including the first.
-const MAX_ATTEMPTS: u32 = 4;
+const ATTEMPT_LIMIT: u32 = 4;
 /// Range of the age of a process's list of the other processes.
 const PEER_LIST_AGE: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(4)];
 /// Longest time from the start of a process until it knows the other processes.
@@ -385,7 +385,7 @@
 
     fn fail(&mut self, now: Duration, process: usize, incarnation: u32, attempt: u32) {
         let failing = self.phase(now).failing;
-        if attempt >= MAX_ATTEMPTS || !self.rng.random_bool(failing) {
+        if attempt >= ATTEMPT_LIMIT || !self.rng.random_bool(failing) {
             return;
         }
         let response_time = seconds(0.02 + 1.5 * self.rng.random::<f64>().powi(3));
