--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -15,11 +15,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
-use wire::link::MAX_FRAME;
+use wire::link::MAX_FRAME_BYTES;
 use wire::{Frame, Load, Refusal};
 
 /// Longest answer or event in bytes; leaves room for the rest of the frame.
-const LONGEST: usize = MAX_FRAME - 1024;
+const LONGEST: usize = MAX_FRAME_BYTES - 1024;
 /// Answers below this many bytes are copied out of the connection's read buffer.
 const SHORT: usize = 32 << 10;
 /// How long the rest of a stream is read after its end mark, so that the connection can be used
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -35,7 +35,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc;
 use tokio_util::task::TaskTracker;
-use wire::news::{News, Publisher};
+use wire::pubsub::{Notification, Publisher};
 use wire::{Key, Listener};
 
 /// Orders that wait for their turn at the engine.
@@ -58,7 +58,7 @@
         /// Address from the settings.
         address: SocketAddr,
         /// Cause.
-        source: wire::news::Error,
+        source: wire::pubsub::Error,
     },
     /// The address for metrics could not be bound.
     #[snafu(display("cannot serve metrics on {address}: {source}"))]
@@ -160,7 +160,7 @@
 /// VMs says so.
 fn publish_leaving(publisher: &Publisher, id: &str, incarnation: protocol::Incarnation) {
     let vm = id.to_owned();
-    let _ = publisher.publish(News::Leaving { vm, incarnation });
+    let _ = publisher.publish(Notification::Leaving { vm, incarnation });
 }
 
 async fn accept(core: Arc<Core>, listener: Listener, links: TaskTracker, log: Logger) {
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -4,7 +4,7 @@
 use crate::state::LinkId;
 use std::sync::Arc;
 use tokio::time::timeout;
-use wire::silence::LIMIT;
+use wire::liveness::IDLE_TIMEOUT;
 use wire::{Frame, Receiver, Sender};
 
 /// Serves one link until it is lost or the agent closes it.
@@ -25,7 +25,7 @@
     // Closing a socket with unread frames resets the connection, and the entry could lose the
     // ends of answers that were already sent. So the entry closes first.
     if core.closing.is_cancelled() {
-        let _ = timeout(LIMIT, async {
+        let _ = timeout(IDLE_TIMEOUT, async {
             while let Ok(Some(_)) = receiver.recv().await {}
         })
         .await;
--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -315,7 +315,7 @@
         memory_mb: MEMORY_MB,
         first_start: false,
         store,
-        repeats: setting::relay::Repeats::default(),
+        repeats: setting::relay::RetryBound::default(),
         grace_s: GRACE_S,
         drain_ms: DRAIN_MS,
         warmup: setting::relay::Warmup::default(),
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use protocol::RequestId;
-use record::{Pipeline, Set};
+use record::{Pipeline, RecordSet};
 use serde::Serialize;
 use serde_json::value::RawValue;
 use std::sync::Arc;
@@ -194,7 +194,7 @@
     Ok(job)
 }
 
-fn find(set: &Arc<Set>, request: &Request) -> Result<Arc<Pipeline>, Problem> {
+fn find(set: &Arc<RecordSet>, request: &Request) -> Result<Arc<Pipeline>, Problem> {
     let name: String = request
         .param("name")
         .map_err(|_| bad("no pipeline named"))?;
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -10,7 +10,7 @@
 use crate::config::rows::{Change, Head, Stored};
 use protocol::Revision;
 use protocol::follower::{Action, Event, Follower};
-use record::{Document, Set};
+use record::{Document, RecordSet};
 use slog::{Logger, info, warn};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -39,7 +39,7 @@
     platform: P,
     log: Logger,
     state: Mutex<State>,
-    current: RwLock<Arc<Set>>,
+    current: RwLock<Arc<RecordSet>>,
     reading: tokio::sync::Mutex<()>,
     writing: tokio::sync::Mutex<()>,
     /// Wakes the follower before its next poll is due.
@@ -61,7 +61,7 @@
     }
 
     /// Records in force now.
-    pub fn current(&self) -> Arc<Set> {
+    pub fn current(&self) -> Arc<RecordSet> {
         self.current
             .read()
             .unwrap_or_else(PoisonError::into_inner)
@@ -266,7 +266,7 @@
             .values()
             .map(|stored| &stored.document)
             .collect();
-        let set = Arc::new(Set::new(revision, documents));
+        let set = Arc::new(RecordSet::new(revision, documents));
         let mut current = self.current.write().unwrap_or_else(PoisonError::into_inner);
         if set.revision() > current.revision() {
             info!(self.log, "configuration in force"; "revision" => revision);
--- a/crates/entry/src/config/accept.rs
+++ b/crates/entry/src/config/accept.rs
@@ -157,7 +157,7 @@
                     return Err(unavailable(error));
                 }
                 Err(Error::Unavailable { .. }) => {}
-                Err(Error::Unsure { .. } | Error::Garbled { .. }) => unsure = true,
+                Err(Error::Unsure { .. } | Error::Malformed { .. }) => unsure = true,
             }
             if Instant::now() > until {
                 return Err(Refusal::Unknown);
--- a/crates/entry/src/config/rows.rs
+++ b/crates/entry/src/config/rows.rs
@@ -66,9 +66,9 @@
 ///
 /// # Errors
 ///
-/// [`Error::Garbled`] if it is not of the expected form.
+/// [`Error::Malformed`] if it is not of the expected form.
 pub fn parse<T: DeserializeOwned>(row: Row) -> Result<T, Error> {
-    serde_json::from_value(row.value).map_err(|error| Error::Garbled {
+    serde_json::from_value(row.value).map_err(|error| Error::Malformed {
         reason: format!("{}/{}: {error}", row.table, row.key),
     })
 }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -3,7 +3,7 @@
 use crate::answer::Answer;
 use bytes::Bytes;
 use protocol::{Attempt, RequestId};
-use record::{Pipeline, Set};
+use record::{Pipeline, RecordSet};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -22,7 +22,7 @@
     /// Version of the pipeline that the request runs to its end.
     pub pipeline: Arc<Pipeline>,
     /// Records that the request began with.
-    pub set: Arc<Set>,
+    pub set: Arc<RecordSet>,
     /// When the request was accepted.
     pub accepted: Instant,
     /// When the answer is due.
--- a/crates/entry/src/journal/row.rs
+++ b/crates/entry/src/journal/row.rs
@@ -5,7 +5,7 @@
 use crate::job::Job;
 use bytes::Bytes;
 use protocol::{Attempt, RequestId};
-use record::{Set, Version};
+use record::{RecordSet, Version};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -86,7 +86,7 @@
 
     /// The job that the row describes, if its pipeline is still in force.
     #[must_use]
-    pub fn job(&self, request: RequestId, set: &Arc<Set>) -> Option<Job> {
+    pub fn job(&self, request: RequestId, set: &Arc<RecordSet>) -> Option<Job> {
         let pipeline = set.pipeline(&self.pipeline, self.version)?.clone();
         let remaining = Duration::from_millis(self.due_ms.saturating_sub(wall_ms()));
         let now = Instant::now();
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -12,7 +12,7 @@
 use store::Vm;
 use tokio::sync::mpsc;
 use wire::Key;
-use wire::news::{Error, News, Publisher, Subscriber};
+use wire::pubsub::{Error, Notification, Publisher, Subscriber};
 
 /// Peers whose news is listened to. Each passes on what is new to it, so that a change reaches all
 /// entries in a few steps, while the connections of one entry do not grow with the fleet.
@@ -32,7 +32,10 @@
     /// # Errors
     ///
     /// [`Error`] if the address cannot be bound.
-    pub fn bind(address: SocketAddr, key: &Key) -> Result<(Self, mpsc::Receiver<News>), Error> {
+    pub fn bind(
+        address: SocketAddr,
+        key: &Key,
+    ) -> Result<(Self, mpsc::Receiver<Notification>), Error> {
         let (subscriber, news) = Subscriber::new(key.clone())?;
         let exchange = Self {
             publisher: Publisher::bind(address, key.clone())?,
@@ -50,7 +53,7 @@
 
     /// Tells that a revision is accepted.
     pub fn announce(&self, revision: Revision, log: &Logger) {
-        if let Err(error) = self.publisher.publish(News::Head { revision }) {
+        if let Err(error) = self.publisher.publish(Notification::Head { revision }) {
             warn!(log, "news not sent"; "error" => %error);
         }
     }
@@ -60,7 +63,7 @@
         let wanted = neighbours(entries, own);
         let mut dialled = self.dialled.lock().unwrap_or_else(PoisonError::into_inner);
         for gone in dialled.difference(&wanted) {
-            self.subscriber.hang_up(*gone);
+            self.subscriber.disconnect(*gone);
         }
         // One that cannot be dialled is tried again with the next list.
         dialled.retain(|address| wanted.contains(address));
@@ -83,10 +86,10 @@
 }
 
 /// Takes in news until the entry stops.
-pub async fn follow<P: Platform>(core: Arc<Core<P>>, mut news: mpsc::Receiver<News>) {
+pub async fn follow<P: Platform>(core: Arc<Core<P>>, mut news: mpsc::Receiver<Notification>) {
     while let Some(item) = news.recv().await {
         // Who leaves and what load there is comes over the links, which every sender of work has.
-        if let News::Head { revision } = item
+        if let Notification::Head { revision } = item
             && revision > core.config.heard_of()
         {
             core.config.heard(revision);
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -7,7 +7,7 @@
 use crate::target::Target;
 use http_body_util::{BodyExt, Full, Limited};
 use protocol::Revision;
-use record::Set;
+use record::RecordSet;
 use serde::{Deserialize, Serialize};
 use slog::info;
 use std::sync::Arc;
@@ -203,11 +203,11 @@
     json(StatusCode::OK, &status)
 }
 
-fn state(target: &Target, set: &Set) -> &'static str {
+fn state(target: &Target, set: &RecordSet) -> &'static str {
     match (target.is_linked(), target.is_open()) {
         (false, _) => "unlinked",
         (true, false) => "leaving",
-        (true, true) if set.drained(&target.vm.id) => "drained",
+        (true, true) if set.is_drained(&target.vm.id) => "drained",
         (true, true) => "live",
     }
 }
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -17,7 +17,7 @@
 use crate::core::{Core, Platform};
 use crate::placement::fleet::Fleet;
 use crate::placement::plan::Planner;
-use record::Set;
+use record::RecordSet;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -67,7 +67,7 @@
 }
 
 /// Services whose engines are given orders.
-fn services(set: &Set) -> Vec<String> {
+fn services(set: &RecordSet) -> Vec<String> {
     let with_models = set.services().filter(|service| !service.models.is_empty());
     let mut names: Vec<_> = with_models.map(|service| service.name.clone()).collect();
     names.sort();
--- a/crates/entry/src/placement/fleet.rs
+++ b/crates/entry/src/placement/fleet.rs
@@ -6,7 +6,7 @@
 use decide::place::{self, ModelName};
 use decide::route::TargetId;
 use protocol::FencingToken;
-use record::{Map, Service, Set};
+use record::{Map, RecordSet, Service};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
 
 impl Fleet {
     /// The engines of these targets, with what they have said under a fencing number.
-    pub fn survey(targets: &[Arc<Target>], set: &Set, fence: FencingToken) -> Self {
-        let open = |target: &&Arc<Target>| target.is_open() && !set.drained(&target.vm.id);
+    pub fn survey(targets: &[Arc<Target>], set: &RecordSet, fence: FencingToken) -> Self {
+        let open = |target: &&Arc<Target>| target.is_open() && !set.is_drained(&target.vm.id);
         let mut engines: Vec<_> = targets
             .iter()
             .filter(open)
--- a/crates/entry/src/placement/lease.rs
+++ b/crates/entry/src/placement/lease.rs
@@ -156,7 +156,7 @@
             // The service leaves out rows that are gone.
             Err(Error::Conflict { rows }) => found(rows.into_iter().next()),
             Err(Error::Unavailable { .. }) => Event::Unavailable,
-            Err(Error::Unsure { .. } | Error::Garbled { .. }) => Event::Unsure,
+            Err(Error::Unsure { .. } | Error::Malformed { .. }) => Event::Unsure,
         },
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -37,7 +37,7 @@
     #[snafu(display("{source}"))]
     News {
         /// What the transport said.
-        source: wire::news::Error,
+        source: wire::pubsub::Error,
     },
     /// Certificate or key cannot be used.
     #[snafu(display("tls: {source}"))]
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -11,7 +11,7 @@
 use decide::route::{self, Block, LoadReport, Router, TargetId};
 use foldhash::fast::RandomState;
 use rand::Rng;
-use record::{Map, Set};
+use record::{Map, RecordSet};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -148,7 +148,7 @@
     }
 
     /// Takes in what the records say of the service.
-    pub fn configure(&self, set: &Set) {
+    pub fn configure(&self, set: &RecordSet) {
         let attainment = set
             .pipelines()
             .filter(|pipeline| {
@@ -234,10 +234,10 @@
     }
 
     /// Whether any target may get new work.
-    pub fn is_served(&self, set: &Set) -> bool {
+    pub fn is_served(&self, set: &RecordSet) -> bool {
         let state = self.lock();
         let mut targets = state.targets.values();
-        targets.any(|target| target.is_open() && !set.drained(&target.vm.id))
+        targets.any(|target| target.is_open() && !set.is_drained(&target.vm.id))
     }
 
     /// Whether the service is too far behind for one more request.
@@ -336,7 +336,7 @@
         &self,
         demand: &Demand,
         tried: &[TargetId],
-        set: &Set,
+        set: &RecordSet,
         rng: &mut impl Rng,
     ) -> Option<Arc<Target>> {
         let now = self.now();
@@ -357,7 +357,7 @@
             let State { pool, policy, .. } = &mut *state;
             let id = policy.router.pick(pool, &call, rng)?;
             match state.targets.get(&id).cloned() {
-                Some(target) if target.is_open() && !set.drained(&id) => {
+                Some(target) if target.is_open() && !set.is_drained(&id) => {
                     state.pool.sent(&id, now);
                     return Some(target);
                 }
--- a/crates/entry/src/service/models.rs
+++ b/crates/entry/src/service/models.rs
@@ -2,7 +2,7 @@
 
 use super::{Service, State};
 use decide::route::TargetId;
-use record::{Map, Set};
+use record::{Map, RecordSet};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -25,12 +25,12 @@
 
 impl Service {
     /// Where a model stands.
-    pub fn availability(&self, model: &str, set: &Set) -> Availability {
+    pub fn availability(&self, model: &str, set: &RecordSet) -> Availability {
         let state = self.lock();
         let mut open = state
             .targets
             .values()
-            .filter(|target| target.is_open() && !set.drained(&target.vm.id));
+            .filter(|target| target.is_open() && !set.is_drained(&target.vm.id));
         let (mut loading, mut pending) = (false, false);
         let warm = open.any(|target| {
             loading |= target.engine.is_loading(model);
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -2,7 +2,7 @@
 
 use crate::service::Service;
 use foldhash::fast::RandomState;
-use record::Set;
+use record::RecordSet;
 use std::collections::HashMap;
 use std::sync::{Arc, PoisonError, RwLock};
 use tokio::time::Instant;
@@ -51,7 +51,7 @@
     }
 
     /// Takes in the records in force.
-    pub fn configure(&self, set: &Set) {
+    pub fn configure(&self, set: &RecordSet) {
         for service in self.all() {
             service.configure(set);
         }
--- a/crates/entry/src/wait.rs
+++ b/crates/entry/src/wait.rs
@@ -8,7 +8,7 @@
 use decide::wait::{TargetAvailability, Wait, WaitDecision, WaitLimits};
 use futures::FutureExt;
 use protocol::RequestId;
-use record::Set;
+use record::RecordSet;
 use slog::info;
 use std::sync::Arc;
 use std::time::Duration;
@@ -130,7 +130,7 @@
 
 /// Whether a call at a service, for a model if it names one, can get a target.
 #[must_use]
-pub fn outlook(service: &Service, model: Option<&str>, set: &Set) -> TargetAvailability {
+pub fn outlook(service: &Service, model: Option<&str>, set: &RecordSet) -> TargetAvailability {
     if !service.is_served(set) {
         return TargetAvailability::Closed;
     }
--- a/crates/entry/src/writes.rs
+++ b/crates/entry/src/writes.rs
@@ -126,7 +126,9 @@
             Ok(revision) => return tell(batch, &Fate::Written(revision)),
             Err(Error::Conflict { rows }) => batch = drop_conflicts(table, batch, rows).await,
             Err(Error::Unavailable { .. }) => return tell(batch, &Fate::Unavailable),
-            Err(Error::Unsure { .. } | Error::Garbled { .. }) => return tell(batch, &Fate::Unsure),
+            Err(Error::Unsure { .. } | Error::Malformed { .. }) => {
+                return tell(batch, &Fate::Unsure);
+            }
         }
     }
 }
--- a/crates/entry/tests/journal_row.rs
+++ b/crates/entry/tests/journal_row.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use entry::journal::row::Entry;
-use record::{Document, Set};
+use record::{Document, RecordSet};
 use std::sync::Arc;
 
-fn set() -> Arc<Set> {
+fn set() -> Arc<RecordSet> {
     let text = r#"{"schema": 2, "kind": "pipeline", "name": "review", "version": 1,
         "deadline_ms": 500, "durable": true, "stages": [{"name": "encode", "service": "encoder"}]}"#;
     let document: Document = serde_json::from_str(text).unwrap();
-    Arc::new(Set::new(1, [document]))
+    Arc::new(RecordSet::new(1, [document]))
 }
 
 fn row() -> Entry {
@@ -55,5 +55,5 @@
 /// anything up.
 #[test]
 fn pipeline_gone() {
-    assert!(row().job(7, &Arc::new(Set::default())).is_none());
+    assert!(row().job(7, &Arc::new(RecordSet::default())).is_none());
 }
--- a/crates/entry/tests/placement_lease.rs
+++ b/crates/entry/tests/placement_lease.rs
@@ -85,12 +85,12 @@
         Lease::new(DURATION),
     );
     let all = [&first, &second];
-    memory.hold_writes(1);
+    memory.delay_writes(1);
     until(&memory, &[&first, &second], &all, || {
         second.may_act() == Some(1)
     })
     .await;
-    assert_eq!(memory.release(), 0);
+    assert_eq!(memory.release_writes(), 0);
     until(&memory, &[&second], &all, || second.may_act() == Some(1)).await;
     first.step(&memory).await;
     assert_eq!(first.may_act(), None);
--- a/crates/metric/src/lib.rs
+++ b/crates/metric/src/lib.rs
@@ -1,16 +1,16 @@
 //! Metrics and logs that every role shares.
 //!
-//! * [`bound`]: keeps the number of label values bounded
+//! * [`label`]: keeps the number of label values bounded
 //! * [`latency`]: histograms of requests by workspace and class
 //! * [`serve()`]: the `/metrics` endpoint
 //! * [`log`]: the structured logger
 
-pub mod bound;
+pub mod label;
 pub mod latency;
 pub mod log;
 pub mod serve;
 
-pub use bound::Bound;
+pub use label::Bound;
 pub use latency::Latency;
 pub use prometheus_client::registry::Registry;
 pub use serve::{Error, serve};
--- a/crates/metric/src/log.rs
+++ b/crates/metric/src/log.rs
@@ -30,6 +30,6 @@
 }
 
 /// A logger that drops everything, for tests and examples.
-pub fn silent() -> Logger {
+pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -30,7 +30,7 @@
 pub use pipeline::{Pipeline, Stage};
 pub use plan::Plan;
 pub use service::{Fencing, Service};
-pub use set::Set;
+pub use set::RecordSet;
 pub use shape::{Field, Shape};
 pub use text::Text;
 pub use workspace::Workspace;
--- a/crates/record/src/set.rs
+++ b/crates/record/src/set.rs
@@ -18,13 +18,13 @@
 /// let text = r#"{"schema": 1, "kind": "pipeline", "name": "review", "version": 2,
 ///     "deadline_ms": 500, "stages": [{"name": "encode", "service": "encoder"}]}"#;
 /// let document: record::Document = serde_json::from_str(text).unwrap();
-/// let set = record::Set::new(7, [document]);
+/// let set = record::RecordSet::new(7, [document]);
 /// assert_eq!(set.revision(), 7);
 /// assert_eq!(set.current("review").unwrap().version, 2);
 /// assert!(set.pipeline("review", 1).is_none());
 /// ```
 #[derive(Debug, Default)]
-pub struct Set {
+pub struct RecordSet {
     revision: Revision,
     pipelines: Map<String, Versions>,
     current: Map<String, Version>,
@@ -34,10 +34,10 @@
     unreadable: Vec<Error>,
 }
 
-impl Set {
+impl RecordSet {
     /// Reads the documents that are in force at a revision.
     ///
-    /// A document that cannot be read is left out and reported by [`Set::unreadable`]: a record of
+    /// A document that cannot be read is left out and reported by [`RecordSet::unreadable`]: a record of
     /// a schema that this process does not know must not take all others out of force.
     pub fn new(
         revision: Revision,
@@ -94,7 +94,7 @@
 
     /// Whether an operator wants a VM to get no new work.
     #[must_use]
-    pub fn drained(&self, vm: &str) -> bool {
+    pub fn is_drained(&self, vm: &str) -> bool {
         self.drains.contains(vm)
     }
 
--- a/crates/record/tests/set_lookups.rs
+++ b/crates/record/tests/set_lookups.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use record::{Document, Set};
+use record::{Document, RecordSet};
 use serde_json::{Value, json};
 
 fn pipeline(version: u32) -> Value {
@@ -14,9 +14,9 @@
     json!({"schema": 1, "kind": "current", "name": "review", "version": version})
 }
 
-fn set(values: Value) -> Set {
+fn set(values: Value) -> RecordSet {
     let documents: Vec<Document> = serde_json::from_value(values).unwrap();
-    Set::new(3, documents)
+    RecordSet::new(3, documents)
 }
 
 #[test]
@@ -62,7 +62,7 @@
 #[test]
 fn drained_vm() {
     let set = set(json!([{"schema": 1, "kind": "drain", "name": "vm-1"}]));
-    assert!(set.drained("vm-1"));
-    assert!(!set.drained("vm-2"));
+    assert!(set.is_drained("vm-1"));
+    assert!(!set.is_drained("vm-2"));
     assert_eq!(set.revision(), 3);
 }
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use store::era::{self, Era};
-use store::{Changes, Miss, RowRevision};
+use store::{Changes, FeedError, RowRevision};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 /// Longest wait of a question while the service is away: the next one is to be asked as soon as it is
@@ -167,18 +167,18 @@
                     self.regain(relay);
                     return changes;
                 }
-                Err(Miss::Gap) => {
+                Err(FeedError::Gap) => {
                     info!(relay.log, "history gone, reading the table as a whole";
                         "table" => self.table, "after" => self.reader.after());
                     self.reader.forget();
                 }
-                Err(Miss::Restored) => {
+                Err(FeedError::Restored) => {
                     self.reader.forget();
                     // All processes hear of it in the same moment, and each reads all tables.
                     let spread = relay.random(|rng| rng.random_range(0.0..1.0));
                     sleep(SPREAD.mul_f64(spread)).await;
                 }
-                Err(Miss::Failed { error }) => {
+                Err(FeedError::Failed { error }) => {
                     if self.lost.is_none() {
                         warn!(relay.log, "table service lost"; "table" => self.table, "error" => %error);
                         self.lost = Some(Instant::now());
@@ -195,7 +195,7 @@
         &mut self,
         relay: &Arc<Relay<D>>,
         pauses: u64,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         let paused = pauses > self.pauses;
         if !paused && let Some(changes) = self.ask_peer(relay).await {
             return Ok(changes);
@@ -385,7 +385,7 @@
         &mut self,
         relay: &Relay<D>,
         paused: bool,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         let before = self.reader.after();
         self.whole = before.is_none();
         let (changes, current) = match before {
@@ -393,7 +393,7 @@
             None => {
                 let asked = Instant::now();
                 let listed = self.source.list(self.table).await;
-                (listed.map_err(|error| Miss::Failed { error })?, asked)
+                (listed.map_err(|error| FeedError::Failed { error })?, asked)
             }
         };
         self.reader.read(changes.revision, relay.at(current));
@@ -430,7 +430,7 @@
         relay: &Relay<D>,
         after: RowRevision,
         paused: bool,
-    ) -> Result<(Changes, Instant), Miss> {
+    ) -> Result<(Changes, Instant), FeedError> {
         let shared = shared(relay);
         let gather = if shared {
             GATHER_SHARED
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -277,7 +277,7 @@
             other => common(&relay, &line.sender, other),
         }
     }
-    line.sender.abandon();
+    line.sender.abort();
     transfer::lost(&relay, &line.sender);
     // Dropping the senders tells all who wait that the link is gone.
     let mut pending = lock(&line.pending);
--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -72,7 +72,7 @@
             break;
         }
     }
-    sender.abandon();
+    sender.abort();
     transfer::lost(&relay, &sender);
 }
 
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -30,7 +30,7 @@
 /// Images that are kept for those that have begun to fetch one while newer versions come.
 const IMAGES: usize = 3;
 /// Bytes of a configuration at most, as it is encoded.
-const MAX_BYTES: u64 = wire::link::MAX_FRAME as u64;
+const MAX_BYTES: u64 = wire::link::MAX_FRAME_BYTES as u64;
 
 /// A part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/relay/tests/common/feed.rs
+++ b/crates/relay/tests/common/feed.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use store::{Change, Changes, Error, Feed, Miss, RowRevision};
+use store::{Change, Changes, Error, Feed, FeedError, RowRevision};
 use tokio::time::sleep;
 
 /// What a fake feed does on one question.
@@ -37,7 +37,7 @@
         Self(Arc::new(Mutex::new(told.into_iter().collect())))
     }
 
-    async fn next(&self, wait: Duration) -> Result<Changes, Miss> {
+    async fn next(&self, wait: Duration) -> Result<Changes, FeedError> {
         let told = self.0.lock().expect("no holder panics").pop_front();
         match told {
             None | Some(FeedReply::NoChanges) => {
@@ -47,8 +47,8 @@
                     ..Changes::default()
                 })
             }
-            Some(FeedReply::Gap) => Err(Miss::Gap),
-            Some(FeedReply::Restored) => Err(Miss::Restored),
+            Some(FeedReply::Gap) => Err(FeedError::Gap),
+            Some(FeedReply::Restored) => Err(FeedError::Restored),
             Some(FeedReply::Unavailable(time)) => {
                 sleep(time).await;
                 let reason = "away".to_owned();
@@ -56,7 +56,7 @@
                     reason,
                     retry_after: None,
                 };
-                Err(Miss::Failed { error })
+                Err(FeedError::Failed { error })
             }
             Some(FeedReply::Rows(rows)) => Ok(changes(rows, 9)),
             Some(FeedReply::At(revision, rows)) => Ok(changes(rows, revision)),
@@ -82,8 +82,8 @@
     async fn list(&self, _table: &str) -> Result<Changes, Error> {
         match self.next(Duration::from_secs(1)).await {
             Ok(changes) => Ok(changes),
-            Err(Miss::Failed { error }) => Err(error),
-            Err(Miss::Gap | Miss::Restored) => panic!("a list has no gap"),
+            Err(FeedError::Failed { error }) => Err(error),
+            Err(FeedError::Gap | FeedError::Restored) => panic!("a list has no gap"),
         }
     }
 
@@ -92,7 +92,7 @@
         _table: &str,
         _after: RowRevision,
         wait: Duration,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         self.next(wait).await
     }
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -445,7 +445,7 @@
     Relay::new(
         options,
         fake,
-        metric::log::silent(),
+        metric::log::discard(),
         Telemetry::new(&mut registry),
     )
 }
--- a/crates/relay/tests/common/service.rs
+++ b/crates/relay/tests/common/service.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
-use store::{Change, Changes, Error, Feed, Miss, Row, RowRevision, Table, Transaction};
+use store::{Change, Changes, Error, Feed, FeedError, Row, RowRevision, Table, Transaction};
 use tokio::sync::watch;
 use tokio::time::timeout;
 
@@ -98,7 +98,7 @@
         table: &str,
         after: RowRevision,
         wait: Duration,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         self.count("changes", table);
         let mut revision = self.revision.subscribe();
         let some = revision.wait_for(|_| !self.after(table, after).rows.is_empty());
--- a/crates/setting/src/relay.rs
+++ b/crates/setting/src/relay.rs
@@ -95,7 +95,7 @@
     pub store: SocketAddr,
     /// Bound on second attempts of the whole fleet.
     #[serde(default)]
-    pub repeats: Repeats,
+    pub repeats: RetryBound,
     /// What runners bear in any one second that have just started.
     #[serde(default)]
     pub warmup: Warmup,
@@ -152,7 +152,7 @@
 
 /// Bound on second attempts to one service in any window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Repeats {
+pub struct RetryBound {
     /// Repeats for each first attempt.
     pub ratio: f64,
     /// Repeats besides, over the whole fleet.
@@ -164,7 +164,7 @@
     pub processes: usize,
 }
 
-impl Default for Repeats {
+impl Default for RetryBound {
     /// A usual retry budget: a tenth of the requests, and a few for a quiet service.
     fn default() -> Self {
         Self {
--- a/crates/store/examples/lost_answer.rs
+++ b/crates/store/examples/lost_answer.rs
@@ -2,7 +2,7 @@
 //! lost_answer`.
 
 use serde_json::json;
-use store::settle::{Patience, TOKEN, commit};
+use store::commit::{RetryPolicy, TOKEN, commit};
 use store::{Check, Error, Memory, Put, Table, Transaction};
 
 #[tokio::main(flavor = "current_thread")]
@@ -22,7 +22,7 @@
     };
     let memory = Memory::default();
     memory.lose_answers(1);
-    let outcome = commit(&memory, &claim, "a", Patience::default()).await;
+    let outcome = commit(&memory, &claim, "a", RetryPolicy::default()).await;
     println!("{outcome:?}");
     println!("{:?}", memory.read(&table, &key).await?);
     Ok(())
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -178,13 +178,17 @@
     }
 
     async fn read(&self, table: &str, key: &str) -> Result<Option<Row>, Error> {
-        let path = format!("/v1/rows/{}?key={}", escape(table), escape(key));
+        let path = format!(
+            "/v1/rows/{}?key={}",
+            percent_encode(table),
+            percent_encode(key)
+        );
         let body = self.get(self.table, &path).await?;
         body.map(|body| parse(&body)).transpose()
     }
 
     async fn scan(&self, table: &str, after: &str, limit: usize) -> Result<Vec<Row>, Error> {
-        let (table, after) = (escape(table), escape(after));
+        let (table, after) = (percent_encode(table), percent_encode(after));
         self.rows(&format!("/v1/rows/{table}?after={after}&limit={limit}"))
             .await
     }
@@ -192,7 +196,7 @@
 
 impl Objects for Client {
     async fn put_object(&self, name: &str, content: Bytes) -> Result<(), Error> {
-        let path = format!("/v1/objects/{}", escape(name));
+        let path = format!("/v1/objects/{}", percent_encode(name));
         let answer = self
             .call(Method::PUT, self.objects, &path, content)
             .await
@@ -204,7 +208,7 @@
     }
 
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>, Error> {
-        let path = format!("/v1/objects/{}", escape(name));
+        let path = format!("/v1/objects/{}", percent_encode(name));
         self.get(self.objects, &path).await
     }
 }
@@ -245,7 +249,7 @@
         }
     }
 
-    /// An unreadable answer to a write may hide a write that took effect, so it is not `Garbled`.
+    /// An unreadable answer to a write may hide a write that took effect, so it is not `Malformed`.
     fn written<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|error| Error::Unsure {
             reason: format!("{} with an unreadable body: {error}", self.status),
@@ -272,13 +276,13 @@
 
 fn failure(error: &hyper_util::client::legacy::Error) -> Failure {
     if error.is_connect() {
-        return Failure::Unsent(describe(error));
+        return Failure::Unsent(error_chain(error));
     }
-    Failure::Lost(describe(error))
+    Failure::Lost(error_chain(error))
 }
 
 /// An error with its causes: the library's message alone says only that the request failed.
-pub fn describe(error: &dyn std::error::Error) -> String {
+pub fn error_chain(error: &dyn std::error::Error) -> String {
     std::iter::successors(Some(error), |error| error.source())
         .map(ToString::to_string)
         .collect::<Vec<_>>()
@@ -290,13 +294,13 @@
 }
 
 fn garbled(reason: &impl ToString) -> Error {
-    Error::Garbled {
+    Error::Malformed {
         reason: reason.to_string(),
     }
 }
 
 /// Percent-encodes all but the characters that a path segment and a query value share.
-pub fn escape(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
--- a/crates/store/src/settle.rs
+++ b/crates/store/src/commit.rs
@@ -26,14 +26,14 @@
 
 /// How long to go on while the outcome is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct RetryPolicy {
     /// Submissions after the first.
     pub retries: u32,
     /// Wait before the first of them; doubled before each further one.
     pub pause: Duration,
 }
 
-impl Default for Patience {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
             retries: 5,
@@ -61,7 +61,7 @@
 /// # Examples
 ///
 /// ```
-/// use store::settle::{Outcome, Patience, commit};
+/// use store::commit::{Outcome, RetryPolicy, commit};
 /// use store::{Check, Memory, Put, Transaction};
 ///
 /// # futures::executor::block_on(async {
@@ -72,7 +72,7 @@
 /// };
 /// let memory = Memory::default();
 /// memory.lose_answers(1);
-/// let outcome = commit(&memory, &transaction, "a1", Patience::default()).await;
+/// let outcome = commit(&memory, &transaction, "a1", RetryPolicy::default()).await;
 /// assert_eq!(outcome, Outcome::Applied(1));
 /// # });
 /// ```
@@ -80,18 +80,18 @@
     table: &impl Table,
     transaction: &Transaction,
     token: &str,
-    patience: Patience,
+    policy: RetryPolicy,
 ) -> Outcome {
     let mut error = match table.transact(transaction).await {
         Ok(revision) => return Outcome::Applied(revision),
-        Err(error @ (Error::Unsure { .. } | Error::Garbled { .. })) => error,
+        Err(error @ (Error::Unsure { .. } | Error::Malformed { .. })) => error,
         Err(error) => return Outcome::NotApplied(error),
     };
     let Some(witness) = Witness::find(transaction, token) else {
         return Outcome::Unsure(error);
     };
-    let mut pause = patience.pause;
-    for _ in 0..patience.retries {
+    let mut pause = policy.pause;
+    for _ in 0..policy.retries {
         if let Ok(Some(revision)) = witness.look(table).await {
             return Outcome::Applied(revision);
         }
--- a/crates/store/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -28,7 +28,7 @@
 
 /// Why changes cannot be told.
 #[derive(Clone, Debug, PartialEq, snafu::Snafu)]
-pub enum Miss {
+pub enum FeedError {
     /// The history since that revision is gone: the table must be read as a whole.
     #[snafu(display("history is gone"))]
     Gap,
@@ -57,11 +57,11 @@
     ///
     /// # Errors
     ///
-    /// [`Miss`].
+    /// [`FeedError`].
     fn changes(
         &self,
         table: &str,
         after: RowRevision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Changes, Miss>> + Send;
+    ) -> impl Future<Output = Result<Changes, FeedError>> + Send;
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -10,19 +10,19 @@
 //! * [`vm`]: the lagging list of live and leaving VMs
 //! * [`client`]: the HTTP clients of all of them
 //! * [`memory`]: all of them in memory, for tests
-//! * [`settle`]: commits a transaction even if its answer is lost
+//! * [`commit`]: commits a transaction even if its answer is lost
 
 pub mod client;
+pub mod commit;
 pub mod era;
 pub mod feed;
 pub mod memory;
 pub mod object;
-pub mod settle;
 pub mod table;
 pub mod vm;
 
 pub use client::Client;
-pub use feed::{Change, Changes, Feed, Miss};
+pub use feed::{Change, Changes, Feed, FeedError};
 pub use memory::Memory;
 pub use object::Objects;
 pub use table::{Check, Error, Put, Row, RowRevision, Table, Transaction};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -52,13 +52,13 @@
         self.state().losses = count;
     }
 
-    /// Delays the next `count` transactions until [`Memory::release`]; they get no answer.
-    pub fn hold_writes(&self, count: u32) {
+    /// Delays the next `count` transactions until [`Memory::release_writes`]; they get no answer.
+    pub fn delay_writes(&self, count: u32) {
         self.state().holds = count;
     }
 
     /// Carries out the delayed transactions whose checks still hold and counts them.
-    pub fn release(&self) -> usize {
+    pub fn release_writes(&self) -> usize {
         let mut state = self.state();
         let held = std::mem::take(&mut state.held);
         held.iter()
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -78,7 +78,7 @@
     },
     /// The answer makes no sense.
     #[snafu(display("platform answer unreadable: {reason}"))]
-    Garbled {
+    Malformed {
         /// What was wrong with it.
         reason: String,
     },
--- a/crates/store/tests/lost_writes.rs
+++ b/crates/store/tests/lost_writes.rs
@@ -2,10 +2,10 @@
 
 use futures::FutureExt;
 use std::time::Duration;
-use store::settle::{Outcome, Patience, commit};
+use store::commit::{Outcome, RetryPolicy, commit};
 use store::{Check, Error, Memory, Put, Row, RowRevision, Table, Transaction};
 
-const PATIENCE: Patience = Patience {
+const RETRY_POLICY: RetryPolicy = RetryPolicy {
     retries: 3,
     pause: Duration::from_secs(1),
 };
@@ -36,7 +36,7 @@
 async fn lost_answer() {
     let memory = Memory::default();
     memory.lose_answers(1);
-    let outcome = commit(&memory, &write(None, "a"), "a", PATIENCE).await;
+    let outcome = commit(&memory, &write(None, "a"), "a", RETRY_POLICY).await;
     assert_eq!(outcome, Outcome::Applied(1));
 }
 
@@ -45,10 +45,10 @@
 #[tokio::test(start_paused = true)]
 async fn delayed_copy() {
     let memory = Memory::default();
-    memory.hold_writes(1);
-    let outcome = commit(&memory, &write(None, "a"), "a", PATIENCE).await;
+    memory.delay_writes(1);
+    let outcome = commit(&memory, &write(None, "a"), "a", RETRY_POLICY).await;
     assert_eq!(outcome, Outcome::Applied(1));
-    assert_eq!(memory.release(), 0);
+    assert_eq!(memory.release_writes(), 0);
     assert_eq!(row(&memory).await.revision, 1);
 }
 
@@ -57,19 +57,19 @@
 #[tokio::test(start_paused = true)]
 async fn lost_race() {
     let memory = Memory::default();
-    memory.hold_writes(2);
+    memory.delay_writes(2);
     let winner = async {
-        tokio::time::sleep(PATIENCE.pause / 2).await;
+        tokio::time::sleep(RETRY_POLICY.pause / 2).await;
         memory.transact(&write(None, "b")).await
     };
     let loser = write(None, "a");
-    let (outcome, won) = tokio::join!(commit(&memory, &loser, "a", PATIENCE), winner);
+    let (outcome, won) = tokio::join!(commit(&memory, &loser, "a", RETRY_POLICY), winner);
     won.unwrap();
     assert!(matches!(
         outcome,
         Outcome::NotApplied(Error::Conflict { .. })
     ));
-    assert_eq!(memory.release(), 0);
+    assert_eq!(memory.release_writes(), 0);
 }
 
 // The same race, with the winner there before: the conflict names the winner's row.
@@ -77,13 +77,13 @@
 async fn earlier_winner() {
     let memory = Memory::default();
     memory.transact(&write(None, "b")).await.unwrap();
-    memory.hold_writes(1);
-    let outcome = commit(&memory, &write(None, "a"), "a", PATIENCE).await;
+    memory.delay_writes(1);
+    let outcome = commit(&memory, &write(None, "a"), "a", RETRY_POLICY).await;
     assert!(matches!(
         outcome,
         Outcome::NotApplied(Error::Conflict { .. })
     ));
-    assert_eq!(memory.release(), 0);
+    assert_eq!(memory.release_writes(), 0);
     assert_eq!(row(&memory).await.value["token"], "b");
 }
 
@@ -99,7 +99,7 @@
         // Only the first copy is followed by this; after the others the check fails.
         let _ = memory.transact(&next).now_or_never();
     });
-    let outcome = commit(&overwritten, &write(Some(1), "a"), "a", PATIENCE).await;
+    let outcome = commit(&overwritten, &write(Some(1), "a"), "a", RETRY_POLICY).await;
     assert!(matches!(outcome, Outcome::Unsure(_)), "{outcome:?}");
     assert_eq!(row(&memory).await.value["token"], "next");
 }
@@ -111,10 +111,10 @@
     let memory = Memory::default();
     memory.lose_answers(1);
     let lost = Then(memory.clone(), |memory| memory.set_outage(true));
-    let outcome = commit(&lost, &write(None, "a"), "a", PATIENCE).await;
+    let outcome = commit(&lost, &write(None, "a"), "a", RETRY_POLICY).await;
     assert!(matches!(outcome, Outcome::Unsure(_)), "{outcome:?}");
     memory.set_outage(false);
-    let outcome = commit(&memory, &write(None, "a"), "a", PATIENCE).await;
+    let outcome = commit(&memory, &write(None, "a"), "a", RETRY_POLICY).await;
     assert!(matches!(
         outcome,
         Outcome::NotApplied(Error::Conflict { .. })
@@ -126,7 +126,7 @@
 async fn outage_before_write() {
     let memory = Memory::default();
     memory.set_outage(true);
-    let outcome = commit(&memory, &write(None, "a"), "a", PATIENCE).await;
+    let outcome = commit(&memory, &write(None, "a"), "a", RETRY_POLICY).await;
     assert!(matches!(
         outcome,
         Outcome::NotApplied(Error::Unavailable { .. })
@@ -138,12 +138,12 @@
 #[tokio::test(start_paused = true)]
 async fn unguarded_write() {
     let memory = Memory::default();
-    memory.hold_writes(1);
+    memory.delay_writes(1);
     let mut transaction = write(None, "a");
     transaction.checks.clear();
-    let outcome = commit(&memory, &transaction, "a", PATIENCE).await;
+    let outcome = commit(&memory, &transaction, "a", RETRY_POLICY).await;
     assert!(matches!(outcome, Outcome::Unsure(_)), "{outcome:?}");
-    assert_eq!(memory.release(), 1);
+    assert_eq!(memory.release_writes(), 1);
 }
 
 /// A service to which something happens right after each transaction.
--- a/crates/wire/examples/hop.rs
+++ b/crates/wire/examples/hop.rs
@@ -7,7 +7,7 @@
 use std::error::Error;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wire::news::{Publisher, Subscriber};
+use wire::pubsub::{Publisher, Subscriber};
 use wire::{Frame, Key, Listener};
 
 type Outcome<T> = Result<T, Box<dyn Error>>;
@@ -96,7 +96,7 @@
     let (subscriber, mut news) = Subscriber::new(Key::new("key"))?;
     subscriber.dial(publisher.address())?;
     while news.try_recv().is_err() {
-        publisher.publish(wire::news::News::Head { revision: 1 })?;
+        publisher.publish(wire::pubsub::Notification::Head { revision: 1 })?;
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     report("news", Vec::new())
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -3,11 +3,11 @@
 //! What the frames say is a type of the caller's; between an entry and an agent it is [`Frame`].
 //!
 //! A link starts with a [`crate::handshake`] and is watched for
-//! [silence](crate::silence). An empty frame only says that the peer is alive.
+//! [silence](crate::liveness). An empty frame only says that the peer is alive.
 
 use crate::frame::Frame;
 use crate::handshake;
-use crate::silence::{KEEPALIVE, Watch};
+use crate::liveness::{KEEPALIVE, Watch};
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use serde::Serialize;
@@ -25,7 +25,7 @@
 
 /// Largest frame in bytes, without its length: one of this size is carried, one byte more is
 /// refused by the sender with [`Error::Oversize`] and closes the link at the receiver.
-pub const MAX_FRAME: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 /// Frames that wait for the writer before senders wait.
 const QUEUE: usize = 1024;
 /// Bytes that are written together at most.
@@ -49,8 +49,8 @@
         /// Cause given by the codec.
         source: postcard::Error,
     },
-    /// The frame is longer than [`MAX_FRAME`]; the link goes on without it.
-    #[snafu(display("frame of {length} bytes is longer than {MAX_FRAME}"))]
+    /// The frame is longer than [`MAX_FRAME_BYTES`]; the link goes on without it.
+    #[snafu(display("frame of {length} bytes is longer than {MAX_FRAME_BYTES}"))]
     Oversize {
         /// Length of the frame in bytes.
         length: usize,
@@ -148,7 +148,7 @@
     }
 
     /// Ends the link at once.
-    pub fn abandon(&self) {
+    pub fn abort(&self) {
         self.lost.cancel();
     }
 
@@ -172,7 +172,7 @@
 fn encode(frame: &impl Serialize) -> Result<Bytes, Error> {
     let bytes = postcard::to_stdvec(frame).context(CodecSnafu)?;
     let length = bytes.len();
-    ensure!(length <= MAX_FRAME, OversizeSnafu { length });
+    ensure!(length <= MAX_FRAME_BYTES, OversizeSnafu { length });
     Ok(bytes.into())
 }
 
@@ -354,7 +354,7 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
--- a/crates/wire/src/silence.rs
+++ b/crates/wire/src/liveness.rs
@@ -2,7 +2,7 @@
 //!
 //! A peer whose VM is gone, or that is behind a cut, closes nothing: the connection stays half
 //! open and a reader would wait for ever. Both ends therefore send something at least every
-//! [`KEEPALIVE`], and a reader that hears nothing for [`LIMIT`] gives the link up.
+//! [`KEEPALIVE`], and a reader that hears nothing for [`IDLE_TIMEOUT`] gives the link up.
 
 use std::io;
 use std::pin::Pin;
@@ -15,9 +15,9 @@
 /// bytes and a TCP segment each way.
 pub const KEEPALIVE: Duration = Duration::from_secs(1);
 /// Silence after which the link is declared lost.
-pub const LIMIT: Duration = Duration::from_secs(3);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A reader that fails with [`io::ErrorKind::TimedOut`] after [`LIMIT`] without a byte.
+/// A reader that fails with [`io::ErrorKind::TimedOut`] after [`IDLE_TIMEOUT`] without a byte.
 ///
 /// Bytes count, not frames: a large frame that takes long to arrive is a sign of life.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
         Self {
             inner,
             heard: Instant::now(),
-            timer: Box::pin(sleep(LIMIT)),
+            timer: Box::pin(sleep(IDLE_TIMEOUT)),
         }
     }
 
@@ -40,7 +40,7 @@
     fn poll_silence(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(context));
-            let due = self.heard + LIMIT;
+            let due = self.heard + IDLE_TIMEOUT;
             if due <= Instant::now() {
                 return Poll::Ready(());
             }
--- a/crates/wire/src/news.rs
+++ b/crates/wire/src/pubsub.rs
@@ -69,7 +69,7 @@
 
 /// One piece of news.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Notification {
     /// A process takes no new work from now on.
     Leaving {
         /// Its VM.
@@ -96,7 +96,7 @@
 struct Message {
     origin: u64,
     number: u64,
-    news: News,
+    news: Notification,
 }
 
 impl Message {
@@ -123,16 +123,16 @@
 ///
 /// ```
 /// use wire::Key;
-/// use wire::news::{News, Publisher, Subscriber};
+/// use wire::pubsub::{Notification, Publisher, Subscriber};
 ///
 /// # #[tokio::main(flavor = "current_thread")]
-/// # async fn main() -> Result<(), wire::news::Error> {
+/// # async fn main() -> Result<(), wire::pubsub::Error> {
 /// let publisher = Publisher::bind("127.0.0.1:0".parse().unwrap(), Key::new("key"))?;
 /// let (subscriber, mut news) = Subscriber::new(Key::new("key"))?;
 /// subscriber.dial(publisher.address())?;
 /// // What is published before the subscriber has connected is lost.
-/// while news.try_recv() != Ok(News::Head { revision: 7 }) {
-///     publisher.publish(News::Head { revision: 7 })?;
+/// while news.try_recv() != Ok(Notification::Head { revision: 7 }) {
+///     publisher.publish(Notification::Head { revision: 7 })?;
 ///     tokio::task::yield_now().await;
 /// }
 /// # Ok(())
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// [`Error::Socket`] if the library took nothing.
-    pub fn publish(&self, news: News) -> Result<(), Error> {
+    pub fn publish(&self, news: Notification) -> Result<(), Error> {
         let message = Message {
             origin: self.origin,
             number: self.numbers.fetch_add(1, Ordering::Relaxed),
@@ -212,7 +212,7 @@
     /// # Errors
     ///
     /// [`Error::Socket`] if the library has no resources.
-    pub fn new(key: Key) -> Result<(Self, mpsc::Receiver<News>), Error> {
+    pub fn new(key: Key) -> Result<(Self, mpsc::Receiver<Notification>), Error> {
         let place = || SocketSnafu { place: "socket" };
         let socket = Socket::new(Protocol::Sub0).with_context(|_| place())?;
         socket
@@ -265,7 +265,7 @@
     }
 
     /// Gives a publisher up, whose VM is gone, say.
-    pub fn hang_up(&self, address: SocketAddr) {
+    pub fn disconnect(&self, address: SocketAddr) {
         if let Some(dialer) = self.dialers().remove(&address) {
             dialer.close();
         }
@@ -288,7 +288,7 @@
 /// Verifies messages and drops repeated ones.
 struct Inbox {
     key: Key,
-    queue: mpsc::Sender<News>,
+    queue: mpsc::Sender<Notification>,
     last: HashMap<u64, u64, RandomState>,
 }
 
--- a/crates/wire/tests/half_open.rs
+++ b/crates/wire/tests/half_open.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 use tokio::time::{Duration, Instant, pause, sleep};
-use wire::silence::LIMIT;
+use wire::liveness::IDLE_TIMEOUT;
 use wire::{Frame, Key, Listener, Receiver, Sender};
 
 type Link = (Sender, Receiver);
@@ -60,7 +60,7 @@
     let ((entry, mut receiver), (agent, mut other), _cut) = link().await;
     pause();
     let start = Instant::now();
-    let quiet = sleep(4 * LIMIT);
+    let quiet = sleep(4 * IDLE_TIMEOUT);
     tokio::select! {
         () = quiet => {}
         frame = receiver.recv() => panic!("{frame:?} after {:?}", start.elapsed()),
--- a/crates/wire/tests/news.rs
+++ b/crates/wire/tests/pubsub.rs
@@ -4,16 +4,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use wire::Key;
-use wire::news::{News, Publisher, Subscriber};
+use wire::pubsub::{Notification, Publisher, Subscriber};
 
 fn publisher(key: &str) -> Publisher {
     Publisher::bind("127.0.0.1:0".parse().unwrap(), Key::new(key)).unwrap()
 }
 
 /// Publishes until news arrives: what is sent before the subscriber has connected is lost.
-async fn first(publisher: &Publisher, news: &mut mpsc::Receiver<News>) -> News {
+async fn first(publisher: &Publisher, news: &mut mpsc::Receiver<Notification>) -> Notification {
     loop {
-        publisher.publish(News::Head { revision: 7 }).unwrap();
+        publisher
+            .publish(Notification::Head { revision: 7 })
+            .unwrap();
         tokio::select! {
             news = news.recv() => return news.unwrap(),
             () = tokio::time::sleep(Duration::from_millis(5)) => {}
@@ -29,10 +31,10 @@
         subscriber.dial(publisher.address()).unwrap();
         assert_eq!(
             first(publisher, &mut news).await,
-            News::Head { revision: 7 }
+            Notification::Head { revision: 7 }
         );
     }
-    let leaving = News::Leaving {
+    let leaving = Notification::Leaving {
         vm: "target-1".into(),
         incarnation: 2,
     };
@@ -52,13 +54,16 @@
     }
     first(&stranger, &mut seen).await;
     subscriber.dial(own.address()).unwrap();
-    let leaving = News::Leaving {
+    let leaving = Notification::Leaving {
         vm: "target-1".into(),
         incarnation: 2,
     };
     stranger.publish(leaving).unwrap();
-    assert_eq!(first(&own, &mut news).await, News::Head { revision: 7 });
+    assert_eq!(
+        first(&own, &mut news).await,
+        Notification::Head { revision: 7 }
+    );
     while let Ok(news) = news.try_recv() {
-        assert_eq!(news, News::Head { revision: 7 });
+        assert_eq!(news, Notification::Head { revision: 7 });
     }
 }
--- a/crates/wire/tests/round_trip.rs
+++ b/crates/wire/tests/round_trip.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use protocol::CallId;
 use std::time::Duration;
-use wire::link::MAX_FRAME;
+use wire::link::MAX_FRAME_BYTES;
 use wire::{Error, Frame, Key, Listener, Load, Models, Receiver, Refusal, Sender, Work};
 
 fn key() -> Key {
@@ -182,10 +182,16 @@
         status: 200,
         body: Bytes::from(vec![7; length]),
     };
-    let head = postcard::to_stdvec(&order(MAX_FRAME / 2)).unwrap().len() - MAX_FRAME / 2;
-    let longest = order(MAX_FRAME - head);
-    let refused = sender.send(order(MAX_FRAME - head + 1)).await.unwrap_err();
-    assert!(matches!(refused, Error::Oversize { length } if length == MAX_FRAME + 1));
+    let head = postcard::to_stdvec(&order(MAX_FRAME_BYTES / 2))
+        .unwrap()
+        .len()
+        - MAX_FRAME_BYTES / 2;
+    let longest = order(MAX_FRAME_BYTES - head);
+    let refused = sender
+        .send(order(MAX_FRAME_BYTES - head + 1))
+        .await
+        .unwrap_err();
+    assert!(matches!(refused, Error::Oversize { length } if length == MAX_FRAME_BYTES + 1));
     sender.send(longest.clone()).await.unwrap();
     assert_eq!(receiver.recv().await.unwrap().unwrap(), longest);
 }
