--- a/crates/record/src/schema.rs
+++ b/crates/record/src/schema.rs
@@ -21,30 +21,30 @@
 
 const SCHEMA: Field = Field::required(
     "schema",
-    Shape::Count {
+    Shape::Integer {
         min: OLDEST as u64,
         max: NEWEST as u64,
     },
 );
 const KIND: Field = Field::required(
     "kind",
-    Shape::Word(&["pipeline", "current", "service", "workspace", "drain"]),
+    Shape::OneOf(&["pipeline", "current", "service", "workspace", "drain"]),
 );
 const NAME: Field = Field::required("name", Shape::Name);
 const VERSION: Field = Field::required(
     "version",
-    Shape::Count {
+    Shape::Integer {
         min: 1,
         max: u32::MAX as u64,
     },
 );
-const NO_VERSION: Field = Field::optional("version", Shape::Count { min: 0, max: 0 });
+const NO_VERSION: Field = Field::optional("version", Shape::Integer { min: 0, max: 0 });
 
 const STAGE: Shape = Shape::Object(&[
     NAME,
     Field::required("service", Shape::Name),
-    Field::optional("repeatable", Shape::Flag),
-    Field::optional("stream", Shape::Flag),
+    Field::optional("repeatable", Shape::Bool),
+    Field::optional("stream", Shape::Bool),
     Field::optional("model", Shape::Name).since(2),
 ]);
 
@@ -52,14 +52,14 @@
     NAME,
     Field::required(
         "min",
-        Shape::Count {
+        Shape::Integer {
             min: 0,
             max: MAX_REPLICAS,
         },
     ),
     Field::required(
         "max",
-        Shape::Count {
+        Shape::Integer {
             min: 1,
             max: MAX_REPLICAS,
         },
@@ -73,13 +73,13 @@
     VERSION,
     Field::required(
         "deadline_ms",
-        Shape::Count {
+        Shape::Integer {
             min: 1,
             max: MAX_DEADLINE_MS,
         },
     ),
     Field::required("stages", Shape::List(&STAGE)),
-    Field::optional("durable", Shape::Flag).since(2),
+    Field::optional("durable", Shape::Bool).since(2),
     Field::optional("attainment", Shape::Ratio).since(2),
 ]);
 
@@ -90,15 +90,15 @@
     KIND,
     NAME,
     NO_VERSION,
-    Field::required("runner", Shape::Word(&["engine", "pool", "plain"])),
+    Field::required("runner", Shape::OneOf(&["engine", "pool", "plain"])),
     Field::required(
         "concurrency",
-        Shape::Count {
+        Shape::Integer {
             min: 1,
             max: MAX_CONCURRENCY,
         },
     ),
-    Field::optional("fencing", Shape::Word(&["checked", "unchecked"])),
+    Field::optional("fencing", Shape::OneOf(&["checked", "unchecked"])),
     Field::optional("models", Shape::List(&MODEL)).since(2),
 ]);
 
@@ -109,7 +109,7 @@
     NO_VERSION,
     Field::required(
         "share",
-        Shape::Count {
+        Shape::Integer {
             min: 1,
             max: MAX_SHARE,
         },
@@ -131,4 +131,4 @@
 }
 
 /// Shape of what every document has, whatever its kind.
-pub(crate) const HEAD: Shape = Shape::Open(&[SCHEMA, KIND, NAME]);
+pub(crate) const HEAD: Shape = Shape::OpenObject(&[SCHEMA, KIND, NAME]);
--- a/crates/record/src/shape.rs
+++ b/crates/record/src/shape.rs
@@ -22,7 +22,7 @@
     /// A string `IP:PORT` to listen on; port 0 takes a free one.
     Listen,
     /// A whole number within bounds.
-    Count {
+    Integer {
         /// Least value allowed.
         min: u64,
         /// Greatest value allowed.
@@ -31,15 +31,15 @@
     /// A number from 0 to 1.
     Ratio,
     /// A number of 0 or more.
-    Amount,
+    NonNegative,
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// One of a few words.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// An object with these fields.
     Object(&'static [Field]),
     /// An object with these fields and any others.
-    Open(&'static [Field]),
+    OpenObject(&'static [Field]),
     /// A list of values of one shape.
     List(&'static Shape),
 }
@@ -104,7 +104,7 @@
 /// ```
 /// use record::shape::{Field, Shape, check};
 ///
-/// const FIELDS: &[Field] = &[Field::required("share", Shape::Count { min: 1, max: 9 })];
+/// const FIELDS: &[Field] = &[Field::required("share", Shape::Integer { min: 1, max: 9 })];
 /// let value = serde_json::json!({"shore": 3});
 /// let mut faults = Vec::new();
 /// check(&value, &Shape::Object(FIELDS), 1, "", &mut |path, message| {
@@ -124,7 +124,7 @@
             check_unknown(object, fields, path, report);
             check_fields(object, fields, schema, path, report);
         }
-        (Shape::Open(fields), Value::Object(object)) => {
+        (Shape::OpenObject(fields), Value::Object(object)) => {
             check_fields(object, fields, schema, path, report);
         }
         (Shape::List(shape), Value::Array(elements)) => {
@@ -196,7 +196,7 @@
             address(text).is_some(),
             "an address IP:PORT, port 0 for a free one".to_owned(),
         ),
-        Shape::Count { min, max } => (
+        Shape::Integer { min, max } => (
             value.as_u64().is_some_and(|n| (*min..=*max).contains(&n)),
             format!("a whole number from {min} to {max}"),
         ),
@@ -204,16 +204,16 @@
             value.as_f64().is_some_and(|n| (0.0..=1.0).contains(&n)),
             "a number from 0 to 1".to_owned(),
         ),
-        Shape::Amount => (
+        Shape::NonNegative => (
             value.as_f64().is_some_and(|n| n >= 0.0 && n.is_finite()),
             "a number of 0 or more".to_owned(),
         ),
-        Shape::Flag => (value.is_boolean(), "true or false".to_owned()),
-        Shape::Word(words) => (
+        Shape::Bool => (value.is_boolean(), "true or false".to_owned()),
+        Shape::OneOf(words) => (
             text.is_some_and(|text| words.contains(&text)),
             format!("one of {}", words.join(", ")),
         ),
-        Shape::Object(_) | Shape::Open(_) => (false, "an object".to_owned()),
+        Shape::Object(_) | Shape::OpenObject(_) => (false, "an object".to_owned()),
         Shape::List(_) => (false, "a list".to_owned()),
     };
     if well { Ok(()) } else { Err(expected) }
--- a/crates/setting/examples/findings.rs
+++ b/crates/setting/examples/findings.rs
@@ -1,6 +1,6 @@
-//! Everything that is wrong with a settings file, at once: `cargo run -p setting --example findings`.
+//! Prints all faults of a settings file at once: `cargo run -p setting --example findings`.
 
-/// Settings with three mistakes and some fields missing.
+/// Settings with three mistakes and some missing fields.
 const TEXT: &str = r#"{
   // A name may not hold spaces.
   "id": "entry a1",
--- a/crates/setting/src/agent.rs
+++ b/crates/setting/src/agent.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bounds of the calls that a runner is given at once.
-const CONCURRENCY: Shape = Shape::Count {
+/// Allowed number of concurrent calls to a runner.
+const CONCURRENCY: Shape = Shape::Integer {
     min: 1,
     max: 65_536,
 };
-/// Bounds of the calls that wait.
-const QUEUE: Shape = Shape::Count {
+/// Allowed number of queued calls.
+const QUEUE: Shape = Shape::Integer {
     min: 0,
     max: 1_000_000,
 };
@@ -36,37 +36,38 @@
 pub struct Agent {
     /// Name of the VM in the platform's list.
     pub id: String,
-    /// Where it runs.
+    /// Region and failure domain of the VM.
     pub place: Place,
-    /// Where entries connect; port 0 takes a free one.
+    /// Address that entries connect to; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Where metrics are served; port 0 takes a free one.
+    /// Address of the metrics endpoint; port 0 picks a free one.
     pub metrics: SocketAddr,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: Platform,
     /// Shared key between entries and agents.
     pub key: String,
-    /// Service that the runner beside it serves.
+    /// Service that the agent's runner serves.
     pub service: String,
-    /// Where the runner listens.
+    /// Address of the runner.
     pub runner: SocketAddr,
-    /// Calls given to the runner at once at most.
+    /// Maximum number of concurrent calls to the runner.
     pub concurrency: u32,
-    /// Calls that may wait for a slot.
+    /// Maximum number of calls that wait for a slot.
     pub queue: u32,
-    /// Which decisions are taken.
+    /// Choice between the shipped and the baseline algorithms.
     #[serde(default)]
     pub policy: Policy,
-    /// Where news is published to other processes; port 0 takes a free one, none publishes none.
+    /// Address on which notifications are published to other processes; port 0 picks a free one,
+    /// `None` disables publishing.
     #[serde(default)]
     pub news: Option<SocketAddr>,
 }
 
-/// Reads the settings of an agent.
+/// Parses and validates the settings of an agent.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file, each with its path and position.
+/// All findings in the file, each with its path and position.
 ///
 /// # Examples
 ///
--- a/crates/setting/src/check.rs
+++ b/crates/setting/src/check.rs
@@ -1,18 +1,18 @@
-//! Checks of a whole file against a table of fields, by the checker that records use.
+//! Validation of a whole file against a table of fields, with the validator that records use.
 
 pub use record::shape::check;
 pub use record::{Field, Finding, Findings, Position, Shape, Text};
 
 use serde::de::DeserializeOwned;
 
-/// Settings have no schema number; their tables hold fields of the first schema only.
+/// Settings have no schema number; their tables contain only fields of the first schema.
 const SCHEMA: record::Schema = 1;
 
-/// Reads a file of JSON with comments and gives the typed value with its text.
+/// Parses JSON with comments and returns the typed value together with the parsed text.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file, in the order in which it stands there.
+/// All findings in the file, ordered by position.
 pub fn read<T: DeserializeOwned>(
     text: &str,
     origin: &str,
--- a/crates/setting/src/entry.rs
+++ b/crates/setting/src/entry.rs
@@ -6,32 +6,32 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Shortest and longest time between two readings, in milliseconds.
-const POLL_MS: Shape = Shape::Count {
+/// Allowed polling intervals, in milliseconds.
+const POLL_MS: Shape = Shape::Integer {
     min: 10,
     max: 60_000,
 };
 
-/// Bounds of the targets of one service that an entry keeps links to.
-const SUBSET: Shape = Shape::Count {
+/// Allowed number of targets of one service that an entry keeps links to.
+const SUBSET: Shape = Shape::Integer {
     min: 2,
     max: 10_000,
 };
-/// Most loads that may be started in one span.
-const LOADS: Shape = Shape::Count {
+/// Allowed number of model loads started per interval.
+const LOADS: Shape = Shape::Integer {
     min: 1,
     max: 10_000,
 };
-/// Bounds of spans and leases, in milliseconds.
-const SPAN_MS: Shape = Shape::Count {
+/// Allowed intervals and lease durations, in milliseconds.
+const INTERVAL_MS: Shape = Shape::Integer {
     min: 100,
     max: 3_600_000,
 };
 
 const PLACEMENT: Shape = Shape::Object(&[
     Field::optional("loads", LOADS),
-    Field::optional("every_ms", SPAN_MS),
-    Field::optional("lease_ms", SPAN_MS),
+    Field::optional("every_ms", INTERVAL_MS),
+    Field::optional("lease_ms", INTERVAL_MS),
 ]);
 
 const FIELDS: &[Field] = &[
@@ -48,7 +48,7 @@
     Field::optional("head_poll_ms", POLL_MS),
     Field::optional("news", Shape::Listen).nullable(),
     Field::optional("placement", PLACEMENT),
-    Field::optional("journal_beat_ms", SPAN_MS),
+    Field::optional("journal_beat_ms", INTERVAL_MS),
     Field::optional("subset", SUBSET),
 ];
 
@@ -57,42 +57,44 @@
 pub struct Entry {
     /// Name of the VM in the platform's list.
     pub id: String,
-    /// Where it runs.
+    /// Region and failure domain of the VM.
     pub place: Place,
-    /// Where callers and operators connect; port 0 takes a free one.
+    /// Address that clients and operators connect to; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Where metrics are served; port 0 takes a free one.
+    /// Address of the metrics endpoint; port 0 picks a free one.
     pub metrics: SocketAddr,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: Platform,
     /// Shared key between entries and agents.
     pub key: String,
     /// Operators who may change records.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// Certificate for callers and operators; plain HTTP without it.
+    /// Certificate for clients and operators; `None` serves plain HTTP.
     #[serde(default)]
     pub tls: Option<Tls>,
-    /// Which decisions are taken.
+    /// Choice between the shipped and the baseline algorithms.
     #[serde(default)]
     pub policy: Policy,
-    /// How often the VM list is read, in milliseconds.
+    /// Polling interval of the VM list, in milliseconds.
     #[serde(default = "default_vms_poll_ms")]
     pub vms_poll_ms: u64,
-    /// How often the head of the change log is read, in milliseconds.
+    /// Polling interval of the head of the change log, in milliseconds.
     #[serde(default = "default_head_poll_ms")]
     pub head_poll_ms: u64,
-    /// Where news is published to other processes; port 0 takes a free one, none publishes none.
+    /// Address on which notifications are published to other processes; port 0 picks a free one,
+    /// `None` disables publishing.
     #[serde(default)]
     pub news: Option<SocketAddr>,
     /// How models are placed on engines.
     #[serde(default)]
     pub placement: Placement,
-    /// How often the entry renews its hold on the durable requests that it runs, in milliseconds;
-    /// another entry takes them over after three times as long. The same for all entries.
+    /// Interval in milliseconds at which the entry renews its claims on the durable requests that
+    /// it runs; another entry takes them over after three intervals. All entries use the same
+    /// value.
     #[serde(default = "default_journal_beat_ms")]
     pub journal_beat_ms: u64,
-    /// Targets of one service that the entry keeps links to at most.
+    /// Maximum number of targets of one service that the entry keeps links to.
     #[serde(default = "default_subset")]
     pub subset: usize,
 }
@@ -101,11 +103,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Placement {
-    /// Loads started in each span of `every_ms` at most: the rate that the weight store bears.
+    /// Maximum number of loads started per `every_ms`: the rate that the weight store sustains.
     pub loads: u32,
-    /// Span in milliseconds over which loads are counted.
+    /// Interval in milliseconds over which loads are counted.
     pub every_ms: u64,
-    /// Time in milliseconds after which another entry takes over from a silent holder.
+    /// Time in milliseconds after which another entry takes over from a lease holder that does
+    /// not respond.
     pub lease_ms: u64,
 }
 
@@ -135,11 +138,11 @@
     1_000
 }
 
-/// Reads the settings of an entry.
+/// Parses and validates the settings of an entry.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file, each with its path and position.
+/// All findings in the file, each with its path and position.
 ///
 /// # Examples
 ///
@@ -152,22 +155,22 @@
     entry.and_then(|(entry, text)| check_operators(&entry, &text).map(|()| entry))
 }
 
-/// Two operators of one name could not be told apart in the change log, and two of one token
-/// would both be taken for the first.
+/// Two operators with the same name would be indistinguishable in the change log, and two with
+/// the same token would both be authenticated as the first.
 fn check_operators(entry: &Entry, text: &Text) -> Result<(), Findings> {
     let (mut names, mut tokens) = (HashSet::new(), HashSet::new());
     let mut findings = Findings::default();
     for (index, operator) in entry.operators.iter().enumerate() {
-        let mut find = |field: &str| {
+        let mut report = |field: &str| {
             let path = format!("operators[{index}].{field}");
             let message = format!("another operator has this {field}");
             findings.0.push(text.finding(&path, message));
         };
         if !names.insert(&operator.name) {
-            find("name");
+            report("name");
         }
         if !tokens.insert(&operator.token) {
-            find("token");
+            report("token");
         }
     }
     findings.into_result()
--- a/crates/setting/src/lib.rs
+++ b/crates/setting/src/lib.rs
@@ -1,10 +1,10 @@
-//! Settings of the daemon's roles: JSON with comments, checked as a whole.
+//! Settings of the daemon's roles: JSON with comments, validated as a whole.
 //!
 //! * [`entry`]: settings of an entry
 //! * [`agent`]: settings of an agent
 //! * [`relay`]: settings of a relay
-//! * [`check`]: the checker that settings share with records
-//! * [`shared`]: parts that both have
+//! * [`check`]: the validator that settings share with records
+//! * [`shared`]: parts that several roles have in common
 
 pub mod agent;
 pub mod check;
--- a/crates/setting/src/relay.rs
+++ b/crates/setting/src/relay.rs
@@ -5,28 +5,28 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bounds of the number of processes.
-const PROCESSES: Shape = Shape::Count {
+/// Allowed number of processes.
+const PROCESSES: Shape = Shape::Integer {
     min: 1,
     max: 10_000,
 };
 
-/// Bounds of a process's memory in megabytes.
-const MEMORY: Shape = Shape::Count {
+/// Allowed memory of a process, in megabytes.
+const MEMORY_MB: Shape = Shape::Integer {
     min: 16,
     max: 65_536,
 };
 
 const REPEATS: Shape = Shape::Object(&[
     Field::required("ratio", Shape::Ratio),
-    Field::required("slack", Shape::Amount),
-    Field::required("window_s", Shape::Amount),
+    Field::required("slack", Shape::NonNegative),
+    Field::required("window_s", Shape::NonNegative),
     Field::optional("processes", PROCESSES),
 ]);
 
 const WARMUP: Shape = Shape::Object(&[
-    Field::required("excess", Shape::Amount),
-    Field::required("slack", Shape::Amount),
+    Field::required("excess", Shape::NonNegative),
+    Field::required("slack", Shape::NonNegative),
 ]);
 
 const POLICY: Shape = Shape::Object(&[
@@ -51,14 +51,14 @@
     Field::required("metrics", Shape::Listen),
     Field::required("peers", Shape::Listen),
     Field::required("key", Shape::Text),
-    Field::optional("weight", Shape::Amount),
-    Field::optional("memory_mb", MEMORY),
-    Field::optional("first_start", Shape::Flag),
+    Field::optional("weight", Shape::NonNegative),
+    Field::optional("memory_mb", MEMORY_MB),
+    Field::optional("first_start", Shape::Bool),
     Field::required("store", Shape::Address),
     Field::optional("repeats", REPEATS),
     Field::optional("warmup", WARMUP),
-    Field::optional("grace_s", Shape::Amount),
-    Field::optional("drain_ms", Shape::Amount),
+    Field::optional("grace_s", Shape::NonNegative),
+    Field::optional("drain_ms", Shape::NonNegative),
     Field::optional("policy", POLICY),
 ];
 
@@ -67,105 +67,112 @@
 pub struct Relay {
     /// Name of the VM.
     pub id: String,
-    /// Where it runs.
+    /// Region and failure domain of the VM.
     pub place: Place,
     /// All failure domains of the deployment, with their regions.
     #[serde(default)]
     pub places: Vec<Place>,
-    /// Where callers connect; port 0 takes a free one.
+    /// Address that clients connect to; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Where the platform asks whether callers may come.
+    /// Address at which the platform checks whether the relay is ready for clients.
     pub ready: SocketAddr,
-    /// Where metrics are served; port 0 takes a free one.
+    /// Address of the metrics endpoint; port 0 picks a free one.
     pub metrics: SocketAddr,
-    /// Where the other relays connect; port 0 takes a free one.
+    /// Address that the other relays connect to; port 0 picks a free one.
     pub peers: SocketAddr,
     /// Shared key of the relays.
     pub key: String,
-    /// How much work for the others it takes on compared to them: its part of a core.
+    /// Weight of the relay when work is divided among the relays: the fraction of a core that it
+    /// has.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Memory that the process may take up, in megabytes.
+    /// Memory that the process may use, in megabytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
-    /// Whether the whole system starts for the first time, and no callers wait.
+    /// Whether the whole system starts for the first time, so that no clients are waiting.
     #[serde(default)]
     pub first_start: bool,
-    /// The platform's table service.
+    /// Address of the platform's table service.
     pub store: SocketAddr,
-    /// Bound on second attempts of the whole fleet.
+    /// Bound on the retries of the whole fleet.
     #[serde(default)]
     pub repeats: RetryBound,
-    /// What runners bear in any one second that have just started.
+    /// Bound on the request rate to runners that have just started.
     #[serde(default)]
     pub warmup: Warmup,
-    /// Time from the request to stop until the process is killed, in seconds.
+    /// Time from the shutdown request until the process is killed, in seconds.
     #[serde(default = "default_grace_s")]
     pub grace_s: f64,
-    /// Time within which a runner that has said that it leaves must get no new work, in milliseconds.
+    /// Time within which new work must stop reaching a runner that has announced that it leaves, in
+    /// milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: f64,
-    /// Which decisions it takes.
+    /// Choice between the shipped and the baseline algorithms.
     #[serde(default)]
     pub policy: Policies,
 }
 
-/// Which decisions a relay takes, for comparisons.
+/// Algorithms of a relay, each shipped or baseline, for comparisons. The documentation of a field
+/// names the shipped algorithm first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policies {
-    /// What goes into the calls of stages: shared by slack, or one request a call in order of
-    /// arrival.
+    /// Batching of stage calls: several requests per call by slack, or one request per call in
+    /// order of arrival.
     #[serde(default)]
     pub batches: Policy,
-    /// Who is refused: whoever cannot be served in time, or nobody before the deadline.
+    /// Which requests are refused: those that cannot be served in time, or none before the
+    /// deadline.
     #[serde(default)]
     pub admission: Policy,
-    /// Where stages run: near their inputs as far as there is time, or wherever a runner is free.
+    /// Where stages run: near their inputs as far as time allows, or on any free runner.
     #[serde(default)]
     pub near: Policy,
-    /// Whether the pieces of a request share a call: as far as they fit, or as they fill calls.
+    /// How the pieces of a request are grouped: in one call as far as they fit, or as they fill
+    /// calls.
     #[serde(default)]
     pub whole: Policy,
-    /// Which pieces go first among those that are due as soon: the requests with few, or any.
+    /// Which pieces go first among those that are equally urgent: those of requests with few
+    /// pieces, or any.
     #[serde(default)]
     pub small_first: Policy,
-    /// Until when inputs of a stage take up room: until its call has fetched them, or has ended.
+    /// How long the inputs of a stage occupy space: until its call has fetched them, or until the
+    /// call has ended.
     #[serde(default)]
     pub fetched: Policy,
-    /// What a relay goes by of the others' calls at model runners: what they tell, or its own calls
-    /// times their number.
+    /// How a relay estimates the other relays' calls to model runners: from their reports, or as
+    /// its own calls times the number of relays.
     #[serde(default)]
     pub board: Policy,
-    /// Who sends to runners that have just started: a few processes, at a bounded rate, where no other
-    /// runner is there, or all.
+    /// Which processes send to runners that have just started: a few, at a bounded rate, where no
+    /// other runner is available, or all.
     #[serde(default)]
     pub warmup: Policy,
-    /// Whether runners get work at whose addresses nothing listens, though they are listed: not until
-    /// something does, or as any other.
+    /// When listed runners with no listener at their address get work: only once something listens
+    /// there, or like any other runner.
     #[serde(default)]
     pub absent: Policy,
-    /// When a request goes to a further runner under which one has ended: once enough of the service's
-    /// runners are there, or at once.
+    /// When a request during which a runner has exited is sent to another runner: once enough of
+    /// the service's runners are up, or at once.
     #[serde(default)]
     pub suspects: Policy,
 }
 
-/// Bound on second attempts to one service in any window.
+/// Bound on the retries to one service in any window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryBound {
-    /// Repeats for each first attempt.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Repeats besides, over the whole fleet.
+    /// Additional retries, over the whole fleet.
     pub slack: f64,
     /// Length of the window in seconds.
     pub window_s: f64,
-    /// Processes that share the bound, as far as they do not know of one another.
+    /// Number of processes that share the bound, assumed by a process that does not know the others.
     #[serde(default = "default_processes")]
     pub processes: usize,
 }
 
 impl Default for RetryBound {
-    /// A usual retry budget: a tenth of the requests, and a few for a quiet service.
+    /// A common retry budget: a tenth of the requests, plus a few for a service with little traffic.
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -176,17 +183,17 @@
     }
 }
 
-/// Requests to a runner that has just started, over all processes, in any one second.
+/// Bound on requests to a runner that has just started, over all processes, in any one second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// As a multiple of the rate that its service tells.
+    /// Multiple of the rate that the service reports.
     pub excess: f64,
-    /// Besides.
+    /// Requests in addition to that rate.
     pub slack: f64,
 }
 
 impl Default for Warmup {
-    /// No more than the service tells.
+    /// No more than the service reports.
     fn default() -> Self {
         Self {
             excess: 1.0,
@@ -195,7 +202,7 @@
     }
 }
 
-/// That of common process managers, where nobody tells.
+/// Default of common process managers, for a service that reports none.
 fn default_drain_ms() -> f64 {
     3_000.0
 }
@@ -204,7 +211,8 @@
     8.0
 }
 
-/// More than the usual number of entry VMs: a process that knows of no other takes a small part.
+/// More than the usual number of entry VMs, so that a process that knows no others uses a small
+/// part of the bound.
 fn default_processes() -> usize {
     8
 }
@@ -213,16 +221,16 @@
     1.0
 }
 
-/// That of a small VM.
+/// Memory of a small VM.
 fn default_memory_mb() -> usize {
     128
 }
 
-/// Reads the settings of a relay.
+/// Parses and validates the settings of a relay.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file, each with its path and position.
+/// All findings in the file, each with its path and position.
 ///
 /// # Examples
 ///
--- a/crates/setting/src/shared.rs
+++ b/crates/setting/src/shared.rs
@@ -1,4 +1,4 @@
-//! Parts that the settings of both roles have.
+//! Parts that the settings of several roles have in common.
 
 use crate::check::{Field, Shape};
 use serde::{Deserialize, Serialize};
@@ -24,9 +24,9 @@
     Field::required("name", Shape::Name),
     Field::required("token", Shape::Text),
 ]);
-pub(crate) const POLICY: Shape = Shape::Word(&["naive", "shipped"]);
+pub(crate) const POLICY: Shape = Shape::OneOf(&["naive", "shipped"]);
 
-/// Where a process runs.
+/// Location of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// Region, such as `ee-north`.
@@ -35,16 +35,16 @@
     pub domain: String,
 }
 
-/// Where the platform's services listen.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Platform {
     /// Table service.
     pub table: SocketAddr,
     /// Object store.
     pub objects: SocketAddr,
-    /// List of VMs.
+    /// VM list.
     pub vms: SocketAddr,
-    /// Weight store, where engines load models.
+    /// Weight store, from which engines load models.
     #[serde(default)]
     pub weights: Option<SocketAddr>,
 }
@@ -56,8 +56,8 @@
     pub certificate: PathBuf,
     /// PEM file with the private key.
     pub key: PathBuf,
-    /// PEM file with the authorities that the other entries' certificates are checked against; the
-    /// own certificate's file without it.
+    /// PEM file with the authorities that verify the certificates of the other entries; `None`
+    /// uses the file of the own certificate.
     #[serde(default)]
     pub ca: Option<PathBuf>,
 }
@@ -71,13 +71,13 @@
     pub token: String,
 }
 
-/// Which decisions a process takes.
+/// Which algorithms a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// Round robin, unbounded queues, retry on every error: the baseline.
+    /// The baseline: round robin, unbounded queues, retry on every error.
     Naive,
-    /// The decisions of the `decide` crate.
+    /// The algorithms of the `decide` crate.
     #[default]
     Shipped,
 }
--- a/crates/setting/tests/file_findings.rs
+++ b/crates/setting/tests/file_findings.rs
@@ -1,9 +1,9 @@
-//! Findings of settings files, with their places.
+//! Findings in settings files, with their positions.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
 const ENTRY: &str = r#"{
-  // an entry with nothing but what it needs
+  // an entry with the required fields only
   "id": "entry-1",
   "place": {"region": "ee-north", "domain": "a"},
   "listen": "127.0.0.1:0",
@@ -38,8 +38,8 @@
     );
 }
 
-/// Guards against a relay that does not start since its settings name a decision that the checker does
-/// not know.
+/// Guards against a relay that does not start because its settings name a policy that the validator
+/// does not know.
 #[test]
 fn policies_known() {
     let policy = serde_json::to_string(&setting::relay::Policies::default()).unwrap();
@@ -51,24 +51,23 @@
     setting::relay::parse(&text, "relay.jsonc").unwrap();
 }
 
-/// An operator who mends one fault per start needs as many starts as there are faults, so that a
-/// fleet stays down longer than it has to. All faults of the file come at once.
+/// All faults of a file are reported at once. If only the first were, an operator would need one
+/// start per fault, and the fleet would stay down longer than necessary.
 #[test]
 fn all_at_once() {
     let findings = setting::entry::parse(BAD_ENTRY, "entry.jsonc").unwrap_err();
     insta::assert_snapshot!(findings);
 }
 
-/// A brace is lost while a file is edited. The daemon does not start, and the operator sees the
-/// line on which reading stopped.
+/// A file with a missing brace is rejected with the line on which parsing stopped.
 #[test]
 fn broken_text() {
     let findings = setting::agent::parse("{\n  \"id\": \"a\",\n  \"place\": ]\n", "agent.jsonc");
     insta::assert_snapshot!(findings.unwrap_err());
 }
 
-/// Two operators are given one token by copy and paste. The change log would name the first for
-/// what the second did.
+/// Two operators must not share a token, for example after copy and paste: the change log would
+/// attribute the second operator's changes to the first.
 #[test]
 fn shared_token() {
     let operators = r#""operators": [
