--- a/crates/wire/examples/hop.rs
+++ b/crates/wire/examples/hop.rs
@@ -1,7 +1,8 @@
-//! Measures one hop between two ends in one process and prints a line of JSON.
+//! Measures the round-trip time between two ends in one process and prints a line of JSON.
 //!
-//! `hop link` sends frames over a link, `hop nng` over raw nng request and reply, and `hop news`
-//! only holds a publisher and a subscriber, to show what they cost in threads and memory.
+//! `hop link` sends frames over a link and `hop nng` over raw nng request and reply. `hop idle`
+//! and `hop news` measure no round trips: they show the threads and memory of an idle process and
+//! of one with a publisher and a subscriber.
 
 use bytes::Bytes;
 use std::error::Error;
@@ -12,14 +13,14 @@
 
 type Outcome<T> = Result<T, Box<dyn Error>>;
 
-const WARM_UP: usize = 2_000;
+const WARM_UP_TRIPS: usize = 2_000;
 const ROUND_TRIPS: usize = 50_000;
-const PAYLOAD: usize = 512;
-const WORKERS: usize = 2;
+const PAYLOAD_BYTES: usize = 512;
+const WORKER_THREADS: usize = 2;
 
 fn main() -> Outcome<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
     let mode = std::env::args().nth(1).unwrap_or_default();
@@ -27,7 +28,7 @@
         "idle" => Vec::new(),
         "link" => runtime.block_on(link())?,
         "nng" => nng()?,
-        "news" => return runtime.block_on(news()),
+        "news" => return runtime.block_on(pubsub()),
         _ => return Err("usage: hop idle|link|nng|news".into()),
     };
     report(&mode, times)
@@ -41,18 +42,18 @@
     let key = Key::new("key");
     let listener: Listener = Listener::bind(loopback(), key.clone()).await?;
     let (sender, mut receiver) = wire::connect(listener.address()?, &key).await?;
-    let (echo, mut heard) = listener.accept().await?;
+    let (echo, mut incoming) = listener.accept().await?;
     tokio::spawn(async move {
-        while let Ok(Some(frame)) = heard.recv().await {
+        while let Ok(Some(frame)) = incoming.recv().await {
             if echo.send(frame).await.is_err() {
                 break;
             }
         }
     });
     let client = tokio::spawn(async move {
-        let body = Bytes::from(vec![7; PAYLOAD]);
-        let mut times = Vec::with_capacity(WARM_UP + ROUND_TRIPS);
-        for _ in 0..WARM_UP + ROUND_TRIPS {
+        let body = Bytes::from(vec![7; PAYLOAD_BYTES]);
+        let mut times = Vec::with_capacity(WARM_UP_TRIPS + ROUND_TRIPS);
+        for _ in 0..WARM_UP_TRIPS + ROUND_TRIPS {
             let body = body.clone();
             let start = Instant::now();
             sender.send(Frame::OrderDone { status: 200, body }).await?;
@@ -80,9 +81,9 @@
     });
     let client = Socket::new(Protocol::Req0)?;
     client.dial(&format!("tcp://127.0.0.1:{port}"))?;
-    let body = vec![7; PAYLOAD];
-    let mut times = Vec::with_capacity(WARM_UP + ROUND_TRIPS);
-    for _ in 0..WARM_UP + ROUND_TRIPS {
+    let body = vec![7; PAYLOAD_BYTES];
+    let mut times = Vec::with_capacity(WARM_UP_TRIPS + ROUND_TRIPS);
+    for _ in 0..WARM_UP_TRIPS + ROUND_TRIPS {
         let start = Instant::now();
         client.send(body.as_slice()).map_err(|(_, error)| error)?;
         client.recv()?;
@@ -91,11 +92,11 @@
     Ok(times)
 }
 
-async fn news() -> Outcome<()> {
+async fn pubsub() -> Outcome<()> {
     let publisher = Publisher::bind(loopback(), Key::new("key"))?;
-    let (subscriber, mut news) = Subscriber::new(Key::new("key"))?;
+    let (subscriber, mut notifications) = Subscriber::new(Key::new("key"))?;
     subscriber.dial(publisher.address())?;
-    while news.try_recv().is_err() {
+    while notifications.try_recv().is_err() {
         publisher.publish(wire::pubsub::Notification::Head { revision: 1 })?;
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -103,10 +104,10 @@
 }
 
 fn report(mode: &str, mut times: Vec<Duration>) -> Outcome<()> {
-    times.drain(..WARM_UP.min(times.len()));
+    times.drain(..WARM_UP_TRIPS.min(times.len()));
     times.sort_unstable();
-    let at = |share: usize| {
-        let time = times.get(times.len() * share / 100);
+    let percentile = |percent: usize| {
+        let time = times.get(times.len() * percent / 100);
         time.map_or("null".to_owned(), |time| {
             format!("{:.1}", time.as_secs_f64() * 1e6)
         })
@@ -114,15 +115,15 @@
     println!(
         r#"{{"mode":"{mode}","round_trips":{},"p50_us":{},"p99_us":{},"threads":{},"resident_kb":{}}}"#,
         times.len(),
-        at(50),
-        at(99),
+        percentile(50),
+        percentile(99),
         status("Threads:")?,
         status("VmRSS:")?,
     );
     Ok(())
 }
 
-/// A number of this process's entry in /proc.
+/// Reads a numeric field of this process from /proc.
 fn status(field: &str) -> Outcome<u64> {
     let text = std::fs::read_to_string("/proc/self/status")?;
     let line = text.lines().find_map(|line| line.strip_prefix(field));
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! What entries and agents say to each other about calls.
+//! Messages between entries and agents about calls and models.
 
 use bytes::Bytes;
 use protocol::{CallId, FencingToken, Incarnation, Revision, Sequence};
@@ -8,11 +8,11 @@
 /// One message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Entry to agent: take this call into the queue.
+    /// Entry to agent: enqueue this call.
     Offer {
         /// The attempt.
         call: CallId,
-        /// What to run.
+        /// Work to execute.
         work: Box<Work>,
     },
     /// Entry to agent: the call may start.
@@ -20,29 +20,29 @@
         /// The attempt.
         call: CallId,
     },
-    /// Entry to agent: the call may never start.
+    /// Entry to agent: the call must never start.
     Deny {
         /// The attempt.
         call: CallId,
     },
-    /// Entry to agent: hand the call back unless it has started.
+    /// Entry to agent: remove the call from the queue unless it has started.
     Revoke {
         /// The attempt.
         call: CallId,
     },
-    /// Entry to agent: the answer is no longer wanted; stop the runner's work if it can be.
+    /// Entry to agent: the answer is no longer needed; stop the runner's work if possible.
     Cancel {
         /// The attempt.
         call: CallId,
     },
-    /// Entry to agent, after a link was lost: send the answer again from this chunk on.
+    /// Entry to agent, after a link was lost: resend the answer from this chunk on.
     Recall {
         /// The attempt.
         call: CallId,
-        /// First chunk that the entry lacks.
+        /// First chunk that the entry has not received.
         from: Sequence,
     },
-    /// Agent to entry: a slot is free, may the call start?
+    /// Agent to entry: a slot is free; asks whether the call may start.
     Ask {
         /// The attempt.
         call: CallId,
@@ -51,14 +51,14 @@
     Refuse {
         /// The attempt.
         call: CallId,
-        /// Why it did not start.
+        /// Reason why it did not start.
         reason: Refusal,
-        /// How long the agent would wait before it tried again.
+        /// Time that the agent suggests to wait before a retry.
         retry_after: Duration,
-        /// The agent's load at that moment.
+        /// Load of the agent when it sent the message.
         load: Load,
     },
-    /// Agent to entry: the runner has the work.
+    /// Agent to entry: the runner has received the work.
     Start {
         /// The attempt.
         call: CallId,
@@ -72,17 +72,17 @@
         /// Content.
         data: Bytes,
     },
-    /// Agent to entry: end mark of a whole answer.
+    /// Agent to entry: end of a complete answer.
     Done {
         /// The attempt.
         call: CallId,
-        /// Chunks in the whole answer.
+        /// Number of chunks in the whole answer.
         chunks: Sequence,
-        /// Bytes in the chunks that this attempt sent.
+        /// Number of bytes in the chunks that this attempt sent.
         length: u64,
         /// Time the runner was busy with the call.
         busy: Duration,
-        /// The agent's load at that moment.
+        /// Load of the agent when it sent the message.
         load: Load,
     },
     /// Agent to entry: the runner answered with an error.
@@ -93,53 +93,55 @@
         status: u16,
         /// Body of the runner's answer.
         body: Bytes,
-        /// The agent's load at that moment.
+        /// Load of the agent when it sent the message.
         load: Load,
     },
-    /// Agent to entry: the call started, but its answer was lost, cut short or another's.
+    /// Agent to entry: the call started, but its answer was lost, truncated or belongs to another
+    /// call.
     Break {
         /// The attempt.
         call: CallId,
-        /// What went wrong, for logs.
+        /// Cause of the failure, for logs.
         reason: String,
-        /// The agent's load at that moment.
+        /// Load of the agent when it sent the message.
         load: Load,
     },
-    /// Agent to entry: this agent takes no new work from now on.
+    /// Agent to entry: this agent accepts no new work from now on.
     Leave {
-        /// Life of the agent that leaves.
+        /// Incarnation of the agent that leaves.
         incarnation: Incarnation,
     },
-    /// Entry to agent: pass an order on to the engine; orders of one link are carried out in
-    /// turn.
+    /// Entry to agent: forward an order to the engine; orders of one link are executed in
+    /// sequence.
     Order {
-        /// Fencing number of the lease under which the order is given.
+        /// Fencing token of the lease under which the order is given.
         fence: FencingToken,
         /// JSON body of the order.
         body: Bytes,
     },
-    /// Agent to entry: what became of the oldest order of this link that is still open.
+    /// Agent to entry: result of the oldest order of this link that is still open.
     OrderDone {
-        /// HTTP status of the engine's answer, or 412 if the agent refused an old number.
+        /// HTTP status of the engine's answer, or 412 if the agent refused an outdated token.
         status: u16,
         /// Body of the engine's answer.
         body: Bytes,
     },
-    /// Entry to agent: what does the engine hold?
+    /// Entry to agent: asks for the engine's models.
     Query {
-        /// Number of the question on this link.
+        /// Number of the query on this link.
         number: u64,
-        /// Fencing number of the lease that the asking entry holds, if it does: the answer then
-        /// comes only once orders with lower numbers are refused.
+        /// Fencing token of the lease, if the querying entry holds it: the answer is then sent
+        /// only once orders with lower tokens are refused.
         fence: Option<FencingToken>,
-        /// Models that callers of the asking entry have lacked since its last question.
+        /// Models that requests at the querying entry needed but did not find since its last
+        /// query.
         wanted: Vec<String>,
     },
-    /// Agent to entry: what the engine held at some moment after the question came.
+    /// Agent to entry: models of the engine at some moment after the query arrived.
     Models {
-        /// Number of the question.
+        /// Number of the query.
         number: u64,
-        /// What it held, or `None` if it could not be asked.
+        /// Models of the engine, or `None` if it could not be queried.
         models: Option<Models>,
     },
 }
@@ -171,7 +173,7 @@
     }
 }
 
-/// What a runner is asked to do.
+/// Work for a runner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Work {
     /// Workspace of the caller.
@@ -182,34 +184,34 @@
     pub service: String,
     /// Name of the stage.
     pub stage: String,
-    /// Whether the call may run more than once; if not, it needs a grant.
+    /// Whether the call may run more than once; a call that may not needs a [`Frame::Grant`].
     pub repeatable: bool,
     /// Whether the runner should stream its answer.
     pub stream: bool,
     /// Priority at the runner; higher goes first.
     pub priority: u8,
-    /// Time left until the end-to-end deadline, at the moment of sending.
+    /// Time left until the end-to-end deadline when the message was sent.
     pub remaining: Duration,
     /// Hashes of the prompt's prefix blocks, longest last.
     pub prefix: Vec<u64>,
-    /// First chunk to send; earlier ones have reached the caller already.
+    /// First chunk to send; earlier ones have already reached the caller.
     pub resume: Sequence,
-    /// Configuration revision that the request began with.
+    /// Configuration revision under which the request started.
     pub revision: Revision,
     /// JSON input of the stage.
     pub input: Bytes,
-    /// Model that answers it, if the stage names one.
+    /// Model that executes it, if the stage names one.
     pub model: Option<String>,
 }
 
-/// What an engine holds.
+/// Models of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Models {
     /// Models that are loaded.
     pub warm: Vec<String>,
-    /// Model that it loads at the agent's order.
+    /// Model that it is loading by order of the agent.
     pub loading: Option<String>,
-    /// Models that callers of any entry have lately lacked.
+    /// Models that requests at any entry recently needed but did not find.
     pub wanted: Vec<String>,
 }
 
@@ -218,7 +220,7 @@
 pub enum Refusal {
     /// The queue is full.
     Full,
-    /// The agent is leaving.
+    /// The agent is shutting down.
     Leaving,
     /// The entry revoked the call.
     Revoked,
@@ -228,21 +230,21 @@
     Unreachable,
     /// The agent serves another service.
     Misdirected,
-    /// The agent has no memory of the call and will not start it.
+    /// The agent has no record of the call and will not start it.
     Forgotten,
 }
 
-/// An agent's load; rides on its answers.
+/// Load of an agent, piggybacked on its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Calls that wait for a slot.
+    /// Number of calls that wait for a slot.
     pub queued: u32,
-    /// Calls at the runner.
+    /// Number of calls at the runner.
     pub running: u32,
-    /// Calls that the runner is given at once at most.
+    /// Maximum number of concurrent calls to the runner.
     pub limit: u32,
-    /// Prefix blocks of the call that the runner found in its cache.
+    /// Number of the call's prefix blocks that the runner found in its cache.
     pub prefix_hits: u32,
-    /// Prefix blocks of the call.
+    /// Number of the call's prefix blocks.
     pub prefix_blocks: u32,
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,8 @@
-//! Proof that both ends of a new link hold the shared key.
+//! Mutual authentication of both ends of a new link by the shared key.
 //!
 //! The connecting side sends a nonce; the accepting side answers with its own nonce and a proof
-//! over both; the connecting side then sends its proof. The two proofs are made under different
-//! labels, because a peer without the key could otherwise send an end its own proof back.
+//! over both; the connecting side then sends its proof. The two proofs are computed under
+//! different labels, because a peer without the key could otherwise reflect an end's own proof.
 
 use crate::link::{Error, Key, SocketSnafu};
 use hmac::{Hmac, Mac};
@@ -14,22 +14,22 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longest time a handshake may take; a peer that connects and stays silent is dropped then.
+/// Maximum duration of a handshake; a peer that connects and sends nothing is dropped after it.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Version of the handshake and of the frames behind it.
+/// Version of the handshake and of the frames that follow it.
 const VERSION: u8 = 1;
-/// Bytes of a nonce.
-const NONCE: usize = 32;
-/// Bytes of a proof: those of a SHA-256 hash.
-const PROOF: usize = 32;
+/// Length of a nonce, in bytes.
+const NONCE_BYTES: usize = 32;
+/// Length of a proof, in bytes: that of a SHA-256 hash.
+const PROOF_BYTES: usize = 32;
 /// Label of the accepting side's proof.
 const ACCEPTING: &[u8] = b"linnetdrift link accepting";
 /// Label of the connecting side's proof.
 const CONNECTING: &[u8] = b"linnetdrift link connecting";
 
-type Nonce = [u8; NONCE];
-type Proof = [u8; PROOF];
+type Nonce = [u8; NONCE_BYTES];
+type Proof = [u8; PROOF_BYTES];
 
 /// The two nonces that both proofs cover.
 struct Challenge {
@@ -59,20 +59,20 @@
     }
 }
 
-/// A fresh keyed hash under the shared key.
+/// A new HMAC under the shared key.
 pub(crate) fn mac(key: &Key) -> Hmac<Sha256> {
-    // HMAC takes keys of every length, so this cannot fail.
-    Hmac::new_from_slice(key.bytes()).unwrap_or_else(|_| unreachable!("HMAC takes any key"))
+    // HMAC accepts keys of any length, so this cannot fail.
+    Hmac::new_from_slice(key.bytes()).unwrap_or_else(|_| unreachable!("HMAC accepts any key"))
 }
 
-/// Carries out the connecting side within [`TIMEOUT`].
+/// Performs the connecting side of the handshake within [`TIMEOUT`].
 pub(crate) async fn connect(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &Key,
 ) -> Result<(), Error> {
-    in_time(async {
+    with_timeout(async {
         let connecting = nonce()?;
-        let mut hello = [VERSION; 1 + NONCE];
+        let mut hello = [VERSION; 1 + NONCE_BYTES];
         hello[1..].copy_from_slice(&connecting);
         send(stream, &hello).await?;
         let accepting: Nonce = receive(stream).await?;
@@ -87,12 +87,12 @@
     .await
 }
 
-/// Carries out the accepting side within [`TIMEOUT`].
+/// Performs the accepting side of the handshake within [`TIMEOUT`].
 pub(crate) async fn accept(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &Key,
 ) -> Result<(), Error> {
-    in_time(async {
+    with_timeout(async {
         let [version] = receive(stream).await?;
         snafu::ensure!(version == VERSION, crate::link::UnauthorizedSnafu);
         let connecting: Nonce = receive(stream).await?;
@@ -100,9 +100,9 @@
             connecting,
             accepting: nonce()?,
         };
-        let mut answer = [0; NONCE + PROOF];
-        answer[..NONCE].copy_from_slice(&challenge.accepting);
-        answer[NONCE..].copy_from_slice(&challenge.prove(key, ACCEPTING));
+        let mut answer = [0; NONCE_BYTES + PROOF_BYTES];
+        answer[..NONCE_BYTES].copy_from_slice(&challenge.accepting);
+        answer[NONCE_BYTES..].copy_from_slice(&challenge.prove(key, ACCEPTING));
         send(stream, &answer).await?;
         let proof: Proof = receive(stream).await?;
         challenge.verify(key, CONNECTING, &proof)
@@ -110,7 +110,7 @@
     .await
 }
 
-async fn in_time(work: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+async fn with_timeout(work: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
     timeout(TIMEOUT, work)
         .await
         .map_err(std::io::Error::from)
@@ -118,7 +118,7 @@
 }
 
 fn nonce() -> Result<Nonce, Error> {
-    let mut nonce = [0; NONCE];
+    let mut nonce = [0; NONCE_BYTES];
     OsRng
         .try_fill_bytes(&mut nonce)
         .map_err(std::io::Error::other)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Messages between the system's own processes and the links that carry them.
 //!
-//! * [`frame`]: what entries and agents say to each other about calls
+//! * [`frame`]: messages between entries and agents
 //! * [`link`]: an ordered link between one entry and one agent
-//! * [`handshake`]: proof that both ends hold the shared key
+//! * [`handshake`]: mutual authentication by a shared key
 //! * [`liveness`]: detection of a dead peer
-//! * [`pubsub`]: lossy publish and subscribe between processes
+//! * [`pubsub`]: lossy publish-subscribe between processes
 
 pub mod frame;
 pub mod handshake;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,13 +1,13 @@
 //! An ordered link between two processes: length-delimited postcard frames over TCP.
 //!
-//! What the frames say is a type of the caller's; between an entry and an agent it is [`Frame`].
+//! The type of the messages is a parameter; between an entry and an agent it is [`Frame`].
 //!
-//! A link starts with a [`crate::handshake`] and is watched for
-//! [silence](crate::liveness). An empty frame only says that the peer is alive.
+//! A link starts with a [`crate::handshake`] and is monitored for
+//! [liveness](crate::liveness). An empty frame only shows that the peer is alive.
 
 use crate::frame::Frame;
 use crate::handshake;
-use crate::liveness::{KEEPALIVE, Watch};
+use crate::liveness::{KEEPALIVE, TimeoutReader};
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use serde::Serialize;
@@ -23,33 +23,33 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Largest frame in bytes, without its length: one of this size is carried, one byte more is
-/// refused by the sender with [`Error::Oversize`] and closes the link at the receiver.
+/// Maximum length of a frame in bytes, without the length prefix. A longer frame is refused by the
+/// sender with [`Error::Oversize`] and closes the link at the receiver.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
-/// Frames that wait for the writer before senders wait.
-const QUEUE: usize = 1024;
-/// Bytes that are written together at most.
-const BATCH: usize = 64 << 10;
-/// Connections in their handshake at once; further ones wait in the system's backlog.
-const HANDSHAKES: usize = 64;
-
-/// What can go wrong with a link.
+/// Capacity of the writer's queue; senders wait while it is full.
+const QUEUE_FRAMES: usize = 1024;
+/// Size of the write buffer, in bytes.
+const WRITE_BUFFER_BYTES: usize = 64 << 10;
+/// Maximum number of concurrent handshakes; further connections wait in the system's backlog.
+const MAX_HANDSHAKES: usize = 64;
+
+/// Errors of a link.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The socket failed.
     #[snafu(display("link: {source}"))]
     Socket {
-        /// Cause given by the operating system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A frame could not be read.
+    /// A frame could not be encoded or decoded.
     #[snafu(display("frame: {source}"))]
     Codec {
-        /// Cause given by the codec.
+        /// Error of the codec.
         source: postcard::Error,
     },
-    /// The frame is longer than [`MAX_FRAME_BYTES`]; the link goes on without it.
+    /// The frame is longer than [`MAX_FRAME_BYTES`]; it was not sent, and the link stays open.
     #[snafu(display("frame of {length} bytes is longer than {MAX_FRAME_BYTES}"))]
     Oversize {
         /// Length of the frame in bytes.
@@ -63,11 +63,11 @@
     Unauthorized,
 }
 
-/// Shared key of a deployment's entries and agents.
+/// Shared key of a deployment's processes.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
-/// Shows nothing of the key, so that it cannot end up in a log.
+/// Omits the key, so that it cannot end up in a log.
 impl std::fmt::Debug for Key {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("Key")
@@ -87,14 +87,14 @@
     }
 }
 
-/// What the writer is given.
+/// Item of the writer's queue.
 #[derive(Debug)]
 enum Item {
     Frame(Bytes),
     Flush(oneshot::Sender<()>),
 }
 
-/// Sending end of a link; clones share the link.
+/// Sending half of a link; clones share the link.
 #[derive(Debug)]
 pub struct Sender<M = Frame> {
     queue: mpsc::Sender<Item>,
@@ -124,39 +124,39 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] if the link is gone, [`Error::Oversize`] if the frame is too long; the
-    /// frame may or may not have been sent otherwise.
+    /// [`Error::Closed`] if the link is closed, [`Error::Oversize`] if the frame is too long.
+    /// Without an error, the frame may still be lost with the link.
     pub async fn send(&self, frame: M) -> Result<(), Error> {
         self.queue(Item::Frame(encode(&frame)?)).await
     }
 
-    /// Queues a frame if there is room for it, without waiting.
+    /// Queues a frame without waiting for space in the queue.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] also if the queue is full: a peer that reads so slowly is as good as gone.
+    /// [`Error::Closed`] also if the queue is full: a peer that reads so slowly is treated as lost.
     pub fn try_send(&self, frame: &M) -> Result<(), Error> {
         ensure!(!self.lost.is_cancelled(), ClosedSnafu);
         let item = Item::Frame(encode(frame)?);
         self.queue.try_send(item).map_err(|_| Error::Closed)
     }
 
-    /// Whether the link is known to be gone.
+    /// Whether the link is known to be lost.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.lost.is_cancelled()
     }
 
-    /// Ends the link at once.
+    /// Closes the link immediately, without sending queued frames.
     pub fn abort(&self) {
         self.lost.cancel();
     }
 
-    /// Waits until all frames sent before have been handed to the operating system.
+    /// Waits until all frames queued so far have been passed to the operating system.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] if the link was lost before.
+    /// [`Error::Closed`] if the link was lost first.
     pub async fn flush(&self) -> Result<(), Error> {
         let (done, flushed) = oneshot::channel();
         self.queue(Item::Flush(done)).await?;
@@ -176,25 +176,26 @@
     Ok(bytes.into())
 }
 
-/// Receiving end of a link.
+/// Receiving half of a link.
 #[derive(Debug)]
 pub struct Receiver<M = Frame> {
-    frames: FramedRead<Watch<OwnedReadHalf>, LengthDelimitedCodec>,
+    frames: FramedRead<TimeoutReader<OwnedReadHalf>, LengthDelimitedCodec>,
     lost: CancellationToken,
     message: PhantomData<fn() -> M>,
 }
 
 impl<M: DeserializeOwned> Receiver<M> {
-    /// The next frame, or `None` once the link is closed. Dropping the future loses no frame.
+    /// Receives the next frame, or `None` once the link is closed. Cancel safe: dropping the future
+    /// loses no frame.
     ///
     /// # Errors
     ///
-    /// [`Error::Socket`] or [`Error::Codec`]; the link is of no further use after either. Its
-    /// [`Sender`]s fail from then on, as they do once it is closed.
+    /// [`Error::Socket`] or [`Error::Codec`]. The link is unusable after either: its [`Sender`]s
+    /// fail from then on, as they do once it is closed.
     pub async fn recv(&mut self) -> Result<Option<M>, Error> {
         let received = self.read().await;
-        // A writer that went on after the peer has closed would take frames that nobody reads,
-        // and their sender would count them as sent.
+        // A writer that continued after the peer has closed would accept frames that are never
+        // read, and their sender would count them as sent.
         if !matches!(received, Ok(Some(_))) {
             self.lost.cancel();
         }
@@ -212,7 +213,7 @@
     }
 }
 
-/// Both ends of a link.
+/// Both halves of one end of a link.
 type Link<M> = (Sender<M>, Receiver<M>);
 
 /// Accepts links.
@@ -224,7 +225,7 @@
 }
 
 impl<M: 'static> Listener<M> {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 picks a free one.
     ///
     /// # Errors
     ///
@@ -232,7 +233,7 @@
     pub async fn bind(address: SocketAddr, key: Key) -> Result<Self, Error> {
         let socket = TcpListener::bind(address).await.context(SocketSnafu)?;
         let address = socket.local_addr().context(SocketSnafu)?;
-        let (ready, links) = mpsc::channel(HANDSHAKES);
+        let (ready, links) = mpsc::channel(MAX_HANDSHAKES);
         let stop = CancellationToken::new();
         let accepting = accept_all(socket, key, ready);
         tokio::spawn(stop.clone().run_until_cancelled_owned(accepting));
@@ -247,35 +248,35 @@
     ///
     /// # Errors
     ///
-    /// None today; kept for listeners that learn their address late.
+    /// Never fails; the result type leaves room for listeners that learn their address late.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         Ok(self.address)
     }
 
-    /// Waits for the next link whose peer has shown that it holds the key.
+    /// Waits for the next link whose peer has proved that it holds the key.
     ///
     /// # Errors
     ///
-    /// [`Error::Socket`] or [`Error::Unauthorized`] if one connection failed; the listener goes
-    /// on.
+    /// [`Error::Socket`] or [`Error::Unauthorized`] if one connection failed; the listener stays
+    /// usable.
     pub async fn accept(&self) -> Result<Link<M>, Error> {
         self.links.lock().await.recv().await.ok_or(Error::Closed)?
     }
 }
 
-/// Takes connections and carries out each handshake in a task of its own, so that a peer that
-/// connects and stays silent does not keep others waiting.
+/// Accepts connections and performs each handshake in its own task, so that a peer that connects
+/// and sends nothing does not block others.
 async fn accept_all<M: 'static>(
     socket: TcpListener,
     key: Key,
     ready: mpsc::Sender<Result<Link<M>, Error>>,
 ) {
-    let handshakes = Arc::new(Semaphore::new(HANDSHAKES));
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     while let Ok(permit) = handshakes.clone().acquire_owned().await {
         let stream = match socket.accept().await {
             Ok((stream, _)) => stream,
             Err(source) => {
-                // Out of descriptors, say: accepting again at once would spin on the same error.
+                // Avoids a busy loop on a persistent error such as exhausted file descriptors.
                 sleep(KEEPALIVE).await;
                 let _ = ready.send(Err(Error::Socket { source })).await;
                 continue;
@@ -315,7 +316,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Socket`] if it cannot be reached in time, [`Error::Unauthorized`] if the keys
+/// [`Error::Socket`] if the listener cannot be reached in time, [`Error::Unauthorized`] if the keys
 /// differ.
 pub async fn connect<M>(address: SocketAddr, key: &Key) -> Result<Link<M>, Error> {
     let mut stream = timeout(handshake::TIMEOUT, TcpStream::connect(address))
@@ -330,15 +331,15 @@
 
 fn split<M>(stream: TcpStream) -> Link<M> {
     let (read, write) = stream.into_split();
-    let (queue, items) = mpsc::channel(QUEUE);
+    let (queue, items) = mpsc::channel(QUEUE_FRAMES);
     let mut sink = FramedWrite::new(write, codec());
-    sink.set_backpressure_boundary(BATCH);
+    sink.set_backpressure_boundary(WRITE_BUFFER_BYTES);
     let lost = CancellationToken::new();
     let writing = lost
         .clone()
         .run_until_cancelled_owned(write_all(sink, items));
     tokio::spawn(writing);
-    let frames = FramedRead::new(Watch::new(read), codec());
+    let frames = FramedRead::new(TimeoutReader::new(read), codec());
     let sender = Sender {
         queue,
         lost: lost.clone(),
@@ -360,7 +361,7 @@
 
 type Sink = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
-/// Writes what is queued and flushes once the queue is empty, so that a burst of tokens costs one
+/// Writes queued frames and flushes once the queue is empty, so that a burst of tokens costs one
 /// system call.
 async fn write_all(mut sink: Sink, mut items: mpsc::Receiver<Item>) -> Result<(), Error> {
     loop {
@@ -381,16 +382,16 @@
     items: &mut mpsc::Receiver<Item>,
 ) -> Result<(), Error> {
     let mut next = Some(first);
-    let mut waiting = Vec::new();
+    let mut flushes = Vec::new();
     while let Some(item) = next {
         match item {
             Item::Frame(bytes) => sink.feed(bytes).await.context(SocketSnafu)?,
-            Item::Flush(done) => waiting.push(done),
+            Item::Flush(done) => flushes.push(done),
         }
         next = items.try_recv().ok();
     }
     SinkExt::<Bytes>::flush(sink).await.context(SocketSnafu)?;
-    waiting.into_iter().for_each(|done| {
+    flushes.into_iter().for_each(|done| {
         let _ = done.send(());
     });
     Ok(())
--- a/crates/wire/src/pubsub.rs
+++ b/crates/wire/src/pubsub.rs
@@ -1,11 +1,11 @@
-//! News between processes by publish and subscribe: fast, unordered and lossy.
+//! Notifications between processes by publish-subscribe: fast, unordered and lossy.
 //!
-//! Whatever the news says has a slower second source: links tell who leaves, polls find the head
-//! of the change log, loads ride on answers. So a lost message costs time and nothing else, and
-//! publishers never wait for subscribers.
+//! Every notification has a slower second source: links report which processes leave, polling
+//! finds the head of the change log, and loads are piggybacked on answers. A lost message
+//! therefore costs only time, and publishers never wait for subscribers.
 //!
-//! Each message bears the publisher's random origin, a number and a keyed hash. A stranger
-//! without the key can neither make news nor have a message of a publisher taken twice.
+//! Each message carries the publisher's random origin, a sequence number and an HMAC. An attacker
+//! without the key can neither forge nor replay notifications.
 
 use crate::frame::Load;
 use crate::handshake::mac;
@@ -26,22 +26,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Largest message in bytes.
-pub const MAX_MESSAGE: usize = 4096;
-/// Verified news that waits for its reader; more is dropped.
-const QUEUE: usize = 1024;
-/// Publishers whose last number is remembered; beyond it the memory starts anew.
-const ORIGINS: usize = 8192;
-/// Label under which news is hashed, so that no proof of a link passes for one.
+/// Maximum length of a message, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 4096;
+/// Capacity of the queue of verified notifications; further ones are dropped.
+const QUEUE_MESSAGES: usize = 1024;
+/// Maximum number of publishers whose last sequence number is stored; all are discarded once it is
+/// reached.
+const MAX_ORIGINS: usize = 8192;
+/// Label of the HMAC, so that no proof of a link handshake is valid for a message.
 const LABEL: &[u8] = b"linnetdrift news 1";
-/// Bytes of the keyed hash at the end of a message.
-const PROOF: usize = 32;
-/// First pause before a subscriber dials a publisher again.
+/// Length of the HMAC at the end of a message, in bytes.
+const MAC_BYTES: usize = 32;
+/// Initial delay before a subscriber reconnects to a publisher.
 const RECONNECT_MIN: Duration = Duration::from_millis(100);
-/// Longest pause before a subscriber dials a publisher again.
+/// Maximum delay before a subscriber reconnects to a publisher.
 const RECONNECT_MAX: Duration = Duration::from_secs(5);
 
-/// What can go wrong with news.
+/// Errors of publishers and subscribers.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -50,31 +51,31 @@
     Socket {
         /// Address, or `socket` where there is none yet.
         place: String,
-        /// Cause given by the library.
+        /// Error of the library.
         source: nng::Error,
     },
-    /// The system gave no random bytes.
+    /// The operating system provided no random bytes.
     #[snafu(display("no random bytes: {source}"))]
     Random {
-        /// Cause given by the operating system.
+        /// Error of the operating system.
         source: rand::rand_core::OsError,
     },
     /// The message could not be encoded.
     #[snafu(display("news: {source}"))]
     Codec {
-        /// Cause given by the codec.
+        /// Error of the codec.
         source: postcard::Error,
     },
 }
 
-/// One piece of news.
+/// A notification.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Notification {
-    /// A process takes no new work from now on.
+    /// A process accepts no new work from now on.
     Leaving {
-        /// Its VM.
+        /// VM of the process.
         vm: String,
-        /// Its life on that VM.
+        /// Incarnation of the process on that VM.
         incarnation: Incarnation,
     },
     /// The change log has reached this revision.
@@ -84,40 +85,40 @@
     },
     /// Load of an agent.
     Load {
-        /// Its VM.
+        /// VM of the agent.
         vm: String,
-        /// Load at the moment of sending.
+        /// Load when the message was sent.
         load: Load,
     },
 }
 
-/// News with what identifies the message.
+/// A notification with the fields that identify the message.
 #[derive(Serialize, Deserialize)]
 struct Message {
     origin: u64,
     number: u64,
-    news: Notification,
+    notification: Notification,
 }
 
 impl Message {
     fn seal(&self, key: &Key) -> Result<Vec<u8>, Error> {
         let mut bytes = postcard::to_stdvec(self).context(CodecSnafu)?;
-        let proof = mac(key).chain_update(LABEL).chain_update(&bytes).finalize();
-        bytes.extend_from_slice(&proof.into_bytes());
+        let mac = mac(key).chain_update(LABEL).chain_update(&bytes).finalize();
+        bytes.extend_from_slice(&mac.into_bytes());
         Ok(bytes)
     }
 
-    /// Compares in constant time before it decodes anything.
+    /// Compares the HMAC in constant time before decoding anything.
     fn open(sealed: &[u8], key: &Key) -> Option<Self> {
-        let split = sealed.len().checked_sub(PROOF)?;
-        let (bytes, proof) = sealed.split_at(split);
+        let split = sealed.len().checked_sub(MAC_BYTES)?;
+        let (bytes, expected) = sealed.split_at(split);
         let mac = mac(key).chain_update(LABEL).chain_update(bytes);
-        mac.verify_slice(proof).ok()?;
+        mac.verify_slice(expected).ok()?;
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// Publishes news to all who dial.
+/// Publishes notifications to all connected subscribers.
 ///
 /// # Examples
 ///
@@ -128,10 +129,10 @@
 /// # #[tokio::main(flavor = "current_thread")]
 /// # async fn main() -> Result<(), wire::pubsub::Error> {
 /// let publisher = Publisher::bind("127.0.0.1:0".parse().unwrap(), Key::new("key"))?;
-/// let (subscriber, mut news) = Subscriber::new(Key::new("key"))?;
+/// let (subscriber, mut notifications) = Subscriber::new(Key::new("key"))?;
 /// subscriber.dial(publisher.address())?;
-/// // What is published before the subscriber has connected is lost.
-/// while news.try_recv() != Ok(Notification::Head { revision: 7 }) {
+/// // Notifications published before the subscriber has connected are lost.
+/// while notifications.try_recv() != Ok(Notification::Head { revision: 7 }) {
 ///     publisher.publish(Notification::Head { revision: 7 })?;
 ///     tokio::task::yield_now().await;
 /// }
@@ -148,7 +149,7 @@
 }
 
 impl Publisher {
-    /// Publishes on an address; port 0 takes a free one.
+    /// Binds to an address; port 0 picks a free one.
     ///
     /// # Errors
     ///
@@ -171,22 +172,22 @@
         })
     }
 
-    /// The address that subscribers dial.
+    /// The address that subscribers connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends news to those who are connected, without waiting for any of them.
+    /// Sends a notification to all connected subscribers without waiting for any of them.
     ///
     /// # Errors
     ///
-    /// [`Error::Socket`] if the library took nothing.
-    pub fn publish(&self, news: Notification) -> Result<(), Error> {
+    /// [`Error::Socket`] if the library did not accept the message.
+    pub fn publish(&self, notification: Notification) -> Result<(), Error> {
         let message = Message {
             origin: self.origin,
             number: self.numbers.fetch_add(1, Ordering::Relaxed),
-            news,
+            notification,
         };
         let sealed = message.seal(&self.key)?;
         self.socket
@@ -198,7 +199,7 @@
     }
 }
 
-/// Takes news from many publishers.
+/// Receives notifications from many publishers.
 #[derive(Debug)]
 pub struct Subscriber {
     socket: Socket,
@@ -207,21 +208,21 @@
 }
 
 impl Subscriber {
-    /// A subscriber that has dialled nobody yet, and the verified news that it will get.
+    /// Creates a subscriber without connections, and the channel of its verified notifications.
     ///
     /// # Errors
     ///
-    /// [`Error::Socket`] if the library has no resources.
+    /// [`Error::Socket`] if the library is out of resources.
     pub fn new(key: Key) -> Result<(Self, mpsc::Receiver<Notification>), Error> {
         let place = || SocketSnafu { place: "socket" };
         let socket = Socket::new(Protocol::Sub0).with_context(|_| place())?;
         socket
             .set_opt::<protocol::pubsub::Subscribe>(Vec::new())
-            .and_then(|()| socket.set_opt::<RecvMaxSize>(MAX_MESSAGE))
+            .and_then(|()| socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES))
             .and_then(|()| socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN)))
             .and_then(|()| socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX)))
             .with_context(|_| place())?;
-        let (queue, news) = mpsc::channel(QUEUE);
+        let (queue, notifications) = mpsc::channel(QUEUE_MESSAGES);
         let inbox = Mutex::new(Inbox {
             key,
             queue,
@@ -232,7 +233,7 @@
             if let AioResult::Recv(Ok(message)) = &result
                 && let Ok(mut inbox) = inbox.lock()
             {
-                inbox.take(message.as_slice());
+                inbox.receive(message.as_slice());
             }
             if !matches!(result, AioResult::Recv(Err(nng::Error::Closed))) {
                 let _ = source.recv_async(&aio);
@@ -245,11 +246,11 @@
             dialers: Mutex::default(),
             _receiving: receiving,
         };
-        Ok((subscriber, news))
+        Ok((subscriber, notifications))
     }
 
-    /// Connects to a publisher, now or as soon as it can be reached, and again whenever the
-    /// connection is lost.
+    /// Connects to a publisher as soon as it can be reached, and reconnects whenever the connection
+    /// is lost.
     ///
     /// # Errors
     ///
@@ -264,7 +265,7 @@
         Ok(())
     }
 
-    /// Gives a publisher up, whose VM is gone, say.
+    /// Disconnects from a publisher, for example because its VM is gone.
     pub fn disconnect(&self, address: SocketAddr) {
         if let Some(dialer) = self.dialers().remove(&address) {
             dialer.close();
@@ -279,13 +280,14 @@
 }
 
 impl Drop for Subscriber {
-    /// The callback holds the socket, so that without this it would stay open for ever.
+    /// Closes the socket explicitly: the receive callback owns a clone, which would keep it open
+    /// forever.
     fn drop(&mut self) {
         self.socket.close();
     }
 }
 
-/// Verifies messages and drops repeated ones.
+/// Verifies messages and drops duplicates.
 struct Inbox {
     key: Key,
     queue: mpsc::Sender<Notification>,
@@ -293,16 +295,16 @@
 }
 
 impl Inbox {
-    fn take(&mut self, sealed: &[u8]) {
+    fn receive(&mut self, sealed: &[u8]) {
         let Some(message) = Message::open(sealed, &self.key) else {
             return;
         };
-        if self.last.len() >= ORIGINS {
+        if self.last.len() >= MAX_ORIGINS {
             self.last.clear();
         }
         let last = self.last.insert(message.origin, message.number);
         if last.is_none_or(|last| last < message.number) {
-            let _ = self.queue.try_send(message.news);
+            let _ = self.queue.try_send(message.notification);
         } else if let Some(last) = last {
             self.last.insert(message.origin, last);
         }
--- a/crates/wire/tests/half_open.rs
+++ b/crates/wire/tests/half_open.rs
@@ -1,4 +1,4 @@
-//! A peer that vanishes without closing its connection is noticed.
+//! Detection of a peer that vanishes without closing its connection.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 type Link = (Sender, Receiver);
 
-/// Forwards one connection until `cut` is dropped, then carries nothing but keeps it open.
+/// Forwards one connection until `cut` is dropped, then forwards nothing but keeps it open.
 async fn forward(to: SocketAddr) -> (SocketAddr, oneshot::Sender<()>) {
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap();
@@ -40,8 +40,8 @@
     (entry.unwrap(), agent.unwrap(), cut)
 }
 
-/// The agent's VM disappears and nothing closes the connection. The entry's reader must fail
-/// after the limit, and its sender with it, or calls would be offered to nobody for ever.
+/// The agent's VM disappears without closing the connection. The entry's reader must fail after
+/// the idle timeout, and its sender with it, or calls would be offered to a dead agent forever.
 #[tokio::test]
 async fn vanished_peer() {
     let ((sender, mut receiver), _agent, cut) = link().await;
@@ -53,16 +53,16 @@
     }
 }
 
-/// No calls pass for a long while between healthy peers. Their keepalives must hold the link
-/// open, or every quiet agent would be taken for a dead one.
+/// No calls pass between healthy peers for a long time. Their keepalives must keep the link open,
+/// or every idle agent would be considered dead.
 #[tokio::test]
 async fn idle_peer() {
     let ((entry, mut receiver), (agent, mut other), _cut) = link().await;
     pause();
     let start = Instant::now();
-    let quiet = sleep(4 * IDLE_TIMEOUT);
+    let idle = sleep(4 * IDLE_TIMEOUT);
     tokio::select! {
-        () = quiet => {}
+        () = idle => {}
         frame = receiver.recv() => panic!("{frame:?} after {:?}", start.elapsed()),
         frame = other.recv() => panic!("{frame:?} after {:?}", start.elapsed()),
     }
--- a/crates/wire/tests/pubsub.rs
+++ b/crates/wire/tests/pubsub.rs
@@ -1,4 +1,4 @@
-//! News reaches subscribers with the same key, and only those.
+//! Notifications reach subscribers with the same key, and only those.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time::Duration;
@@ -10,14 +10,17 @@
     Publisher::bind("127.0.0.1:0".parse().unwrap(), Key::new(key)).unwrap()
 }
 
-/// Publishes until news arrives: what is sent before the subscriber has connected is lost.
-async fn first(publisher: &Publisher, news: &mut mpsc::Receiver<Notification>) -> Notification {
+/// Publishes until a notification arrives: those sent before the subscriber has connected are lost.
+async fn first(
+    publisher: &Publisher,
+    notifications: &mut mpsc::Receiver<Notification>,
+) -> Notification {
     loop {
         publisher
             .publish(Notification::Head { revision: 7 })
             .unwrap();
         tokio::select! {
-            news = news.recv() => return news.unwrap(),
+            notification = notifications.recv() => return notification.unwrap(),
             () = tokio::time::sleep(Duration::from_millis(5)) => {}
         }
     }
@@ -26,11 +29,11 @@
 #[tokio::test]
 async fn many_publishers() {
     let publishers = [publisher("key"), publisher("key")];
-    let (subscriber, mut news) = Subscriber::new(Key::new("key")).unwrap();
+    let (subscriber, mut notifications) = Subscriber::new(Key::new("key")).unwrap();
     for publisher in &publishers {
         subscriber.dial(publisher.address()).unwrap();
         assert_eq!(
-            first(publisher, &mut news).await,
+            first(publisher, &mut notifications).await,
             Notification::Head { revision: 7 }
         );
     }
@@ -39,31 +42,31 @@
         incarnation: 2,
     };
     publishers[0].publish(leaving.clone()).unwrap();
-    while news.recv().await.unwrap() != leaving {}
+    while notifications.recv().await.unwrap() != leaving {}
 }
 
-/// A stranger publishes that a target leaves, without the key. Entries that believed it would send
-/// no more work there, so that every target could be shut out from outside.
+/// Messages from a publisher without the key are dropped. Otherwise an attacker could announce that
+/// targets leave, and entries would send them no more work.
 #[tokio::test]
 async fn wrong_key() {
-    let (stranger, own) = (publisher("other"), publisher("key"));
-    let (subscriber, mut news) = Subscriber::new(Key::new("key")).unwrap();
-    let (witness, mut seen) = Subscriber::new(Key::new("other")).unwrap();
-    for subscriber in [&subscriber, &witness] {
-        subscriber.dial(stranger.address()).unwrap();
+    let (attacker, own) = (publisher("other"), publisher("key"));
+    let (subscriber, mut notifications) = Subscriber::new(Key::new("key")).unwrap();
+    let (control, mut received) = Subscriber::new(Key::new("other")).unwrap();
+    for subscriber in [&subscriber, &control] {
+        subscriber.dial(attacker.address()).unwrap();
     }
-    first(&stranger, &mut seen).await;
+    first(&attacker, &mut received).await;
     subscriber.dial(own.address()).unwrap();
     let leaving = Notification::Leaving {
         vm: "target-1".into(),
         incarnation: 2,
     };
-    stranger.publish(leaving).unwrap();
+    attacker.publish(leaving).unwrap();
     assert_eq!(
-        first(&own, &mut news).await,
+        first(&own, &mut notifications).await,
         Notification::Head { revision: 7 }
     );
-    while let Ok(news) = news.try_recv() {
-        assert_eq!(news, Notification::Head { revision: 7 });
+    while let Ok(notification) = notifications.try_recv() {
+        assert_eq!(notification, Notification::Head { revision: 7 });
     }
 }
--- a/crates/wire/tests/round_trip.rs
+++ b/crates/wire/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Frames arrive as they were sent, in order, up to the exact size limit.
+//! Frames arrive unchanged and in order, up to the exact size limit.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use bytes::Bytes;
@@ -158,7 +158,7 @@
     fn every_frame_in_order(frames in prop::collection::vec(frame(), 1..20)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let received = runtime.block_on(async {
-            let ((sender, _keep), (_, mut receiver)) = link().await;
+            let ((sender, _guard), (_, mut receiver)) = link().await;
             for frame in &frames {
                 sender.send(frame.clone()).await.unwrap();
             }
@@ -173,11 +173,11 @@
     }
 }
 
-/// An answer that is one byte too long would close the link under every other call on it. The
-/// sender refuses that frame alone, and the link still carries the longest one allowed.
+/// A frame that is one byte too long would close the link and fail all other calls on it. The
+/// sender refuses only that frame, and the link still carries one of the maximum length.
 #[tokio::test]
 async fn exact_size_limit() {
-    let ((sender, _keep), (_, mut receiver)) = link().await;
+    let ((sender, _guard), (_, mut receiver)) = link().await;
     let order = |length| Frame::OrderDone {
         status: 200,
         body: Bytes::from(vec![7; length]),
@@ -198,7 +198,7 @@
 
 #[tokio::test]
 async fn flush_before_close() {
-    let ((sender, _keep), (_, mut receiver)) = link().await;
+    let ((sender, _guard), (_, mut receiver)) = link().await;
     sender.send(Frame::Leave { incarnation: 3 }).await.unwrap();
     sender.flush().await.unwrap();
     drop(sender);
--- a/crates/wire/tests/wrong_key.rs
+++ b/crates/wire/tests/wrong_key.rs
@@ -1,4 +1,4 @@
-//! Links open only between holders of the same key.
+//! Links are established only between holders of the same key.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,8 +10,8 @@
     Listener::bind(address, Key::new(*b"right")).await.unwrap()
 }
 
-/// An entry was given the key of another deployment. It must learn so at once instead of sending
-/// its callers' work to strangers, and the agent must not hand out a link.
+/// An entry configured with the key of another deployment must get an error instead of sending
+/// work to foreign agents, and the agent must not return a link.
 #[tokio::test]
 async fn other_key() {
     let listener = listener().await;
@@ -25,33 +25,33 @@
     assert!(agent.is_err());
 }
 
-/// A stranger connects and says nothing. Entries that connect behind it must get their links
-/// while its handshake is still open.
+/// A client connects and sends nothing. Entries that connect after it must get their links while
+/// its handshake is still pending.
 #[tokio::test]
-async fn silent_stranger() {
+async fn pending_handshake() {
     let listener = listener().await;
     let address = listener.address().unwrap();
-    let stranger = TcpStream::connect(address).await.unwrap();
+    let client = TcpStream::connect(address).await.unwrap();
     let key = Key::new(*b"right");
     let (entry, agent) = tokio::join!(wire::connect(address, &key), listener.accept());
-    let (sender, _keep) = entry.unwrap();
+    let (sender, _guard) = entry.unwrap();
     sender.send(Frame::Leave { incarnation: 1 }).await.unwrap();
     let (_, mut receiver) = agent.unwrap();
     assert!(receiver.recv().await.unwrap().is_some());
-    drop(stranger);
+    drop(client);
 }
 
-/// A stranger without the key sends the agent's own proof back in place of its own. The proofs
-/// of the two directions differ, so the agent hands out no link.
+/// An attacker without the key reflects the agent's own proof. The proofs of the two directions
+/// differ, so the agent returns no link.
 #[tokio::test]
 async fn reflected_proof() {
     let listener = listener().await;
-    let mut stranger = TcpStream::connect(listener.address().unwrap())
+    let mut attacker = TcpStream::connect(listener.address().unwrap())
         .await
         .unwrap();
-    stranger.write_all(&[1; 33]).await.unwrap();
+    attacker.write_all(&[1; 33]).await.unwrap();
     let mut answer = [0; 64];
-    stranger.read_exact(&mut answer).await.unwrap();
-    stranger.write_all(&answer[32..]).await.unwrap();
+    attacker.read_exact(&mut answer).await.unwrap();
+    attacker.write_all(&answer[32..]).await.unwrap();
     assert!(matches!(listener.accept().await, Err(Error::Unauthorized)));
 }
