--- a/crates/record/examples/plan.rs
+++ b/crates/record/examples/plan.rs
@@ -1,4 +1,4 @@
-//! What applying a record would change, and what is wrong with one: `cargo run -p record --example
+//! Previews the change of a record and validates an invalid one: `cargo run -p record --example
 //! plan`.
 
 use record::{Document, Plan, check};
@@ -10,15 +10,15 @@
          "attainment": 0.3, "stages": [{"name": "generate", "service": "critic", "stream": true}]}
     ))?;
 
-    // This writer knows schema 1 only; `attainment` stays as it is.
-    let mut wanted = in_force.clone();
-    wanted.schema = 1;
-    wanted.body.remove("attainment");
-    wanted.body.insert("deadline_ms".into(), 5000.into());
-    println!("{}\n", Plan::new(&[in_force], &[wanted.clone()], false));
+    // The writer knows only schema 1, so `attainment` keeps its value.
+    let mut desired = in_force.clone();
+    desired.schema = 1;
+    desired.body.remove("attainment");
+    desired.body.insert("deadline_ms".into(), 5000.into());
+    println!("{}\n", Plan::new(&[in_force], &[desired.clone()], false));
 
-    wanted.body.insert("deadline_ms".into(), 0.into());
-    wanted.body.insert("stages".into(), json!([]));
-    println!("{}", check::document(&wanted));
+    desired.body.insert("deadline_ms".into(), 0.into());
+    desired.body.insert("stages".into(), json!([]));
+    println!("{}", check::document(&desired));
     Ok(())
 }
--- a/crates/record/src/check.rs
+++ b/crates/record/src/check.rs
@@ -1,11 +1,11 @@
-//! Checks of records: each by itself, and all of them against each other.
+//! Validation of records: each on its own, and all of them against each other.
 
 use crate::finding::{Finding, Findings};
 use crate::service::Runner;
 use crate::{Document, Fencing, Kind, Map, Pipeline, Service, Version, schema, shape};
 use std::collections::HashSet;
 
-/// Checks one document: its fields, as of its own schema, and the rules between them.
+/// Checks one document: its fields against its own schema, and the rules between them.
 ///
 /// # Examples
 ///
@@ -28,33 +28,33 @@
         let mut report = |path: &str, message: String| {
             findings.push(Finding::new(&key, path, message));
         };
-        rules(document, &mut report);
+        cross_field(document, &mut report);
     }
     Findings(findings)
 }
 
-/// Checks documents against each other: unique keys, names that refer to something.
+/// Checks documents against each other: keys are unique, and references have a target.
 ///
-/// A document that cannot be read is passed over: it may be of a schema newer than this program,
-/// and must not keep operators from changing the others.
+/// A document that cannot be parsed is skipped: its schema may be newer than this program, and it
+/// must not prevent operators from changing the others.
 #[must_use]
-pub fn across(documents: &[Document]) -> Findings {
+pub fn cross_document(documents: &[Document]) -> Findings {
     let mut findings = Vec::new();
-    references(documents, &mut |index, path, message| {
+    check_references(documents, &mut |index, path, message| {
         findings.push(Finding::new(documents[index].key(), path, message));
     });
     Findings(findings)
 }
 
-/// Checks each document by itself and all against each other.
+/// Checks each document on its own and all against each other.
 #[must_use]
 pub fn all(documents: &[Document]) -> Findings {
     let single = documents.iter().flat_map(|each| document(each).0);
-    Findings(single.chain(across(documents).0).collect())
+    Findings(single.chain(cross_document(documents).0).collect())
 }
 
-/// Rules between the fields of a document whose fields are well by themselves.
-pub(crate) fn rules(document: &Document, report: &mut impl FnMut(&str, String)) {
+/// Checks the rules between the fields of a document whose fields are valid on their own.
+pub(crate) fn cross_field(document: &Document, report: &mut impl FnMut(&str, String)) {
     if let Ok(pipeline) = document.pipeline() {
         check_pipeline(&pipeline, report);
     }
@@ -67,13 +67,13 @@
     if pipeline.stages.is_empty() {
         report("stages", "a pipeline has at least one stage".to_owned());
     }
-    // A durable request whose entry is lost is run again by another.
+    // A durable request whose entry fails is executed again by another entry.
     if pipeline.durable && pipeline.stages.iter().any(|stage| !stage.repeatable) {
         let message = "a pipeline with a stage that may not be repeated cannot be durable";
         report("durable", message.to_owned());
     }
     let mut names = HashSet::new();
-    let mut claimed = None;
+    let mut not_repeatable = None;
     let last = pipeline.stages.len().saturating_sub(1);
     for (index, stage) in pipeline.stages.iter().enumerate() {
         let path = |field: &str| format!("stages[{index}].{field}");
@@ -89,13 +89,14 @@
         if stage.repeatable {
             continue;
         }
-        // A stream that breaks is resumed by asking the runner anew, which would repeat the call.
+        // An interrupted stream is resumed by a new call to the runner, which would repeat the
+        // stage.
         if stage.stream {
             let message = "a stage that may not be repeated cannot be streamed";
             report(&path("stream"), message.to_owned());
         }
-        // One claim guards one request; two stages under it could not be told apart.
-        if let Some(first) = claimed.replace(&stage.name) {
+        // A request has one claim, which cannot distinguish two stages.
+        if let Some(first) = not_repeatable.replace(&stage.name) {
             let message = format!("only one stage may be not repeatable, and `{first}` is");
             report(&path("repeatable"), message);
         }
@@ -122,8 +123,12 @@
     }
 }
 
-/// Reports the index of a document, a path within it and a message.
-pub(crate) fn references(documents: &[Document], report: &mut impl FnMut(usize, &str, String)) {
+/// Checks documents against each other. Each report has the index of the document, a path within it
+/// and a message.
+pub(crate) fn check_references(
+    documents: &[Document],
+    report: &mut impl FnMut(usize, &str, String),
+) {
     check_keys(documents, report);
     let services: Map<&str, Option<Service>> = documents
         .iter()
@@ -140,9 +145,9 @@
             let mut report = |path: &str, message| report(index, path, message);
             check_services(&pipeline, &services, &mut report);
         }
-        let chosen = (document.name.as_str(), document.version);
-        if document.kind == Kind::Current && !versions.contains(&chosen) {
-            let message = format!("there is no pipeline `{}@{}`", chosen.0, chosen.1);
+        let selected = (document.name.as_str(), document.version);
+        if document.kind == Kind::Current && !versions.contains(&selected) {
+            let message = format!("there is no pipeline `{}@{}`", selected.0, selected.1);
             report(index, "version", message);
         }
     }
@@ -159,7 +164,8 @@
     }
 }
 
-/// A service that cannot be read is there, but its models are not known: nothing is said of them.
+/// Checks that the services and models of a pipeline's stages exist. A service that cannot be
+/// parsed exists, but its models are unknown and are not checked.
 fn check_services(
     pipeline: &Pipeline,
     services: &Map<&str, Option<Service>>,
--- a/crates/record/src/directory.rs
+++ b/crates/record/src/directory.rs
@@ -8,10 +8,10 @@
 use snafu::{ResultExt, Snafu};
 use std::path::{Path, PathBuf};
 
-/// Endings of the files that hold records.
-const ENDINGS: [&str; 2] = ["json", "jsonc"];
+/// Extensions of the files that contain records.
+const EXTENSIONS: [&str; 2] = ["json", "jsonc"];
 
-/// Why files could not be read at all.
+/// A file or directory that could not be read.
 #[derive(Debug, Snafu)]
 #[snafu(display("{}: {source}", path.display()))]
 pub struct Error {
@@ -19,18 +19,18 @@
     source: std::io::Error,
 }
 
-/// Documents read from files, with their places for findings.
+/// Documents read from files, with their locations for findings.
 #[derive(Debug, Default)]
 pub struct Directory {
     documents: Vec<Document>,
-    places: Vec<Place>,
+    locations: Vec<Location>,
     texts: Vec<Text>,
     findings: Vec<Finding>,
 }
 
-/// Where a document stands.
+/// Location of a document: the index of its text and the path within it.
 #[derive(Debug)]
-struct Place {
+struct Location {
     text: usize,
     path: String,
 }
@@ -39,8 +39,7 @@
 ///
 /// # Errors
 ///
-/// [`Error`] if a file cannot be read; what is wrong within files is given by
-/// [`Directory::check`].
+/// [`Error`] if a file cannot be read; faults within files are reported by [`Directory::check`].
 pub fn load(path: impl AsRef<Path>) -> Result<Directory, Error> {
     let mut directory = Directory::default();
     for path in files(path.as_ref())? {
@@ -58,21 +57,21 @@
     let paths: Result<Vec<PathBuf>, _> = entries.map(|entry| entry.map(|e| e.path())).collect();
     let mut paths = paths.context(Snafu { path })?;
     paths.retain(|path| {
-        let ending = path.extension().and_then(|ending| ending.to_str());
-        path.is_file() && ending.is_some_and(|ending| ENDINGS.contains(&ending))
+        let extension = path.extension().and_then(|extension| extension.to_str());
+        path.is_file() && extension.is_some_and(|extension| EXTENSIONS.contains(&extension))
     });
     paths.sort();
     Ok(paths)
 }
 
 impl Directory {
-    /// The documents that could be read.
+    /// The documents that could be parsed.
     #[must_use]
     pub fn documents(&self) -> &[Document] {
         &self.documents
     }
 
-    /// Reads one more text.
+    /// Adds the documents of a text.
     pub fn add(&mut self, text: &str, origin: &str) {
         let text = match Text::parse(text, origin) {
             Ok(text) => text,
@@ -90,20 +89,19 @@
         self.texts.push(text);
     }
 
-    /// Everything that is wrong with the files: each document by itself, and all of them against
-    /// each other.
+    /// All findings in the files: in each document on its own, and between them.
     #[must_use]
     pub fn check(&self) -> Findings {
         self.check_with(&[])
     }
 
-    /// As [`Directory::check`], where these other documents stay in force beside those of the
-    /// files.
+    /// As [`Directory::check`], with other documents that stay in force in addition to those of
+    /// the files.
     #[must_use]
     pub fn check_with(&self, others: &[Document]) -> Findings {
         let mut findings = self.check_each().0;
         let all = [&self.documents, others].concat();
-        check::references(&all, &mut |index, path, message| {
+        check::check_references(&all, &mut |index, path, message| {
             findings.push(match index < self.documents.len() {
                 true => self.finding(index, path, message),
                 false => Finding::new(all[index].key(), path, message),
@@ -112,13 +110,13 @@
         sorted(findings)
     }
 
-    /// Everything that is wrong with each document by itself: for files that hold only some of a
-    /// deployment's records.
+    /// All findings in each document on its own, for files that contain only some of a deployment's
+    /// records.
     #[must_use]
     pub fn check_each(&self) -> Findings {
         let mut findings = self.findings.clone();
         for (index, document) in self.documents.iter().enumerate() {
-            check::rules(document, &mut |path, message| {
+            check::cross_field(document, &mut |path, message| {
                 findings.push(self.finding(index, path, message));
             });
         }
@@ -126,24 +124,24 @@
     }
 
     fn finding(&self, index: usize, path: &str, message: String) -> Finding {
-        let Place { text, path: parent } = &self.places[index];
-        self.texts[*text].finding(&join(parent, path), message)
+        let Location { text, path: parent } = &self.locations[index];
+        self.texts[*text].finding(&join_path(parent, path), message)
     }
 
     fn add_document(&mut self, text: &Text, value: &Value, path: String) {
         let kind = value
             .get("kind")
             .and_then(|kind| Kind::deserialize(kind).ok());
-        let shape = kind.map_or(&schema::HEAD, schema::shape);
+        let shape = kind.map_or(&schema::COMMON, schema::shape);
         let schema = value.get("schema").and_then(Value::as_u64);
         let schema = schema.and_then(|schema| schema.try_into().ok());
-        let newest = schema.unwrap_or(schema::NEWEST);
-        shape::check(value, shape, newest, &path, &mut |path, message| {
+        let schema = schema.unwrap_or(schema::NEWEST);
+        shape::check(value, shape, schema, &path, &mut |path, message| {
             self.findings.push(text.finding(path, message));
         });
         if let Ok(document) = Document::deserialize(value) {
             self.documents.push(document);
-            self.places.push(Place {
+            self.locations.push(Location {
                 text: self.texts.len(),
                 path,
             });
@@ -151,7 +149,7 @@
     }
 }
 
-fn join(parent: &str, path: &str) -> String {
+fn join_path(parent: &str, path: &str) -> String {
     match (parent, path) {
         (_, "") => parent.to_owned(),
         ("", _) => path.to_owned(),
--- a/crates/record/src/document.rs
+++ b/crates/record/src/document.rs
@@ -1,4 +1,4 @@
-//! The document that every record is kept as.
+//! The document as which every record is stored.
 
 use crate::{Pipeline, Schema, Service, Version, Workspace};
 use serde::de::DeserializeOwned;
@@ -11,13 +11,13 @@
 pub enum Kind {
     /// A version of a pipeline.
     Pipeline,
-    /// The version of a pipeline that `@current` names.
+    /// The version of a pipeline that `@current` refers to.
     Current,
     /// A pool of targets.
     Service,
-    /// A customer's share.
+    /// The share of a customer.
     Workspace,
-    /// A VM that an operator wants to get no new work.
+    /// A VM that gets no new work, by order of an operator.
     Drain,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Why a document could not be read.
+/// Errors of parsing a document.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The document is of another kind.
@@ -43,9 +43,9 @@
     Kind {
         /// Key of the document.
         key: String,
-        /// Its kind.
+        /// Kind of the document.
         found: Kind,
-        /// Kind that was asked for.
+        /// Kind that was requested.
         expected: Kind,
     },
     /// A field is missing or has the wrong type.
@@ -53,21 +53,21 @@
     Field {
         /// Key of the document.
         key: String,
-        /// Cause given by the decoder.
+        /// Error of the decoder.
         source: serde_json::Error,
     },
 }
 
-/// A record as it is written, stored and handed out.
+/// A record as it is written, stored and returned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Schema that the writer knew.
+    /// Schema of the writer.
     pub schema: Schema,
     /// Kind of the record.
     pub kind: Kind,
     /// Name within the kind.
     pub name: String,
-    /// Version of a pipeline, or the one that a `current` record names; zero for other kinds.
+    /// Version of a pipeline, or the one that a `current` record refers to; zero for other kinds.
     #[serde(default)]
     pub version: Version,
     /// All other fields, known or not.
@@ -76,7 +76,7 @@
 }
 
 impl Document {
-    /// Key under which the record is kept.
+    /// Key under which the record is stored.
     ///
     /// # Examples
     ///
@@ -93,31 +93,32 @@
             _ => format!("{kind}/{name}"),
         }
     }
-    /// Reads a version of a pipeline.
+
+    /// Parses a version of a pipeline.
     ///
     /// # Errors
     ///
-    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be read.
+    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be parsed.
     pub fn pipeline(&self) -> Result<Pipeline, Error> {
-        self.read(Kind::Pipeline)
+        self.parse(Kind::Pipeline)
     }
 
-    /// Reads a service.
+    /// Parses a service.
     ///
     /// # Errors
     ///
-    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be read.
+    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be parsed.
     pub fn service(&self) -> Result<Service, Error> {
-        self.read(Kind::Service)
+        self.parse(Kind::Service)
     }
 
-    /// Reads a workspace.
+    /// Parses a workspace.
     ///
     /// # Errors
     ///
-    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be read.
+    /// [`Error::Kind`] for another kind, [`Error::Field`] for a field that cannot be parsed.
     pub fn workspace(&self) -> Result<Workspace, Error> {
-        self.read(Kind::Workspace)
+        self.parse(Kind::Workspace)
     }
 
     /// The whole document as JSON.
@@ -131,7 +132,7 @@
         fields.into()
     }
 
-    fn read<T: DeserializeOwned>(&self, expected: Kind) -> Result<T, Error> {
+    fn parse<T: DeserializeOwned>(&self, expected: Kind) -> Result<T, Error> {
         let (key, found) = (self.key(), self.kind);
         ensure!(
             found == expected,
--- a/crates/record/src/finding.rs
+++ b/crates/record/src/finding.rs
@@ -1,9 +1,9 @@
-//! Findings: what is wrong with a file or record, collected and reported together.
+//! Findings: the faults of a file or record, collected and reported together.
 
 use serde::Serialize;
 use std::fmt;
 
-/// Position in a text, counted from one.
+/// Position in a text; line and column start at one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Position {
     /// Line.
@@ -12,22 +12,22 @@
     pub column: usize,
 }
 
-/// One thing that is wrong.
+/// One fault of a file or record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// File, or key of the record where there is no file.
+    /// File, or key of the record if there is no file.
     pub origin: String,
-    /// Path of the value within the file or record, such as `stages[1].name`; empty for the whole.
+    /// Path of the value within the file or record, such as `stages[1].name`; empty for the root.
     pub path: String,
-    /// Where the value stands in the file, if there is one.
+    /// Position of the value in the file, if there is one.
     #[serde(flatten)]
     pub position: Option<Position>,
-    /// What is wrong, in a sentence without a full stop.
+    /// Description of the fault, without a full stop.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding that has no position yet.
+    /// Creates a finding without a position.
     pub fn new(
         origin: impl Into<String>,
         path: impl Into<String>,
@@ -55,17 +55,17 @@
     }
 }
 
-/// All findings of a file or a directory; never empty where it is an error.
+/// All findings of a file or a directory; not empty when returned as an error.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// `Ok` if nothing was found.
+    /// Converts to `Ok` if there are no findings.
     ///
     /// # Errors
     ///
-    /// The findings, if there are any.
+    /// The findings themselves, if there are any.
     pub fn into_result(self) -> Result<(), Self> {
         match self.0.is_empty() {
             true => Ok(()),
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,13 +1,13 @@
 //! Configuration records that operators write: pipelines, services, workspaces.
 //!
-//! Records are kept as JSON documents, so that a writer that knows only an old schema cannot drop
-//! the fields of a newer one; the types here are what the processes read out of them.
+//! Records are stored as JSON documents, so that a writer that knows only an old schema cannot drop
+//! the fields of a newer one. The processes parse them into the types of this crate.
 //!
 //! * [`document`], [`pipeline`], [`service`], [`workspace`]: the records
 //! * [`set`]: the records in force at one revision
-//! * [`schema`], [`shape`], [`check`]: what a record must look like
-//! * [`text`], [`directory`], [`finding`]: records in files and what is wrong with them
-//! * [`merge`](mod@merge), [`plan`]: writers of different schemas, and what a change would do
+//! * [`schema`], [`shape`], [`check`]: validation of records
+//! * [`text`], [`directory`], [`finding`]: records in files, and their faults
+//! * [`merge`](mod@merge), [`plan`]: merging of schema versions, and previews of changes
 
 pub mod check;
 pub mod directory;
@@ -37,9 +37,9 @@
 
 /// Hash map with a fast hasher.
 pub type Map<K, V> = std::collections::HashMap<K, V, foldhash::fast::RandomState>;
-/// Number of an accepted configuration change; grows by one with each.
+/// Sequence number of an accepted configuration change; each change increments it by one.
 pub type Revision = u64;
-/// Number of a schema.
+/// Version number of a schema.
 pub type Schema = u32;
-/// Number of a pipeline's version.
+/// Version number of a pipeline.
 pub type Version = u32;
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -1,18 +1,18 @@
-//! Writers of different schemas on one record.
+//! Merging of records that were written under different schemas.
 
 use crate::shape::{Field, Shape};
 use crate::{Document, Schema, schema};
 use serde_json::{Map, Value};
 
-/// Field by which elements of a list are known.
+/// Field that identifies the elements of a list.
 const NAME: &str = "name";
 
-/// What is kept after a writer has replaced a stored document.
+/// Merges a writer's document into the stored one that it replaces.
 ///
-/// A writer of an older schema cannot mean to drop a field that its schema does not have, so such
-/// fields stay as they are stored, also in the elements of lists (which are known by their name),
-/// and the document keeps its higher schema. Check the writer's document before the merge: what
-/// the merge adds may be of a schema that this program does not know.
+/// A writer of an older schema cannot intend to drop a field that its schema does not have. Such
+/// fields keep their stored values, also in the elements of lists (which are matched by name), and
+/// the document keeps its higher schema. Validate the writer's document before the merge: fields
+/// that the merge adds may be of a schema that this program does not know.
 ///
 /// # Examples
 ///
@@ -36,12 +36,12 @@
     }
     merged.schema = stored.schema;
     if let Shape::Object(fields) = schema::shape(new.kind) {
-        keep_fields(&stored.body, &mut merged.body, fields, new.schema);
+        merge_fields(&stored.body, &mut merged.body, fields, new.schema);
     }
     merged
 }
 
-fn keep_fields(
+fn merge_fields(
     stored: &Map<String, Value>,
     merged: &mut Map<String, Value>,
     fields: &[Field],
@@ -55,22 +55,22 @@
             (None, None) => {
                 merged.insert(name.clone(), value.clone());
             }
-            (Some(field), Some(written)) => keep(value, written, &field.shape, schema),
+            (Some(field), Some(new)) => merge_value(value, new, &field.shape, schema),
             _ => {}
         }
     }
 }
 
-fn keep(stored: &Value, merged: &mut Value, shape: &Shape, schema: Schema) {
+fn merge_value(stored: &Value, merged: &mut Value, shape: &Shape, schema: Schema) {
     match (shape, stored, merged) {
         (Shape::Object(fields), Value::Object(stored), Value::Object(merged)) => {
-            keep_fields(stored, merged, fields, schema);
+            merge_fields(stored, merged, fields, schema);
         }
         (Shape::List(shape), Value::Array(stored), Value::Array(merged)) => {
             for element in merged {
-                let twin = stored.iter().find(|other| same_name(other, element));
-                if let Some(twin) = twin {
-                    keep(twin, element, shape, schema);
+                let matching = stored.iter().find(|other| same_name(other, element));
+                if let Some(matching) = matching {
+                    merge_value(matching, element, shape, schema);
                 }
             }
         }
--- a/crates/record/src/pipeline.rs
+++ b/crates/record/src/pipeline.rs
@@ -10,9 +10,9 @@
     pub name: String,
     /// Version that callers use.
     pub version: Version,
-    /// End-to-end deadline in milliseconds, where the caller names none.
+    /// Default end-to-end deadline in milliseconds, for callers that set none.
     pub deadline_ms: u64,
-    /// Stages in the order in which they run.
+    /// Stages in order of execution.
     pub stages: Vec<Stage>,
     /// Whether requests are journalled before they are accepted (schema 2).
     #[serde(default)]
@@ -27,7 +27,7 @@
 pub struct Stage {
     /// Name within the pipeline.
     pub name: String,
-    /// Service that runs it.
+    /// Service that executes it.
     pub service: String,
     /// Whether it may run more than once for one request.
     #[serde(default = "default_repeatable")]
@@ -35,7 +35,7 @@
     /// Whether its answer is streamed; only the last stage may be.
     #[serde(default)]
     pub stream: bool,
-    /// Model of the service's engines that answers it; any engine does without one (schema 2).
+    /// Model that executes it on the service's engines; `None` allows any engine (schema 2).
     #[serde(default)]
     pub model: Option<String>,
 }
--- a/crates/record/src/plan.rs
+++ b/crates/record/src/plan.rs
@@ -1,4 +1,4 @@
-//! The difference between wanted documents and what is in force.
+//! Differences between desired documents and those in force.
 
 use crate::text::field_path;
 use crate::{Document, Kind, Map, merge};
@@ -7,17 +7,17 @@
 use std::collections::{BTreeSet, HashSet};
 use std::fmt;
 
-/// What happens to a record.
+/// Action on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// There is none in force.
+    /// The record does not exist.
     Create,
-    /// The one in force differs.
+    /// The record in force differs.
     Update,
-    /// It is in force and no longer wanted.
+    /// The record is in force and no longer desired.
     Delete,
-    /// The one in force is the same.
+    /// The record in force is the same.
     Unchanged,
 }
 
@@ -28,22 +28,22 @@
     pub path: String,
     /// Value in force.
     pub before: Option<Value>,
-    /// Wanted value.
+    /// Desired value.
     pub after: Option<Value>,
 }
 
-/// What happens to one record.
+/// Change of one record.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
     /// Key of the record.
     pub key: String,
-    /// What happens to it.
+    /// Action on the record.
     pub action: Action,
     /// Values that differ, for an update.
     pub fields: Vec<Difference>,
 }
 
-/// What happens to all records, in the order of the wanted ones.
+/// Changes of all records, in the order of the desired ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Plan {
     /// One change for each record.
@@ -51,10 +51,10 @@
 }
 
 impl Plan {
-    /// Compares wanted documents with those in force.
+    /// Compares desired documents with those in force.
     ///
-    /// With `prune`, records that are not wanted are deleted, except for drains: those are given
-    /// by a command of their own, and a deployment from a directory must not undo them.
+    /// With `prune`, records that are not desired are deleted, except for drains: operators set
+    /// those by a separate command, and a deployment from a directory must not undo them.
     ///
     /// # Examples
     ///
@@ -65,20 +65,20 @@
     /// assert_eq!(plan.to_string(), "+ workspace/ferry-yard\n1 create, 0 update, 0 delete, 0 unchanged");
     /// ```
     #[must_use]
-    pub fn new(in_force: &[Document], wanted: &[Document], prune: bool) -> Self {
+    pub fn new(in_force: &[Document], desired: &[Document], prune: bool) -> Self {
         let stored: Map<String, &Document> =
             in_force.iter().map(|each| (each.key(), each)).collect();
-        let mut changes: Vec<Change> = wanted
+        let mut changes: Vec<Change> = desired
             .iter()
             .map(|document| change(stored.get(&document.key()).copied(), document))
             .collect();
         if prune {
-            changes.extend(deletions(in_force, wanted));
+            changes.extend(deletions(in_force, desired));
         }
         Self { changes }
     }
 
-    /// Records that do not stay as they are.
+    /// Changes other than [`Action::Unchanged`].
     pub fn pending(&self) -> impl Iterator<Item = &Change> {
         let pending = |change: &&Change| change.action != Action::Unchanged;
         self.changes.iter().filter(pending)
@@ -90,8 +90,8 @@
     }
 }
 
-fn change(stored: Option<&Document>, wanted: &Document) -> Change {
-    let key = wanted.key();
+fn change(stored: Option<&Document>, desired: &Document) -> Change {
+    let key = desired.key();
     let Some(stored) = stored else {
         return Change {
             key,
@@ -100,7 +100,7 @@
         };
     };
     let mut fields = Vec::new();
-    let (before, after) = (stored.value(), merge(stored, wanted).value());
+    let (before, after) = (stored.value(), merge(stored, desired).value());
     compare("", Some(&before), Some(&after), &mut fields);
     let action = match fields.is_empty() {
         true => Action::Unchanged,
@@ -113,13 +113,13 @@
     }
 }
 
-fn deletions(in_force: &[Document], wanted: &[Document]) -> impl Iterator<Item = Change> {
-    let wanted: HashSet<String> = wanted.iter().map(Document::key).collect();
+fn deletions(in_force: &[Document], desired: &[Document]) -> impl Iterator<Item = Change> {
+    let desired: HashSet<String> = desired.iter().map(Document::key).collect();
     in_force
         .iter()
         .filter(|document| document.kind != Kind::Drain)
         .map(Document::key)
-        .filter(move |key| !wanted.contains(key))
+        .filter(move |key| !desired.contains(key))
         .map(|key| Change {
             key,
             action: Action::Delete,
@@ -127,23 +127,28 @@
         })
 }
 
-fn compare(path: &str, before: Option<&Value>, after: Option<&Value>, into: &mut Vec<Difference>) {
+fn compare(
+    path: &str,
+    before: Option<&Value>,
+    after: Option<&Value>,
+    differences: &mut Vec<Difference>,
+) {
     match (before, after) {
         (Some(Value::Object(before)), Some(Value::Object(after))) => {
             let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
             for name in names {
                 let path = field_path(path, name);
-                compare(&path, before.get(name), after.get(name), into);
+                compare(&path, before.get(name), after.get(name), differences);
             }
         }
         (Some(Value::Array(before)), Some(Value::Array(after))) => {
             for index in 0..before.len().max(after.len()) {
                 let path = format!("{path}[{index}]");
-                compare(&path, before.get(index), after.get(index), into);
+                compare(&path, before.get(index), after.get(index), differences);
             }
         }
         _ if before == after => {}
-        _ => into.push(Difference {
+        _ => differences.push(Difference {
             path: path.to_owned(),
             before: before.cloned(),
             after: after.cloned(),
@@ -172,26 +177,26 @@
 
 impl fmt::Display for Change {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mark = match self.action {
+        let symbol = match self.action {
             Action::Create => '+',
             Action::Update => '~',
             Action::Delete => '-',
             Action::Unchanged => ' ',
         };
-        write!(formatter, "{mark} {}", self.key)?;
+        write!(formatter, "{symbol} {}", self.key)?;
         for Difference {
             path,
             before,
             after,
         } in &self.fields
         {
-            let (before, after) = (show(before.as_ref()), show(after.as_ref()));
+            let (before, after) = (format_value(before.as_ref()), format_value(after.as_ref()));
             write!(formatter, "\n    {path}: {before} -> {after}")?;
         }
         Ok(())
     }
 }
 
-fn show(value: Option<&Value>) -> String {
+fn format_value(value: Option<&Value>) -> String {
     value.map_or("(none)".to_owned(), Value::to_string)
 }
--- a/crates/record/src/schema.rs
+++ b/crates/record/src/schema.rs
@@ -1,22 +1,22 @@
-//! The fields that each schema has, for each kind of record.
+//! The fields of each schema, for each kind of record.
 //!
-//! Schema 1 has the fields without a mark; a field marked `since(2)` belongs to schema 2 and
-//! later. Documents of both live side by side.
+//! Fields without a mark are part of schema 1; a field marked `since(2)` is part of schema 2 and
+//! later. Documents of both schemas coexist.
 
 use crate::shape::{Field, Shape};
 use crate::{Kind, Schema};
 
-/// Oldest schema that is read.
+/// Oldest supported schema.
 pub const OLDEST: Schema = 1;
-/// Newest schema that is known.
+/// Newest supported schema.
 pub const NEWEST: Schema = 2;
-/// Longest end-to-end deadline, in milliseconds: a day.
+/// Maximum end-to-end deadline, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// Most calls that one runner is given at once.
+/// Maximum number of concurrent calls to one runner.
 const MAX_CONCURRENCY: u64 = 65_536;
-/// Greatest share of a workspace.
+/// Maximum share of a workspace.
 const MAX_SHARE: u64 = 1_000_000;
-/// Most replicas of a model.
+/// Maximum number of replicas of a model.
 const MAX_REPLICAS: u64 = 100_000;
 
 const SCHEMA: Field = Field::required(
@@ -118,7 +118,7 @@
 
 const DRAIN: Shape = Shape::Object(&[SCHEMA, KIND, NAME, NO_VERSION]);
 
-/// Shape of a whole document of a kind, in all schemas.
+/// Shape of a document of a kind, covering all schemas.
 #[must_use]
 pub fn shape(kind: Kind) -> &'static Shape {
     match kind {
@@ -130,5 +130,5 @@
     }
 }
 
-/// Shape of what every document has, whatever its kind.
-pub(crate) const HEAD: Shape = Shape::OpenObject(&[SCHEMA, KIND, NAME]);
+/// Shape of the fields that documents of all kinds have in common.
+pub(crate) const COMMON: Shape = Shape::OpenObject(&[SCHEMA, KIND, NAME]);
--- a/crates/record/src/service.rs
+++ b/crates/record/src/service.rs
@@ -2,22 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a service's engines refuse an order that carries an old fencing number.
+/// Whether a service's engines refuse an order that carries an outdated fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fencing {
-    /// They refuse old numbers.
+    /// The engines refuse outdated tokens.
     Checked,
-    /// They carry out every order; the agent is the fence.
+    /// The engines execute every order; the agent checks the fencing token instead.
     #[default]
     Unchecked,
 }
 
-/// What kind of runner a service has.
+/// Kind of a service's runners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Runner {
-    /// A model engine that batches continuously and streams tokens.
+    /// A model engine with continuous batching and token streaming.
     Engine,
     /// An encoder, retriever or reranker.
     Pool,
@@ -25,16 +25,16 @@
     Plain,
 }
 
-/// A pool of targets that serve the same work.
+/// A pool of targets that execute the same work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name that stages use.
+    /// Name by which stages refer to it.
     pub name: String,
     /// Kind of runner.
     pub runner: Runner,
-    /// Calls given to one runner at once at most.
+    /// Maximum number of concurrent calls to one runner.
     pub concurrency: u32,
-    /// Whether its engines check fencing numbers.
+    /// Whether its engines check fencing tokens.
     #[serde(default)]
     pub fencing: Fencing,
     /// Models that may be loaded, with their replica bounds (schema 2).
@@ -46,7 +46,7 @@
     /// Whether a model may be loaded on its engines.
     #[must_use]
     pub fn declares(&self, model: &str) -> bool {
-        self.models.iter().any(|known| known.name == model)
+        self.models.iter().any(|other| other.name == model)
     }
 }
 
@@ -55,8 +55,8 @@
 pub struct Model {
     /// Name of the model.
     pub name: String,
-    /// Replicas kept warm at least.
+    /// Minimum number of replicas that are kept loaded.
     pub min: u32,
-    /// Replicas at most.
+    /// Maximum number of replicas.
     pub max: u32,
 }
--- a/crates/record/src/set.rs
+++ b/crates/record/src/set.rs
@@ -1,4 +1,4 @@
-//! The records in force at one revision, read once and looked up often.
+//! The records in force at one revision, parsed once for frequent lookups.
 
 use crate::document::{Document, Error, Kind};
 use crate::{Map, Pipeline, Revision, Service, Version, Workspace};
@@ -35,10 +35,10 @@
 }
 
 impl RecordSet {
-    /// Reads the documents that are in force at a revision.
+    /// Parses the documents that are in force at a revision.
     ///
-    /// A document that cannot be read is left out and reported by [`RecordSet::unreadable`]: a record of
-    /// a schema that this process does not know must not take all others out of force.
+    /// A document that cannot be parsed is skipped and reported by [`RecordSet::unreadable`]: a
+    /// record of a schema that this process does not know must not disable all others.
     pub fn new(
         revision: Revision,
         documents: impl IntoIterator<Item = impl Borrow<Document>>,
@@ -67,11 +67,11 @@
         self.pipelines.get(name)?.get(&version)
     }
 
-    /// The version of a pipeline that `@current` names: the one an operator chose, or else the
-    /// highest.
+    /// The version of a pipeline that `@current` refers to: the one that an operator selected, or
+    /// else the highest.
     ///
-    /// A choice of a version that does not exist gives `None`, because falling back to another
-    /// version would silently undo what the operator accepted.
+    /// Returns `None` if the selected version does not exist, because a fallback to another version
+    /// would silently override the operator's choice.
     #[must_use]
     pub fn current(&self, name: &str) -> Option<&Arc<Pipeline>> {
         match self.current.get(name) {
@@ -92,28 +92,28 @@
         self.workspaces.get(name)
     }
 
-    /// Whether an operator wants a VM to get no new work.
+    /// Whether a VM gets no new work, by order of an operator.
     #[must_use]
     pub fn is_drained(&self, vm: &str) -> bool {
         self.drains.contains(vm)
     }
 
-    /// All versions of all pipelines, in no order of names.
+    /// All versions of all pipelines; the order of the pipelines is unspecified.
     pub fn pipelines(&self) -> impl Iterator<Item = &Arc<Pipeline>> {
         self.pipelines.values().flat_map(Versions::values)
     }
 
-    /// All services, in no order.
+    /// All services, in unspecified order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// All workspaces, in no order.
+    /// All workspaces, in unspecified order.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.workspaces.values()
     }
 
-    /// Why documents were left out.
+    /// Errors of the documents that were skipped.
     #[must_use]
     pub fn unreadable(&self) -> &[Error] {
         &self.unreadable
--- a/crates/record/src/shape.rs
+++ b/crates/record/src/shape.rs
@@ -1,16 +1,16 @@
-//! Shapes of JSON values: tables of fields against which settings and records are checked.
+//! Shapes of JSON values: tables of fields against which settings and records are validated.
 
 use crate::Schema;
 use crate::text::field_path;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Edits that a misspelt field may be away from the one that is suggested.
-const NEAR: usize = 2;
-/// Characters besides letters and digits that a name may hold.
-const NAME_MARKS: [char; 3] = ['-', '_', '.'];
+/// Maximum edit distance between an unknown field and a suggested one.
+const MAX_SUGGESTION_DISTANCE: usize = 2;
+/// Characters other than letters and digits that a name may contain.
+const NAME_PUNCTUATION: [char; 3] = ['-', '_', '.'];
 
-/// What a value must look like.
+/// Required form of a value.
 #[derive(Clone, Copy, Debug)]
 pub enum Shape {
     /// A string that is not empty.
@@ -19,13 +19,13 @@
     Name,
     /// A string `IP:PORT` to connect to; the port is not 0.
     Address,
-    /// A string `IP:PORT` to listen on; port 0 takes a free one.
+    /// A string `IP:PORT` to listen on; port 0 picks a free one.
     Listen,
-    /// A whole number within bounds.
+    /// An integer within bounds.
     Integer {
-        /// Least value allowed.
+        /// Minimum value.
         min: u64,
-        /// Greatest value allowed.
+        /// Maximum value.
         max: u64,
     },
     /// A number from 0 to 1.
@@ -34,7 +34,7 @@
     NonNegative,
     /// `true` or `false`.
     Bool,
-    /// One of a few words.
+    /// One of the given strings.
     OneOf(&'static [&'static str]),
     /// An object with these fields.
     Object(&'static [Field]),
@@ -51,16 +51,16 @@
     pub name: &'static str,
     /// Shape of its value.
     pub shape: Shape,
-    /// Whether it must be there.
+    /// Whether it must be present.
     pub required: bool,
     /// Whether it may be `null`.
     pub nullable: bool,
-    /// First schema that has it.
+    /// First schema that contains it.
     pub since: Schema,
 }
 
 impl Field {
-    /// A field that must be there.
+    /// A field that must be present.
     #[must_use]
     pub const fn required(name: &'static str, shape: Shape) -> Self {
         Self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A field that may be left out.
+    /// A field that may be absent.
     #[must_use]
     pub const fn optional(name: &'static str, shape: Shape) -> Self {
         Self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The same field, where it may also be `null`.
+    /// Also allows `null`.
     #[must_use]
     pub const fn nullable(self) -> Self {
         Self {
@@ -90,14 +90,14 @@
         }
     }
 
-    /// The same field, where only this schema and later ones have it.
+    /// Restricts the field to this schema and later ones.
     #[must_use]
     pub const fn since(self, since: Schema) -> Self {
         Self { since, ..self }
     }
 }
 
-/// Checks a value against a shape as of a schema, and reports the path and message of each fault.
+/// Checks a value against a shape under a schema, and reports the path and message of each fault.
 ///
 /// # Examples
 ///
@@ -136,7 +136,7 @@
             if let Err(expected) = check_scalar(value, shape) {
                 report(
                     path,
-                    format!("expected {expected}, found {}", show(value, shape)),
+                    format!("expected {expected}, found {}", describe(value, shape)),
                 );
             }
         }
@@ -153,7 +153,7 @@
     object
         .keys()
         .filter(|name| !known(name))
-        .for_each(|name| report(&field_path(path, name), unknown(name, fields)));
+        .for_each(|name| report(&field_path(path, name), unknown_field(name, fields)));
 }
 
 fn check_fields(
@@ -179,7 +179,7 @@
 
 fn check_scalar(value: &Value, shape: &Shape) -> Result<(), String> {
     let text = value.as_str();
-    let (well, expected) = match shape {
+    let (valid, expected) = match shape {
         Shape::Text => (
             text.is_some_and(|text| !text.trim().is_empty()),
             "a string that is not empty".to_owned(),
@@ -216,7 +216,7 @@
         Shape::Object(_) | Shape::OpenObject(_) => (false, "an object".to_owned()),
         Shape::List(_) => (false, "a list".to_owned()),
     };
-    if well { Ok(()) } else { Err(expected) }
+    if valid { Ok(()) } else { Err(expected) }
 }
 
 fn address(text: Option<&str>) -> Option<SocketAddr> {
@@ -224,12 +224,13 @@
 }
 
 fn is_name(text: &str) -> bool {
-    let allowed = |c: char| c.is_ascii_alphanumeric() || NAME_MARKS.contains(&c);
+    let allowed = |c: char| c.is_ascii_alphanumeric() || NAME_PUNCTUATION.contains(&c);
     !text.is_empty() && text.chars().all(allowed)
 }
 
-/// Free text is described, not quoted: it may be a key or token, and findings go to logs.
-fn show(value: &Value, shape: &Shape) -> String {
+/// Formats a value for a finding. Free text is described, not quoted: it may be a key or token, and
+/// findings go to logs.
+fn describe(value: &Value, shape: &Shape) -> String {
     match (value, shape) {
         (Value::Object(_), _) => "an object".to_owned(),
         (Value::Array(_), _) => "a list".to_owned(),
@@ -239,29 +240,29 @@
     }
 }
 
-fn unknown(name: &str, fields: &[Field]) -> String {
+fn unknown_field(name: &str, fields: &[Field]) -> String {
     let nearest = fields
         .iter()
-        .map(|field| (distance(name, field.name), field.name))
+        .map(|field| (edit_distance(name, field.name), field.name))
         .min()
-        .filter(|(distance, _)| *distance <= NEAR);
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE);
     match nearest {
         Some((_, near)) => format!("unknown field; did you mean `{near}`?"),
         None => "unknown field".to_owned(),
     }
 }
 
-/// Least number of letters to insert, delete or replace that turns one word into the other.
-fn distance(left: &str, right: &str) -> usize {
+/// Levenshtein distance between two words.
+fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (index, from) in left.chars().enumerate() {
-        let mut corner = row[0];
+        let mut diagonal = row[0];
         row[0] = index + 1;
         for (column, to) in right.iter().enumerate() {
-            let replaced = corner + usize::from(from != *to);
-            corner = row[column + 1];
-            row[column + 1] = replaced.min(corner + 1).min(row[column] + 1);
+            let replaced = diagonal + usize::from(from != *to);
+            diagonal = row[column + 1];
+            row[column + 1] = replaced.min(diagonal + 1).min(row[column] + 1);
         }
     }
     row[right.len()]
--- a/crates/record/src/text.rs
+++ b/crates/record/src/text.rs
@@ -1,4 +1,4 @@
-//! JSON with comments, read together with the position of every value.
+//! JSON with comments, parsed together with the position of every value.
 
 use crate::Map;
 use crate::finding::{Finding, Position};
@@ -7,7 +7,7 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 use serde_json::Value;
 
-/// JSON with comments and trailing commas; no other extension.
+/// Allows comments and trailing commas, but no other extension of JSON.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -21,24 +21,25 @@
     allow_extended_string_escapes: false,
 };
 
-/// A text that has been read.
+/// A parsed text.
 #[derive(Clone, Debug)]
 pub struct Text {
-    /// File that the text came from.
+    /// File that contains the text.
     pub origin: String,
-    /// Its value, without comments.
+    /// Value of the text, without comments.
     pub value: Value,
-    /// Fields that stand twice in one object; the later one would win unseen.
+    /// Findings of the conversion, such as a duplicate field, of which the later one would silently
+    /// win.
     pub findings: Vec<Finding>,
     positions: Map<String, Position>,
 }
 
 impl Text {
-    /// Reads JSON with comments.
+    /// Parses JSON with comments.
     ///
     /// # Errors
     ///
-    /// A finding with its position, where the text is not JSON.
+    /// A finding with its position, if the text is not JSON.
     ///
     /// # Examples
     ///
@@ -59,17 +60,17 @@
         let root = tree
             .value
             .ok_or_else(|| Finding::new(origin, "", "there is no value in it"))?;
-        let mut reader = Reader::new(text, origin);
-        let value = reader.value(&root, "", root.start());
+        let mut converter = Converter::new(text, origin);
+        let value = converter.value(&root, "", root.start());
         Ok(Self {
             origin: origin.to_owned(),
             value,
-            findings: reader.findings,
-            positions: reader.positions,
+            findings: converter.findings,
+            positions: converter.positions,
         })
     }
 
-    /// Where a path stands; a path that is missing stands where its nearest parent does.
+    /// Position of a path, or of its nearest existing parent.
     #[must_use]
     pub fn position(&self, path: &str) -> Position {
         let mut path = path;
@@ -102,30 +103,30 @@
     }
 }
 
-/// Turns the syntax tree into a value and notes positions on the way.
-struct Reader<'a> {
+/// Converts the syntax tree into a value and records positions.
+struct Converter<'a> {
     origin: &'a str,
     text: &'a str,
-    lines: Vec<usize>,
+    line_starts: Vec<usize>,
     findings: Vec<Finding>,
     positions: Map<String, Position>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> Converter<'a> {
     fn new(text: &'a str, origin: &'a str) -> Self {
         let starts = text.match_indices('\n').map(|(index, _)| index + 1);
         Self {
             origin,
             text,
-            lines: std::iter::once(0).chain(starts).collect(),
+            line_starts: std::iter::once(0).chain(starts).collect(),
             findings: Vec::new(),
             positions: Map::default(),
         }
     }
 
     fn position(&self, offset: usize) -> Position {
-        let line = self.lines.partition_point(|start| *start <= offset);
-        let start = self.lines[line - 1];
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let start = self.line_starts[line - 1];
         let column = self.text[start..offset].chars().count() + 1;
         Position { line, column }
     }
@@ -146,7 +147,7 @@
     fn number(&mut self, text: &str, path: &str, position: Position) -> Value {
         text.parse::<serde_json::Number>().map_or_else(
             |_| {
-                self.find(path, position, "this number cannot be read");
+                self.report(path, position, "this number cannot be read");
                 Value::Null
             },
             Value::Number,
@@ -169,7 +170,7 @@
             let path = field_path(path, name);
             if fields.contains_key(name) {
                 let position = self.position(property.start());
-                self.find(&path, position, "this field stands twice");
+                self.report(&path, position, "this field stands twice");
                 continue;
             }
             let value = self.value(&property.value, &path, property.start());
@@ -178,7 +179,7 @@
         fields.into()
     }
 
-    fn find(&mut self, path: &str, position: Position, message: &str) {
+    fn report(&mut self, path: &str, position: Position, message: &str) {
         self.findings.push(Finding {
             position: Some(position),
             ..Finding::new(self.origin, path, message)
--- a/crates/record/tests/file_findings.rs
+++ b/crates/record/tests/file_findings.rs
@@ -1,11 +1,11 @@
-//! Findings of record files, with their places.
+//! Findings in record files, with their positions.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use record::Directory;
 
 const RECORDS: &str = r#"[
-  // two services and what goes wrong with a pipeline
+  // services, and a pipeline with several faults
   {"schema": 1, "kind": "service", "name": "encoder", "runner": "pool", "concurrency": 0},
   {"schema": 2, "kind": "service", "name": "writer", "runner": "engine", "concurrency": 8,
    "models": [{"name": "small", "min": 3, "max": 2}, {"name": "small", "min": 0, "max": 1}]},
@@ -38,15 +38,15 @@
     directory.check()
 }
 
-/// An operator changes several records for one rollout and mistypes some of them. All faults come
-/// at once, each with its line, so that one more round is enough.
+/// All faults of several records are reported at once, each with its line, so that an operator can
+/// correct them in one pass.
 #[test]
 fn all_at_once() {
     insta::assert_snapshot!(findings(RECORDS));
 }
 
-/// A file is cut short while it is copied. It is reported with its position, and the documents of
-/// the other files are still checked.
+/// A truncated file is reported with its position, and the documents of the other files are still
+/// checked.
 #[test]
 fn cut_short() {
     let mut directory = Directory::default();
@@ -55,8 +55,7 @@
     insta::assert_snapshot!(directory.check());
 }
 
-/// The same faults reach the operator from the entry, where there is no file, under the records'
-/// keys.
+/// An entry, which has no file, reports the same faults under the records' keys.
 #[test]
 fn without_file() {
     let mut directory = Directory::default();
--- a/crates/record/tests/old_writers.rs
+++ b/crates/record/tests/old_writers.rs
@@ -1,4 +1,4 @@
-//! Writers of an old schema on records of a newer one.
+//! Writers of an old schema that change records of a newer one.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Fields that schema 1 does not have: those of schema 2 and ones that nobody knows yet.
+/// Fields that schema 1 does not have: those of schema 2 and ones of future schemas.
 fn newer_fields() -> impl Strategy<Value = Map<String, Value>> {
     let name = prop_oneof![Just("durable".to_owned()), "x_[a-z]{1,6}"];
     let value = prop_oneof![
@@ -45,16 +45,16 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A desk that has not been updated amends a record that a newer one wrote. Without the merge
-    /// its answer would hold only the fields that it knows, and the newer ones would be gone.
+    /// An outdated writer changes a record that a newer one wrote. Without the merge, the record
+    /// would keep only the fields that the outdated writer knows.
     #[test]
     fn nothing_lost(fields in newer_fields(), newer in 2_u32..5, old in 1_u64..9, new in 1_u64..9) {
         let merged = merge(&pipeline(newer, old, fields.clone()), &pipeline(1, new, Map::new()));
         prop_assert_eq!(merged, pipeline(newer, new, fields));
     }
 
-    /// A writer that knows a field and leaves it out means to remove it; keeping it would undo
-    /// what the operator asked for.
+    /// A writer that knows a field and omits it intends to remove it; keeping it would override the
+    /// operator's change.
     #[test]
     fn removal_kept(fields in newer_fields(), old in 1_u64..9, new in 1_u64..9) {
         let written = pipeline(2, new, Map::new());
@@ -62,8 +62,8 @@
     }
 }
 
-/// A newer schema adds a field to stages, and an old writer changes their order. The field stays
-/// with the stage of its name and does not move to another.
+/// A newer schema adds a field to stages, and an old writer reorders them. The field stays with the
+/// stage of the same name and does not move to another.
 #[test]
 fn list_elements() {
     let stages = |stages: Value| Map::from_iter([("stages".to_owned(), stages)]);
@@ -77,7 +77,8 @@
     assert_eq!(merged.body["stages"], kept);
 }
 
-/// An old writer takes a known field out. It stays out, although the stored schema is newer.
+/// An old writer removes a field that it knows. The field stays removed, although the stored schema
+/// is newer.
 #[test]
 fn known_field_removed() {
     let stored = json!([{"name": "a", "service": "x", "repeatable": false}]);
--- a/crates/record/tests/plan_text.rs
+++ b/crates/record/tests/plan_text.rs
@@ -1,4 +1,4 @@
-//! Plans: what a directory would change.
+//! Plans: the changes that a directory would make.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -19,7 +19,7 @@
     ]))
 }
 
-fn wanted() -> Vec<Document> {
+fn desired() -> Vec<Document> {
     documents(json!([
         {"schema": 1, "kind": "pipeline", "name": "review", "version": 1, "deadline_ms": 800,
          "stages": [{"name": "encode", "service": "encoder"}, {"name": "rank", "service": "r"}]},
@@ -30,18 +30,18 @@
 
 #[test]
 fn as_text() {
-    insta::assert_snapshot!(Plan::new(&stored(), &wanted(), false));
+    insta::assert_snapshot!(Plan::new(&stored(), &desired(), false));
 }
 
 #[test]
 fn as_json() {
-    let plan = Plan::new(&stored(), &wanted()[1..], false);
+    let plan = Plan::new(&stored(), &desired()[1..], false);
     insta::assert_snapshot!(serde_json::to_string_pretty(&plan).unwrap());
 }
 
-/// A directory is deployed with `--prune` while a VM is drained by hand. If the drain went with
-/// the records that the directory no longer holds, the VM would get work again unasked.
+/// A directory is deployed with `--prune` while a VM is drained manually. If the drain were deleted
+/// with the records that the directory does not contain, the VM would get work again unintentionally.
 #[test]
 fn drain_kept() {
-    insta::assert_snapshot!(Plan::new(&stored(), &wanted(), true));
+    insta::assert_snapshot!(Plan::new(&stored(), &desired(), true));
 }
--- a/crates/record/tests/set_lookups.rs
+++ b/crates/record/tests/set_lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups in the records in force.
+//! Lookups of the records in force.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn chosen_version() {
+fn selected_version() {
     let set = set(json!([pipeline(1), pipeline(2), current(1)]));
     assert_eq!(set.current("review").unwrap().version, 1);
 }
 
-/// The version that operators chose is gone. Callers of `@current` get an error rather than a
-/// version that nobody accepted for them.
+/// The version that operators selected does not exist. Callers of `@current` get an error rather
+/// than a version that no operator selected.
 #[test]
-fn chosen_version_gone() {
+fn selected_version_missing() {
     assert!(
         set(json!([pipeline(2), current(1)]))
             .current("review")
@@ -44,8 +44,8 @@
     );
 }
 
-/// A newer desk has written a record that this process cannot read. The others stay in force, so
-/// that one record does not stop every pipeline.
+/// A newer writer has stored a record that this process cannot parse. The others stay in force, so
+/// that one record does not disable every pipeline.
 #[test]
 fn unreadable_record() {
     let service = json!({"schema": 9, "kind": "service", "name": "encoder", "runner": "quantum"});
--- a/crates/record/tests/stage_model.rs
+++ b/crates/record/tests/stage_model.rs
@@ -1,4 +1,4 @@
-//! Stages that name a model.
+//! Validation of stages that name a model.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -13,8 +13,9 @@
         "deadline_ms": 500, "stages": [stage]});
     let read = |value| serde_json::from_value::<Document>(value).unwrap();
     let found = check::all(&[read(service), read(pipeline)]);
-    let text = found.0.iter();
-    text.map(|finding| format!("{}: {}", finding.path, finding.message))
+    let findings = found.0.iter();
+    findings
+        .map(|finding| format!("{}: {}", finding.path, finding.message))
         .collect()
 }
 
@@ -23,8 +24,8 @@
     assert!(findings(2, "reviewer").is_empty());
 }
 
-/// An operator mistypes the model of a new version. Accepted, it would be loaded nowhere, and every
-/// call of the version would be refused.
+/// A mistyped model in a new version is rejected. No engine would load it, and every call of the
+/// version would be refused.
 #[test]
 fn mistyped_model() {
     let expected = "stages[0].model: service `critic` declares no model `reviwer`";
