--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms of an agent.
 
 use crate::answer::{End, Fault};
-use metric::Bound;
+use metric::LabelLimiter;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -58,7 +58,7 @@
     ends: Family<Ended, Counter>,
     wait: Family<Stage, Histogram>,
     busy: Family<Stage, Histogram>,
-    stages: Bound,
+    stages: LabelLimiter,
 }
 
 fn latency() -> Histogram {
@@ -81,7 +81,7 @@
             ends: Family::default(),
             wait: Family::new_with_constructor(latency),
             busy: Family::new_with_constructor(latency),
-            stages: Bound::new(STAGES),
+            stages: LabelLimiter::new(STAGES),
         };
         own.register(registry.sub_registry_with_prefix("linnetdrift_agent"));
         own
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -4,7 +4,7 @@
 
 use crate::answer::End;
 use crate::job::Job;
-use metric::{Bound, Latency, Registry, latency};
+use metric::{LabelLimiter, Latency, Registry, latency};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -32,7 +32,7 @@
 /// Counters and histograms of an entry.
 #[derive(Debug)]
 pub struct Telemetry {
-    stages: Bound,
+    stages: LabelLimiter,
     latency: Latency,
     ended: Family<Ended, Counter>,
     attempts: Family<Attempted, Histogram>,
@@ -47,7 +47,7 @@
     /// Metrics registered under the names that the operators' page explains.
     pub fn new(registry: &mut Registry) -> Self {
         let telemetry = Self {
-            stages: Bound::new(STAGES),
+            stages: LabelLimiter::new(STAGES),
             latency: Latency::new(
                 registry,
                 "entry_request_seconds",
--- a/crates/metric/examples/labels.rs
+++ b/crates/metric/examples/labels.rs
@@ -1,13 +1,13 @@
-//! Labels stay bounded, whatever callers send: `cargo run -p metric --example labels`.
+//! Limits the number of labels, whatever callers send: `cargo run -p metric --example labels`.
 
 fn main() {
-    let bound = metric::Bound::new(2);
+    let limiter = metric::LabelLimiter::new(2);
     for workspace in [
         "tractor-line",
         "ferry-yard",
         "rail-cabinets",
         "tractor-line",
     ] {
-        println!("{workspace}: {}", bound.label(workspace));
+        println!("{workspace}: {}", limiter.label(workspace));
     }
 }
--- a/crates/metric/src/label.rs
+++ b/crates/metric/src/label.rs
@@ -1,35 +1,34 @@
-//! Keeps the number of label values bounded.
+//! Limits the number of label values.
 
 use foldhash::fast::RandomState;
 use std::collections::HashSet;
 use std::sync::RwLock;
 
-/// Label that stands for all values beyond the limit.
+/// Label of all values beyond the limit.
 pub const OTHER: &str = "other";
 
-/// Lets the first `limit` distinct values through and folds all later ones into [`OTHER`].
+/// Passes the first `limit` distinct values through and maps all later ones to [`OTHER`].
 ///
-/// A histogram with a label for each workspace would grow with every name a caller sends; at
-/// 5,000 workspaces and several classes one scrape would no longer fit the budget of a node. The
-/// first names seen are the busiest ones with high probability, and the rest stay visible
-/// together.
+/// A histogram with a label for each workspace would grow with every name that a caller sends; at
+/// 5,000 workspaces and several classes, one scrape would exceed the budget of a node. The first
+/// names seen are very likely the busiest ones, and the rest are counted together.
 ///
 /// # Examples
 ///
 /// ```
-/// let bound = metric::Bound::new(1);
-/// assert_eq!(bound.label("coop"), "coop");
-/// assert_eq!(bound.label("agency"), "other");
-/// assert_eq!(bound.label("coop"), "coop");
+/// let limiter = metric::LabelLimiter::new(1);
+/// assert_eq!(limiter.label("coop"), "coop");
+/// assert_eq!(limiter.label("agency"), "other");
+/// assert_eq!(limiter.label("coop"), "coop");
 /// ```
 #[derive(Debug)]
-pub struct Bound {
+pub struct LabelLimiter {
     limit: usize,
     seen: RwLock<HashSet<String, RandomState>>,
 }
 
-impl Bound {
-    /// A bound on the number of distinct values.
+impl LabelLimiter {
+    /// Creates a limiter for a number of distinct values.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -38,19 +37,20 @@
         }
     }
 
-    /// The label to use for a value.
+    /// Returns the label to use for a value.
     pub fn label<'a>(&self, value: &'a str) -> &'a str {
-        if self.knows(value) || self.admit(value) {
+        if self.contains(value) || self.insert(value) {
             return value;
         }
         OTHER
     }
 
-    fn knows(&self, value: &str) -> bool {
+    fn contains(&self, value: &str) -> bool {
         self.seen.read().is_ok_and(|seen| seen.contains(value))
     }
 
-    fn admit(&self, value: &str) -> bool {
+    /// Returns whether the value is in the set afterwards.
+    fn insert(&self, value: &str) -> bool {
         let Ok(mut seen) = self.seen.write() else {
             return false;
         };
--- a/crates/metric/src/lib.rs
+++ b/crates/metric/src/lib.rs
@@ -1,7 +1,7 @@
-//! Metrics and logs that every role shares.
+//! Metrics and logging for all roles.
 //!
-//! * [`label`]: keeps the number of label values bounded
-//! * [`latency`]: histograms of requests by workspace and class
+//! * [`label`]: limits the number of label values
+//! * [`latency`]: latency histograms of requests by workspace and class
 //! * [`serve()`]: the `/metrics` endpoint
 //! * [`log`]: the structured logger
 
@@ -10,7 +10,7 @@
 pub mod log;
 pub mod serve;
 
-pub use label::Bound;
+pub use label::LabelLimiter;
 pub use latency::Latency;
 pub use prometheus_client::registry::Registry;
 pub use serve::{Error, serve};
--- a/crates/metric/src/log.rs
+++ b/crates/metric/src/log.rs
@@ -1,17 +1,17 @@
-//! The structured logger: JSON lines, written by a thread of its own.
+//! The structured logger, which writes JSON lines on a separate thread.
 
 use slog::{Drain, Logger, o};
 
-/// Lines that wait for the writer; further ones are dropped and counted in the log itself.
-const QUEUE: usize = 4096;
+/// Capacity of the writer's queue; further lines are dropped and counted in the log itself.
+const QUEUE_LINES: usize = 4096;
 
-/// A logger to standard error whose lines bear the process's role and identity.
+/// Creates a logger to standard error whose lines contain the process's role and name.
 pub fn logger(role: &'static str, id: &str) -> Logger {
     logger_to(std::io::stderr(), role, id)
 }
 
-/// The same to any writer. Whoever logs never waits for it: while it is slow, lines wait in a queue
-/// of bounded length, and further ones are dropped and counted.
+/// Creates a logger to a writer. Logging never blocks: while the writer is slow, lines wait in a
+/// bounded queue, and further ones are dropped and counted.
 pub fn logger_to(
     writer: impl std::io::Write + Send + 'static,
     role: &'static str,
@@ -23,13 +23,13 @@
         .build()
         .fuse();
     let drain = slog_async::Async::new(lines)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .build()
         .fuse();
     Logger::root(drain, o!("role" => role, "id" => id.to_owned()))
 }
 
-/// A logger that drops everything, for tests and examples.
+/// Creates a logger that discards everything, for tests and examples.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/metric/src/serve.rs
+++ b/crates/metric/src/serve.rs
@@ -15,13 +15,13 @@
 /// Content type of the OpenMetrics text format.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Pause after a connection that could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a connection that could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The endpoint's address could not be bound.
+/// Error of binding the endpoint's address.
 pub type Error = std::io::Error;
 
-/// Serves the registry's metrics until the runtime ends and gives the address bound.
+/// Serves the registry's metrics until the runtime shuts down; returns the bound address.
 ///
 /// # Errors
 ///
@@ -35,14 +35,14 @@
 
 async fn accept(listener: TcpListener, registry: Arc<Registry>) {
     loop {
-        // Too few file descriptors, for one, must not take the metrics away for good.
+        // A failure such as exhausted file descriptors must not disable the endpoint permanently.
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let registry = registry.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| answer(registry.clone(), request));
+            let service = service_fn(move |request| respond(registry.clone(), request));
             hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await
@@ -50,15 +50,15 @@
     }
 }
 
-async fn answer(
+async fn respond(
     registry: Arc<Registry>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut text = String::new();
-    let known = request.uri().path() == "/metrics"
+    let encoded = request.uri().path() == "/metrics"
         && prometheus_client::encoding::text::encode(&mut text, &registry).is_ok();
     let mut response = Response::new(Full::new(Bytes::from(text)));
-    if known {
+    if encoded {
         let value = hyper::header::HeaderValue::from_static(OPEN_METRICS);
         response.headers_mut().insert(CONTENT_TYPE, value);
     } else {
