--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -219,7 +219,7 @@
 impl Vms for Client {
     async fn list(&self) -> Result<Vec<Vm>, Error> {
         let body = self.get(self.vms, "/v1/vms").await?;
-        let body = body.ok_or_else(|| malformed(&"no list of VMs there"))?;
+        let body = body.ok_or_else(|| malformed(&"VM list not found"))?;
         parse::<List>(&body).map(|list| list.vms)
     }
 }
