--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -10,7 +10,7 @@
 use crate::runner::Runner;
 use bytes::Bytes;
 use hyper::StatusCode;
-use protocol::fence::Verdict;
+use protocol::fence::Decision;
 use serde::Deserialize;
 use std::time::Duration;
 use store::Table;
@@ -104,17 +104,17 @@
         order: Option<&[u8]>,
     ) -> Result<(), OrderReply> {
         let mut decision = self.state.admit(token, order);
-        if decision == Verdict::Unknown {
+        if decision == Decision::Unknown {
             self.state.learn(current_token(&self.table).await?);
             decision = self.state.admit(token, order);
         }
         match decision {
-            Verdict::Pass => Ok(()),
-            Verdict::Refuse(highest) => Err(OrderReply::error(
+            Decision::Pass => Ok(()),
+            Decision::Refuse(highest) => Err(OrderReply::error(
                 StatusCode::PRECONDITION_FAILED,
                 &format!("fencing number {token} is older than {highest}"),
             )),
-            Verdict::Unknown => Err(token_unknown("no number was read")),
+            Decision::Unknown => Err(token_unknown("no number was read")),
         }
     }
 }
--- a/crates/protocol/src/member.rs
+++ b/crates/protocol/src/member.rs
@@ -1,59 +1,59 @@
-//! Which VMs may get new work: the lagging list, news from the VM itself, silence and operators'
-//! drain records.
+//! Which VMs may get new work, from the platform's list (which lags), messages from the VMs
+//! themselves, missed heartbeats and operators' drain records.
 
 use crate::id::Incarnation;
 use foldhash::fast::RandomState;
 use std::collections::{HashMap, HashSet};
 
-/// What is known of a VM's willingness to work.
+/// Whether a VM accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
     /// May get new work.
     Live,
-    /// Finishes what it has; gets no new work.
+    /// Finishes the work it has; gets no new work.
     Leaving,
-    /// Not there.
+    /// Not present.
     Gone,
 }
 
-/// A word about one life of a VM.
+/// Update about one incarnation of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct News {
-    /// Life of the process that the word is about.
+pub struct MemberUpdate {
+    /// Incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// Whether it leaves.
+    /// Whether the VM is leaving.
     pub leaving: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Contact {
-    Never,
-    Heard,
-    Silent,
+    Unknown,
+    Responsive,
+    Unresponsive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    news: News,
+    update: MemberUpdate,
     listed: bool,
     contact: Contact,
 }
 
-/// All VMs that one entry knows of.
+/// All VMs that one entry knows.
 ///
-/// A VM that has gone stays known, so that an old list cannot bring it back without its leaving
-/// mark.
+/// A VM that has gone stays known, so that an outdated list cannot bring it back without its
+/// `leaving` mark.
 ///
 /// # Examples
 ///
 /// ```
-/// use protocol::member::{Members, News, State};
+/// use protocol::member::{Members, MemberUpdate, State};
 ///
 /// let mut members = Members::new();
-/// members.hear("t1", News { incarnation: 2, leaving: true });
-/// members.list([("t1", News { incarnation: 2, leaving: false })]);
+/// members.observe("t1", MemberUpdate { incarnation: 2, leaving: true });
+/// members.set_listed([("t1", MemberUpdate { incarnation: 2, leaving: false })]);
 /// assert_eq!(members.state("t1"), State::Leaving);
-/// members.hear("t1", News { incarnation: 3, leaving: false });
+/// members.observe("t1", MemberUpdate { incarnation: 3, leaving: false });
 /// assert_eq!(members.state("t1"), State::Live);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -63,41 +63,41 @@
 }
 
 impl Members {
-    /// No VM is known.
+    /// Creates an empty set of VMs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in the platform's whole list; a VM that it leaves out is no longer listed.
-    pub fn list<'a>(&mut self, vms: impl IntoIterator<Item = (&'a str, News)>) {
+    /// Replaces the platform's list; a VM that is missing from it is no longer listed.
+    pub fn set_listed<'a>(&mut self, vms: impl IntoIterator<Item = (&'a str, MemberUpdate)>) {
         for member in self.members.values_mut() {
             member.listed = false;
         }
-        for (id, news) in vms {
-            self.merge(id, news).listed = true;
+        for (id, update) in vms {
+            self.merge(id, update).listed = true;
         }
     }
 
-    /// Takes in what the VM itself says: an answer, a heartbeat or its leaving word.
-    pub fn hear(&mut self, id: &str, news: News) {
-        let member = self.merge(id, news);
-        if member.news.incarnation == news.incarnation {
-            member.contact = Contact::Heard;
+    /// Records an update from the VM itself: a response, a heartbeat or its notice of leaving.
+    pub fn observe(&mut self, id: &str, update: MemberUpdate) {
+        let member = self.merge(id, update);
+        if member.update.incarnation == update.incarnation {
+            member.contact = Contact::Responsive;
         }
     }
 
-    /// Takes in that this life of the VM has not been heard for the heartbeat's limit.
-    pub fn silence(&mut self, id: &str, incarnation: Incarnation) {
+    /// Records that this incarnation of the VM has sent nothing for the heartbeat timeout.
+    pub fn mark_unresponsive(&mut self, id: &str, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(id)
-            && member.news.incarnation == incarnation
+            && member.update.incarnation == incarnation
         {
-            member.contact = Contact::Silent;
+            member.contact = Contact::Unresponsive;
         }
     }
 
-    /// Takes in whether an operator's drain record names the VM; it holds for every life of it.
-    pub fn drain(&mut self, id: &str, drained: bool) {
+    /// Records whether an operator's drain record names the VM; it applies to all its incarnations.
+    pub fn set_drained(&mut self, id: &str, drained: bool) {
         if drained {
             self.drained.insert(id.to_owned());
         } else {
@@ -105,24 +105,24 @@
         }
     }
 
-    /// Whether the VM may get new work; one that is not known is [`State::Gone`].
+    /// Whether the VM may get new work; an unknown VM is [`State::Gone`].
     #[must_use]
     pub fn state(&self, id: &str) -> State {
         match self.members.get(id) {
             None => State::Gone,
-            Some(member) if !member.is_there() => State::Gone,
-            Some(member) if member.news.leaving || self.drained.contains(id) => State::Leaving,
+            Some(member) if !member.is_present() => State::Gone,
+            Some(member) if member.update.leaving || self.drained.contains(id) => State::Leaving,
             Some(_) => State::Live,
         }
     }
 
-    /// Life of the VM that was last heard of.
+    /// Latest known incarnation of the VM.
     #[must_use]
     pub fn incarnation(&self, id: &str) -> Option<Incarnation> {
-        self.members.get(id).map(|member| member.news.incarnation)
+        self.members.get(id).map(|member| member.update.incarnation)
     }
 
-    /// Ids of the VMs that may get new work, in no order.
+    /// Ids of the VMs that may get new work, in no particular order.
     pub fn live(&self) -> impl Iterator<Item = &str> {
         self.members
             .keys()
@@ -130,46 +130,46 @@
             .filter(|id| self.state(id) == State::Live)
     }
 
-    /// Merges a word into what is known.
+    /// Merges an update into what is known.
     ///
-    /// The list lags: it shows a VM as live after the VM itself has said that it leaves. Within
-    /// one life the leaving mark therefore stays, and a word about an earlier life is ignored;
-    /// otherwise new work would go to a target that is about to stop.
-    fn merge(&mut self, id: &str, news: News) -> &mut Member {
+    /// The list lags: it shows a VM as live after the VM itself has reported that it is leaving.
+    /// Within one incarnation the `leaving` mark therefore stays, and updates about earlier
+    /// incarnations are ignored; otherwise new work would go to a target that is about to stop.
+    fn merge(&mut self, id: &str, update: MemberUpdate) -> &mut Member {
         let member = self
             .members
             .entry(id.to_owned())
-            .or_insert_with(|| Member::new(news));
-        member.merge(news);
+            .or_insert_with(|| Member::new(update));
+        member.merge(update);
         member
     }
 }
 
 impl Member {
-    fn new(news: News) -> Self {
+    fn new(update: MemberUpdate) -> Self {
         Self {
-            news,
+            update,
             listed: false,
-            contact: Contact::Never,
+            contact: Contact::Unknown,
         }
     }
 
-    fn merge(&mut self, news: News) {
-        if news.incarnation > self.news.incarnation {
+    fn merge(&mut self, update: MemberUpdate) {
+        if update.incarnation > self.update.incarnation {
             *self = Self {
                 listed: self.listed,
-                ..Self::new(news)
+                ..Self::new(update)
             };
-        } else if news.incarnation == self.news.incarnation {
-            self.news.leaving |= news.leaving;
+        } else if update.incarnation == self.update.incarnation {
+            self.update.leaving |= update.leaving;
         }
     }
 
-    fn is_there(&self) -> bool {
+    fn is_present(&self) -> bool {
         match self.contact {
-            Contact::Heard => true,
-            Contact::Never => self.listed,
-            Contact::Silent => false,
+            Contact::Responsive => true,
+            Contact::Unknown => self.listed,
+            Contact::Unresponsive => false,
         }
     }
 }
