--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -15,11 +15,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
-use wire::link::MAX_FRAME;
+use wire::link::MAX_FRAME_BYTES;
 use wire::{Frame, Load, Refusal};
 
 /// Maximum length of an answer or event; leaves room for the rest of the frame.
-const MAX_ANSWER_BYTES: usize = MAX_FRAME - 1024;
+const MAX_ANSWER_BYTES: usize = MAX_FRAME_BYTES - 1024;
 /// Answers shorter than this are copied out of the connection's read buffer.
 const COPY_THRESHOLD_BYTES: usize = 32 << 10;
 /// How long the rest of a stream is read after its end mark, so that the connection can be reused.
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! Metrics of an agent: counters, gauges and histograms.
 
 use crate::answer::{AnswerError, RunOutcome};
-use metric::Bound;
+use metric::LabelLimiter;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -58,7 +58,7 @@
     ends: Family<OutcomeLabels, Counter>,
     wait: Family<StageLabels, Histogram>,
     busy: Family<StageLabels, Histogram>,
-    stages: Bound,
+    stages: LabelLimiter,
 }
 
 fn latency_histogram() -> Histogram {
@@ -81,7 +81,7 @@
             ends: Family::default(),
             wait: Family::new_with_constructor(latency_histogram),
             busy: Family::new_with_constructor(latency_histogram),
-            stages: Bound::new(MAX_STAGE_LABELS),
+            stages: LabelLimiter::new(MAX_STAGE_LABELS),
         };
         telemetry.register(registry.sub_registry_with_prefix("linnetdrift_agent"));
         telemetry
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -285,7 +285,7 @@
             other => handle_frame(&relay, &link.sender, other),
         }
     }
-    link.sender.abandon();
+    link.sender.abort();
     transfer::link_lost(&relay, &link.sender);
     // Dropping the senders notifies all waiting tasks that the link is gone.
     let mut pending = lock(&link.pending);
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -446,7 +446,7 @@
     Relay::new(
         options,
         fake,
-        metric::log::silent(),
+        metric::log::discard(),
         Telemetry::new(&mut registry),
     )
 }
