--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -11,9 +11,9 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum RequestOutcome {
     /// The whole answer is in the chunks.
-    Whole {
+    Complete {
         /// Whether it came after the deadline.
         late: bool,
     },
@@ -63,7 +63,7 @@
     admitted: bool,
     chunks: Vec<Bytes>,
     bytes: usize,
-    end: Option<End>,
+    end: Option<RequestOutcome>,
 }
 
 /// The answer to one request, growing until its end.
@@ -114,7 +114,7 @@
     }
 
     /// Ends the answer; only the first end counts.
-    pub fn finish(&self, end: End) {
+    pub fn finish(&self, end: RequestOutcome) {
         self.change(|state| {
             state.end.get_or_insert(end);
         });
@@ -146,7 +146,7 @@
     }
 
     /// How the request ended, if it has.
-    pub fn end(&self) -> Option<End> {
+    pub fn end(&self) -> Option<RequestOutcome> {
         self.lock().end.clone()
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Waits until the request has ended.
-    pub async fn ended(&self) -> End {
+    pub async fn ended(&self) -> RequestOutcome {
         let mut progress = self.follow();
         loop {
             if let Some(end) = self.end() {
--- a/crates/entry/src/answers.rs
+++ b/crates/entry/src/answers.rs
@@ -12,13 +12,13 @@
 use tokio::time::Instant;
 
 /// How long an ended request's answer is kept for callers that come back for it.
-pub const KEEP: Duration = Duration::from_secs(600);
+pub const RETENTION: Duration = Duration::from_secs(600);
 /// Memory that ended answers may take, in bytes.
-pub const KEEP_BYTES: usize = 16 << 20;
+pub const MAX_RETAINED_BYTES: usize = 16 << 20;
 /// Memory that an answer takes besides its chunks, in bytes: table entries, locks, counters.
-const OVERHEAD: usize = 768;
+const ANSWER_OVERHEAD_BYTES: usize = 768;
 /// Memory that a chunk takes besides its content, in bytes.
-const CHUNK_OVERHEAD: usize = 96;
+const CHUNK_OVERHEAD_BYTES: usize = 96;
 /// Locks that the table is spread over.
 const SHARDS: usize = 16;
 
@@ -28,20 +28,20 @@
 #[derive(Debug)]
 pub struct Answers {
     shards: Vec<Mutex<Shard>>,
-    ended: Mutex<Ended>,
+    ended: Mutex<EndedAnswers>,
 }
 
 /// An answer that may be forgotten.
 #[derive(Clone, Copy, Debug)]
-struct Old {
+struct EndedAnswer {
     since: Instant,
     request: RequestId,
     bytes: usize,
 }
 
 #[derive(Debug, Default)]
-struct Ended {
-    order: VecDeque<Old>,
+struct EndedAnswers {
+    order: VecDeque<EndedAnswer>,
     bytes: usize,
 }
 
@@ -68,19 +68,19 @@
 
     /// Keeps the answer of a request that has ended for a while, and forgets the oldest ones beyond
     /// the bounds.
-    pub fn ended(&self, answer: &Answer) {
-        let bytes = OVERHEAD + answer.bytes() + answer.len() * CHUNK_OVERHEAD;
-        let forgotten = {
+    pub fn mark_ended(&self, answer: &Answer) {
+        let bytes = ANSWER_OVERHEAD_BYTES + answer.bytes() + answer.len() * CHUNK_OVERHEAD_BYTES;
+        let evicted = {
             let mut ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner);
             ended.bytes += bytes;
-            ended.order.push_back(Old {
+            ended.order.push_back(EndedAnswer {
                 since: Instant::now(),
                 request: answer.request(),
                 bytes,
             });
-            ended.forget()
+            ended.evict()
         };
-        for request in forgotten {
+        for request in evicted {
             self.shard(request).remove(&request);
         }
     }
@@ -93,17 +93,17 @@
     }
 }
 
-impl Ended {
-    fn forget(&mut self) -> Vec<RequestId> {
-        let mut forgotten = Vec::new();
+impl EndedAnswers {
+    fn evict(&mut self) -> Vec<RequestId> {
+        let mut evicted = Vec::new();
         while let Some(old) = self.order.front().copied() {
-            if self.bytes <= KEEP_BYTES && old.since.elapsed() <= KEEP {
+            if self.bytes <= MAX_RETAINED_BYTES && old.since.elapsed() <= RETENTION {
                 break;
             }
             self.order.pop_front();
             self.bytes -= old.bytes;
-            forgotten.push(old.request);
+            evicted.push(old.request);
         }
-        forgotten
+        evicted
     }
 }
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -2,14 +2,14 @@
 
 pub mod stream;
 
-use crate::answer::{Answer, End};
+use crate::answer::{Answer, RequestOutcome};
 use crate::core::{Core, Platform};
 use crate::execute;
 use crate::job::Job;
 use crate::journal;
-use crate::kept::{self, Kept};
 use crate::peers::{self, FORWARDED};
 use crate::problem::{Outcome, Problem};
+use crate::stored_answer::{self, StoredAnswer};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use protocol::RequestId;
@@ -26,7 +26,7 @@
 /// Longest deadline that a caller may name.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 /// When a caller may come back to an entry that is stopping: at once, to another one.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(100);
+const DRAIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Media type of event streams.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
@@ -35,7 +35,7 @@
 
 /// A whole answer.
 #[derive(Serialize)]
-struct Whole<'a> {
+struct CompleteAnswer<'a> {
     request: String,
     late: bool,
     output: &'a RawValue,
@@ -48,7 +48,7 @@
 }
 
 /// What a caller asks for besides the input.
-struct Ask {
+struct RunOptions {
     workspace: String,
     class: String,
     key: Option<String>,
@@ -82,7 +82,7 @@
     }
 }
 
-impl Ask {
+impl RunOptions {
     fn read(request: &Request) -> Result<Self, Problem> {
         let text = |name: &str| -> Option<String> { request.header(name) };
         let Some(workspace) = text("linnetdrift-workspace").filter(|name| !name.is_empty()) else {
@@ -142,7 +142,7 @@
     match accept(&core, request).await {
         Ok(job) => {
             job.answer.admitted().await;
-            if let Some(End::Elsewhere { request }) = job.answer.end() {
+            if let Some(RequestOutcome::Elsewhere { request }) = job.answer.end() {
                 return find_answer(&core, request, &follow).await;
             }
             respond(&job.answer, &follow).await
@@ -158,7 +158,7 @@
     if core.is_draining() {
         return Err(Problem::not_run(
             "this entry is stopping",
-            COME_BACK_ELSEWHERE,
+            DRAIN_RETRY_AFTER,
         ));
     }
     if !core.config.is_ready() {
@@ -167,21 +167,21 @@
             Duration::from_secs(1),
         ));
     }
-    let ask = Ask::read(&request)?;
+    let options = RunOptions::read(&request)?;
     let set = core.config.current();
-    let pipeline = find(&set, &request)?;
+    let pipeline = find_pipeline(&set, &request)?;
     let input = input(request).await?;
     let now = Instant::now();
-    let deadline = ask
+    let deadline = options
         .deadline
         .unwrap_or(Duration::from_millis(pipeline.deadline_ms));
-    let id = peers::draw(&core.settings.id, &mut rand::rng());
-    let streamed = ask.stream && pipeline.stages.last().is_some_and(|stage| stage.stream);
+    let id = peers::draw_request_id(&core.settings.id, &mut rand::rng());
+    let streamed = options.stream && pipeline.stages.last().is_some_and(|stage| stage.stream);
     let job = Arc::new(Job {
         id,
-        workspace: ask.workspace,
-        class: ask.class,
-        key: ask.key,
+        workspace: options.workspace,
+        class: options.class,
+        key: options.key,
         pipeline,
         set,
         accepted: now,
@@ -194,7 +194,7 @@
     Ok(job)
 }
 
-fn find(set: &Arc<Set>, request: &Request) -> Result<Arc<Pipeline>, Problem> {
+fn find_pipeline(set: &Arc<Set>, request: &Request) -> Result<Arc<Pipeline>, Problem> {
     let name: String = request
         .param("name")
         .map_err(|_| bad("no pipeline named"))?;
@@ -244,21 +244,21 @@
     }
     let owner = core.peers.owner(id).filter(|_| !follow.forwarded);
     if let Some(owner) = owner
-        && let Some(answer) = core.peers.ask(owner, id, follow).await
+        && let Some(answer) = core.peers.forward(owner, id, follow).await
     {
         return answer;
     }
-    if let Some(kept) = kept::load(core, id).await {
-        return respond_kept(id, &kept);
+    if let Some(stored_answer) = stored_answer::load(core, id).await {
+        return respond_stored(id, &stored_answer);
     }
-    if journal::has(&core.platform, id).await {
+    if journal::contains(&core.platform, id).await {
         // Its entry is gone; another runs it, or will.
         return accepted(id);
     }
-    lost(id)
+    not_found(id)
 }
 
-fn lost(id: RequestId) -> Response {
+fn not_found(id: RequestId) -> Response {
     let detail = "no entry that can be reached has this request";
     let problem = Problem {
         request: Some(format_id(id)),
@@ -272,7 +272,11 @@
 async fn respond(answer: &Arc<Answer>, follow: &Follow) -> Response {
     let refused = matches!(
         answer.end(),
-        Some(End::NotRun { .. } | End::Mismatch | End::Elsewhere { .. })
+        Some(
+            RequestOutcome::NotRun { .. }
+                | RequestOutcome::Mismatch
+                | RequestOutcome::Elsewhere { .. }
+        )
     );
     if follow.stream && !refused {
         return stream::response(answer.clone(), follow.from);
@@ -288,22 +292,27 @@
     render(answer.request(), &end, answer.is_streamed(), &chunks)
 }
 
-fn respond_kept(id: RequestId, kept: &Kept) -> Response {
-    let chunks: Vec<Bytes> = kept.chunks.iter().cloned().map(Bytes::from).collect();
-    render(id, &kept.end(), kept.stream, &chunks)
+fn respond_stored(id: RequestId, stored_answer: &StoredAnswer) -> Response {
+    let chunks: Vec<Bytes> = stored_answer
+        .chunks
+        .iter()
+        .cloned()
+        .map(Bytes::from)
+        .collect();
+    render(id, &stored_answer.end(), stored_answer.stream, &chunks)
 }
 
-fn render(id: RequestId, end: &End, streamed: bool, chunks: &[Bytes]) -> Response {
+fn render(id: RequestId, end: &RequestOutcome, streamed: bool, chunks: &[Bytes]) -> Response {
     let mut response = match Problem::from_end(id, end) {
         Some(problem) => problem.response(),
-        None => whole(
+        None => complete(
             id,
-            matches!(end, End::Whole { late: true }),
+            matches!(end, RequestOutcome::Complete { late: true }),
             streamed,
             chunks,
         ),
     };
-    name_request(&mut response, id);
+    set_request_header(&mut response, id);
     response
 }
 
@@ -318,11 +327,11 @@
     if let Ok(location) = format!("/v1/requests/{id}").parse() {
         response.headers_mut().insert("location", location);
     }
-    name_request(&mut response, request);
+    set_request_header(&mut response, request);
     response
 }
 
-fn whole(id: RequestId, late: bool, streamed: bool, chunks: &[Bytes]) -> Response {
+fn complete(id: RequestId, late: bool, streamed: bool, chunks: &[Bytes]) -> Response {
     let joined = if streamed {
         execute::join(chunks)
     } else {
@@ -331,12 +340,12 @@
     let Ok(output) = serde_json::from_slice::<&RawValue>(&joined) else {
         return unreadable(id);
     };
-    let whole = Whole {
+    let complete = CompleteAnswer {
         request: format_id(id),
         late,
         output,
     };
-    let body = serde_json::to_vec(&whole).unwrap_or_default();
+    let body = serde_json::to_vec(&complete).unwrap_or_default();
     Response::with(Full::from(body), "application/json")
 }
 
@@ -353,7 +362,7 @@
     problem.response()
 }
 
-fn name_request(response: &mut Response, id: RequestId) {
+fn set_request_header(response: &mut Response, id: RequestId) {
     if let Ok(value) = format_id(id).parse() {
         response.headers_mut().insert(REQUEST, value);
     }
--- a/crates/entry/src/caller/stream.rs
+++ b/crates/entry/src/caller/stream.rs
@@ -4,8 +4,8 @@
 //! of chunks, or `problem`; a stream without either was cut off, and the caller goes on with
 //! `GET /v1/requests/{id}` and `Last-Event-ID`.
 
-use super::{EVENT_STREAM, format_id, name_request};
-use crate::answer::{Answer, End, Progress};
+use super::{EVENT_STREAM, format_id, set_request_header};
+use crate::answer::{Answer, Progress, RequestOutcome};
 use crate::problem::Problem;
 use bytes::Bytes;
 use futures::Stream;
@@ -19,7 +19,7 @@
     answer: Arc<Answer>,
     next: usize,
     progress: watch::Receiver<Progress>,
-    over: bool,
+    ended: bool,
 }
 
 /// Streams an answer from a chunk on.
@@ -29,7 +29,7 @@
         progress: answer.follow(),
         next: from,
         answer,
-        over: false,
+        ended: false,
     };
     let mut response = Response::with(Body::from_stream(events(reader)), EVENT_STREAM);
     let headers = response.headers_mut();
@@ -37,7 +37,7 @@
         "cache-control",
         viz::header::HeaderValue::from_static("no-store"),
     );
-    name_request(&mut response, id);
+    set_request_header(&mut response, id);
     response
 }
 
@@ -51,14 +51,14 @@
 impl Reader {
     /// All events that are due, so that a burst of chunks is written at once.
     async fn next_event(&mut self) -> Option<Bytes> {
-        while !self.over {
+        while !self.ended {
             self.progress.borrow_and_update();
             // The end is read before the chunks: none can be added after it.
             let end = self.answer.end();
-            let mut text = self.due();
+            let mut text = self.pending_events();
             if let Some(end) = end {
-                self.over = true;
-                text.push_str(&self.last(&end));
+                self.ended = true;
+                text.push_str(&self.final_event(&end));
             }
             if !text.is_empty() {
                 return Some(Bytes::from(text));
@@ -69,7 +69,7 @@
         None
     }
 
-    fn due(&mut self) -> String {
+    fn pending_events(&mut self) -> String {
         let mut text = String::new();
         while let Some(chunk) = self.answer.chunk(self.next) {
             text.push_str(&format!("id: {}\n", self.next));
@@ -85,14 +85,14 @@
         text
     }
 
-    fn last(&self, end: &End) -> String {
+    fn final_event(&self, end: &RequestOutcome) -> String {
         match Problem::from_end(self.answer.request(), end) {
             Some(problem) => {
                 let problem = serde_json::to_string(&problem).unwrap_or_default();
                 format!("event: problem\ndata: {problem}\n\n")
             }
             None => {
-                let late = matches!(end, End::Whole { late: true });
+                let late = matches!(end, RequestOutcome::Complete { late: true });
                 let id = format_id(self.answer.request());
                 let chunks = self.answer.len();
                 format!(
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,7 +1,7 @@
 //! Claims on idempotency keys.
 
 use crate::config::rows;
-use crate::writes::{Fate, Place, Writes};
+use crate::writes::{RowKey, WriteOutcome, Writes};
 use protocol::RequestId;
 use protocol::claim::{self, Action, Claim, Event, StoredRow, Verdict};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// Table of claims.
 pub const CLAIMS: &str = "claim";
 /// Pause before a release or answer that could not be written is tried again.
-const LATER: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Claims of one entry.
 #[derive(Clone, Debug)]
@@ -22,14 +22,14 @@
 
 /// A request's claim that was settled for its caller.
 #[derive(Debug)]
-pub struct Settled {
+pub struct SettledClaim {
     claim: Claim,
     key: String,
     /// What the caller is told, or whether the request may run.
     pub verdict: Verdict,
 }
 
-impl Settled {
+impl SettledClaim {
     /// Whether the row needs no more writes.
     pub fn is_settled(&self) -> bool {
         self.claim.is_settled()
@@ -55,20 +55,20 @@
         key: &str,
         request: RequestId,
         digest: u64,
-    ) -> Settled {
+    ) -> SettledClaim {
         let key = row_key(workspace, key);
         let (mut claim, mut action) = Claim::open(rand::random(), request, digest);
         loop {
             match action {
                 Action::Resolve(verdict) => {
-                    return Settled {
+                    return SettledClaim {
                         claim,
                         key,
                         verdict,
                     };
                 }
                 action_now => {
-                    let event = self.carry_out(&key, action_now).await;
+                    let event = self.execute(&key, action_now).await;
                     action = claim.on(event);
                 }
             }
@@ -77,18 +77,18 @@
 
     /// Brings the row to its last state, for as long as it takes: the key would otherwise stay
     /// claimed by a request that has ended, and its next caller would be told *unknown*.
-    pub async fn close(&self, mut settled: Settled, event: Event) {
+    pub async fn close(&self, mut settled: SettledClaim, event: Event) {
         let mut action = settled.claim.on(event);
         while !settled.claim.is_settled() {
             if action == Action::RetryLater {
-                tokio::time::sleep(LATER).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            let event = self.carry_out(&settled.key, action).await;
+            let event = self.execute(&settled.key, action).await;
             action = settled.claim.on(event);
         }
     }
 
-    async fn carry_out(&self, key: &str, action: Action) -> Event {
+    async fn execute(&self, key: &str, action: Action) -> Event {
         match action {
             Action::Write { check, row } => self.write(key, check, row).await,
             Action::Read => self.read(key).await,
@@ -97,27 +97,27 @@
     }
 
     async fn write(&self, key: &str, check: Option<RowRevision>, row: claim::Row) -> Event {
-        let place = Place {
+        let place = RowKey {
             table: CLAIMS,
             key: key.to_owned(),
         };
         match self.writes.write(place, check, Some(&row)).await {
-            Fate::Written(revision) => Event::Written(revision),
-            Fate::Conflict(row) => found(row),
-            Fate::Unavailable => Event::Unavailable,
-            Fate::Unsure => Event::Unsure,
+            WriteOutcome::Written(revision) => Event::Written(revision),
+            WriteOutcome::Conflict(row) => found_event(row),
+            WriteOutcome::Unavailable => Event::Unavailable,
+            WriteOutcome::Unsure => Event::Unsure,
         }
     }
 
     async fn read(&self, key: &str) -> Event {
         match self.platform.read(CLAIMS, key).await {
-            Ok(row) => found(row),
+            Ok(row) => found_event(row),
             Err(_) => Event::Unavailable,
         }
     }
 }
 
-fn found(row: Option<Row>) -> Event {
+fn found_event(row: Option<Row>) -> Event {
     let Some(row) = row else {
         return Event::Found(None);
     };
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -97,12 +97,12 @@
     }
 
     /// Highest revision heard of.
-    pub fn heard_of(&self) -> Revision {
+    pub fn latest_known_revision(&self) -> Revision {
         self.lock().follower.wanted()
     }
 
     /// Takes in that another process has seen this revision.
-    pub fn heard(&self, revision: Revision) {
+    pub fn record_revision(&self, revision: Revision) {
         if matches!(
             self.lock().follower.on(Event::Push(revision)),
             Action::Fetch { .. }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in all records as a ready peer has them, for a fresh process while the table is down.
-    pub fn adopt(&self, revision: Revision, records: Records) {
+    pub fn adopt_snapshot(&self, revision: Revision, records: Records) {
         let adopted = {
             let mut state = self.lock();
             state.follower.on(Event::Peers(revision));
--- a/crates/entry/src/config/accept.rs
+++ b/crates/entry/src/config/accept.rs
@@ -12,9 +12,9 @@
 use tokio::time::Instant;
 
 /// How long a change whose fate is not known is looked after before the operator is told so.
-const SETTLE: Duration = Duration::from_secs(5);
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between attempts to settle it.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A change as an operator asks for it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -65,14 +65,14 @@
         source: Error,
     },
     /// The change may have been accepted.
-    #[snafu(display("no answer from the table service within {SETTLE:?}"))]
+    #[snafu(display("no answer from the table service within {RESOLVE_TIMEOUT:?}"))]
     Unknown,
 }
 
 /// What became of one transaction.
-enum Fate {
+enum TransactionOutcome {
     Accepted(Revision),
-    Moved,
+    HeadChanged,
 }
 
 impl<P: Table> Config<P> {
@@ -90,7 +90,9 @@
             }
             let (change, head_row) = self.prepare(operator, request)?;
             let transaction = transaction(&change, head_row);
-            if let Fate::Accepted(revision) = self.submit(&change, &transaction).await? {
+            if let TransactionOutcome::Accepted(revision) =
+                self.submit(&change, &transaction).await?
+            {
                 // The change is accepted whether or not this entry can read it back at once.
                 let _ = self.poll().await;
                 return Ok(revision);
@@ -141,16 +143,25 @@
     /// row tells that it did. That it did not cannot be read from any row, since a delayed write
     /// may still arrive, so the same transaction is sent again: its check of the head lets only
     /// one of the copies take effect.
-    async fn submit(&self, change: &Change, transaction: &Transaction) -> Result<Fate, Refusal> {
-        let until = Instant::now() + SETTLE;
+    async fn submit(
+        &self,
+        change: &Change,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, Refusal> {
+        let give_up_at = Instant::now() + RESOLVE_TIMEOUT;
         let mut unsure = false;
         loop {
             match self.platform.transact(transaction).await {
-                Ok(_) => return Ok(Fate::Accepted(change.revision)),
-                Err(Error::Conflict { .. }) if !unsure => return Ok(Fate::Moved),
+                Ok(_) => return Ok(TransactionOutcome::Accepted(change.revision)),
+                Err(Error::Conflict { .. }) if !unsure => {
+                    return Ok(TransactionOutcome::HeadChanged);
+                }
                 Err(Error::Conflict { .. }) => {
                     if let Ok(found) = self.accepted(&change.token).await {
-                        return Ok(found.map_or(Fate::Moved, Fate::Accepted));
+                        return Ok(found.map_or(
+                            TransactionOutcome::HeadChanged,
+                            TransactionOutcome::Accepted,
+                        ));
                     }
                 }
                 Err(error @ Error::Unavailable { .. }) if !unsure => {
@@ -159,10 +170,10 @@
                 Err(Error::Unavailable { .. }) => {}
                 Err(Error::Unsure { .. } | Error::Garbled { .. }) => unsure = true,
             }
-            if Instant::now() > until {
+            if Instant::now() > give_up_at {
                 return Err(Refusal::Unknown);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -43,7 +43,7 @@
     /// Claims on idempotency keys.
     pub claims: Claims<P>,
     /// Name of this life of the entry; no other life of any entry has it.
-    pub life: String,
+    pub incarnation: String,
     /// Requests that outlive their entry.
     pub journal: Journal,
     /// Services, their targets and the links to their agents.
@@ -85,7 +85,7 @@
         Self {
             config: Config::new(platform.clone(), log.clone()),
             claims: Claims::new(platform.clone(), writes.clone()),
-            life: format!("{}/{:032x}", settings.id, rand::random::<u128>()),
+            incarnation: format!("{}/{:032x}", settings.id, rand::random::<u128>()),
             journal: Journal::new(writes, Duration::from_millis(settings.journal_beat_ms)),
             services: Services::new(&settings, started),
             budgets: Budgets::new(settings.policy),
@@ -182,7 +182,7 @@
         let core = self.clone();
         self.tasks.spawn(async move {
             work.await;
-            core.answers.ended(&answer);
+            core.answers.mark_ended(&answer);
         });
     }
 }
--- a/crates/entry/src/discovery.rs
+++ b/crates/entry/src/discovery.rs
@@ -37,25 +37,25 @@
     }
     core.peers.update(entries, &core.settings.id);
     let key = Key::new(core.settings.key.as_bytes());
-    let chosen = subsets(&core.settings, &targets);
+    let chosen = select_targets(&core.settings, &targets);
     for vm in targets.iter().filter(|vm| chosen.contains(vm.id.as_str())) {
         let service = core.services.get(&vm.service);
         let observer = service.clone();
         let log = core.log.new(o!("service" => vm.service.clone()));
-        service.list(vm, |vm| Target::start(vm, key.clone(), log, observer));
+        service.update_target(vm, |vm| Target::start(vm, key.clone(), log, observer));
     }
     let listed: HashSet<&str> = targets.iter().map(|vm| vm.id.as_str()).collect();
     for service in core.services.all() {
         service.retain(|id| match (listed.contains(id), chosen.contains(id)) {
-            (_, true) => Listing::Chosen,
-            (true, false) => Listing::Passed,
-            (false, false) => Listing::Absent,
+            (_, true) => Listing::Selected,
+            (true, false) => Listing::NotSelected,
+            (false, false) => Listing::Unlisted,
         });
     }
 }
 
 /// The targets that this entry keeps links to: those of its region, and of each service a subset.
-fn subsets<'a>(settings: &setting::Entry, targets: &'a [Vm]) -> HashSet<&'a str> {
+fn select_targets<'a>(settings: &setting::Entry, targets: &'a [Vm]) -> HashSet<&'a str> {
     let mut by_service: HashMap<&str, Vec<Candidate<'a>>> = HashMap::new();
     let region = &settings.place.region;
     for vm in targets {
--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -9,10 +9,10 @@
 use wire::Models;
 
 /// How long an answer is waited for before the engine is asked anew.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long an engine's first word is waited for after its link came up.
-const FIRST_WORD: Duration = Duration::from_secs(5);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What an order is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
@@ -36,7 +36,7 @@
 
 /// An order as engines read it.
 #[derive(Serialize)]
-struct Fenced<'a> {
+struct FencedOrder<'a> {
     fence: FencingToken,
     #[serde(flatten)]
     order: &'a Order,
@@ -55,7 +55,7 @@
     /// ```
     #[must_use]
     pub fn body(&self, fence: FencingToken) -> Vec<u8> {
-        let fenced = Fenced { fence, order: self };
+        let fenced = FencedOrder { fence, order: self };
         // Numbers and strings always make JSON.
         serde_json::to_vec(&fenced).unwrap_or_default()
     }
@@ -66,7 +66,7 @@
 
 /// What an engine holds, for planning.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct EngineView {
     /// Models that are loaded and are not being given up.
     pub warm: Vec<String>,
     /// Model that is being loaded.
@@ -86,30 +86,30 @@
 #[derive(Debug, Default)]
 struct State {
     /// When the link came up.
-    up: Option<Instant>,
-    held: Option<Held>,
+    link_up: Option<Instant>,
+    reported: Option<ReportedModels>,
     /// Number of the latest question, and the question while it is open.
-    number: u64,
-    asked: Option<Question>,
-    open: Option<Open>,
+    query_number: u64,
+    query: Option<Query>,
+    open: Option<OpenOrder>,
     /// When the last order was over: what was asked before then may be out of date.
-    settled: Option<Instant>,
+    last_order_ended: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct ReportedModels {
     models: Models,
-    asked: Question,
+    query: Query,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
-    at: Instant,
+struct Query {
+    sent_at: Instant,
     fence: Option<FencingToken>,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenOrder {
     order: Order,
     done: oneshot::Sender<Status>,
 }
@@ -118,28 +118,30 @@
     /// Whether calls for a model may be sent to it.
     pub fn holds(&self, model: &str) -> bool {
         let state = self.lock();
-        let held = state.held.as_ref();
-        held.is_some_and(|held| held.models.warm.iter().any(|warm| warm == model))
+        let reported = state.reported.as_ref();
+        reported.is_some_and(|reported| reported.models.warm.iter().any(|warm| warm == model))
     }
 
     /// Whether it is loading a model.
     pub fn is_loading(&self, model: &str) -> bool {
         let state = self.lock();
-        let held = state.held.as_ref();
-        held.is_some_and(|held| held.models.loading.as_deref() == Some(model))
+        let reported = state.reported.as_ref();
+        reported.is_some_and(|reported| reported.models.loading.as_deref() == Some(model))
     }
 
     /// Whether it is soon to say for the first time what it holds. One that stays silent is not
     /// waited for: calls for a model that nobody has would be accepted on its account.
     pub fn is_pending(&self) -> bool {
         let state = self.lock();
-        let fresh = state.up.is_some_and(|up| up.elapsed() < FIRST_WORD);
-        fresh && state.held.is_none()
+        let fresh = state
+            .link_up
+            .is_some_and(|link_up| link_up.elapsed() < FIRST_ANSWER_TIMEOUT);
+        fresh && state.reported.is_none()
     }
 
     /// A link has come up.
-    pub fn linked(&self) {
-        self.lock().up = Some(Instant::now());
+    pub fn record_link_up(&self) {
+        self.lock().link_up = Some(Instant::now());
     }
 
     /// What it held when it was asked under this fencing number and after the last order to it was
@@ -147,39 +149,45 @@
     ///
     /// Any other answer may have been overtaken by an order, of this entry or of an earlier holder
     /// of the lease, and a plan made from it could give up the last replica of a model.
-    pub fn view(&self, fence: FencingToken) -> Option<View> {
+    pub fn view(&self, fence: FencingToken) -> Option<EngineView> {
         let state = self.lock();
-        let held = state.held.as_ref()?;
-        let Question { at, fence: under } = held.asked;
-        let fresh = under == Some(fence) && state.settled.is_none_or(|settled| at > settled);
-        fresh.then(|| state.view(held))
+        let reported = state.reported.as_ref()?;
+        let Query {
+            sent_at,
+            fence: query_fence,
+        } = reported.query;
+        let fresh = query_fence == Some(fence)
+            && state
+                .last_order_ended
+                .is_none_or(|last_order_ended| sent_at > last_order_ended);
+        fresh.then(|| state.view(reported))
     }
 
     /// Number for the next question, unless the same one is open.
-    pub fn ask(&self, fence: Option<FencingToken>) -> Option<u64> {
+    pub fn next_query(&self, fence: Option<FencingToken>) -> Option<u64> {
         let mut state = self.lock();
-        let at = Instant::now();
-        let open = |asked: Question| asked.fence == fence && at < asked.at + ASK_AGAIN;
-        if state.asked.is_some_and(open) {
+        let sent_at = Instant::now();
+        let open = |query: Query| query.fence == fence && sent_at < query.sent_at + QUERY_TIMEOUT;
+        if state.query.is_some_and(open) {
             return None;
         }
-        state.number += 1;
-        state.asked = Some(Question { at, fence });
-        Some(state.number)
+        state.query_number += 1;
+        state.query = Some(Query { sent_at, fence });
+        Some(state.query_number)
     }
 
     /// Takes in an answer; one to an older question is dropped. An engine that could not be asked
     /// is taken to hold what it held: it refuses calls for what it does not hold as *not run*.
-    pub fn answered(&self, number: u64, models: Option<Models>) {
+    pub fn record_models(&self, query_number: u64, models: Option<Models>) {
         let mut state = self.lock();
-        if number != state.number {
+        if query_number != state.query_number {
             return;
         }
-        let Some(asked) = state.asked.take() else {
+        let Some(query) = state.query.take() else {
             return;
         };
         if let Some(models) = models {
-            state.held = Some(Held { models, asked });
+            state.reported = Some(ReportedModels { models, query });
         }
     }
 
@@ -187,24 +195,24 @@
     ///
     /// Answers bear no number of their order: with two open, the answer to one that had been given
     /// up for its time would pass for the other's.
-    pub fn open(&self, order: Order) -> Option<oneshot::Receiver<Status>> {
+    pub fn open_order(&self, order: Order) -> Option<oneshot::Receiver<Status>> {
         let mut state = self.lock();
         if state.open.is_some() {
             return None;
         }
         let (done, answer) = oneshot::channel();
-        state.open = Some(Open { order, done });
+        state.open = Some(OpenOrder { order, done });
         Some(answer)
     }
 
     /// Gives the place of the open order back; `status` is its answer, if it was sent.
-    pub fn close(&self, status: Option<Status>) {
+    pub fn close_order(&self, status: Option<Status>) {
         let mut state = self.lock();
         let Some(open) = state.open.take() else {
             return;
         };
-        state.settled = Some(Instant::now());
-        state.asked = None;
+        state.last_order_ended = Some(Instant::now());
+        state.query = None;
         if let Some(status) = status {
             // A planner that has gone with its entry needs no answer.
             let _ = open.done.send(status);
@@ -212,11 +220,11 @@
     }
 
     /// The link is gone: nothing is known any more, and the answer to an open order is lost.
-    pub fn forget(&self) {
+    pub fn reset(&self) {
         let mut state = self.lock();
-        let number = state.number;
+        let query_number = state.query_number;
         *state = State {
-            number,
+            query_number,
             ..State::default()
         };
     }
@@ -227,23 +235,23 @@
 }
 
 impl State {
-    fn view(&self, held: &Held) -> View {
+    fn view(&self, reported: &ReportedModels) -> EngineView {
         let order = self.open.as_ref().map(|open| &open.order);
         let about = |verb, model: &str| {
             order.is_some_and(|order| order.verb == verb && order.model == model)
         };
         let ordered = order.filter(|order| order.verb == Verb::Load);
-        let warm = held.models.warm.iter();
-        View {
+        let warm = reported.models.warm.iter();
+        EngineView {
             warm: warm
                 .filter(|model| !about(Verb::Unload, model))
                 .cloned()
                 .collect(),
             loading: ordered
                 .map(|order| order.model.clone())
-                .or_else(|| held.models.loading.clone()),
+                .or_else(|| reported.models.loading.clone()),
             busy: order.is_some(),
-            wanted: held.models.wanted.clone(),
+            wanted: reported.models.wanted.clone(),
         }
     }
 }
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -1,15 +1,15 @@
 //! Runs an accepted request through the stages of its pipeline.
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::claim as claims;
 use crate::core::{Core, Platform};
 use crate::fields;
 use crate::job::Job;
-use crate::journal::Begun;
-use crate::kept;
-use crate::service::models::Availability;
-use crate::service::{Overload, Turn};
-use crate::stage::Run;
+use crate::journal::InsertOutcome;
+use crate::service::models::ModelAvailability;
+use crate::service::{Overload, Permit};
+use crate::stage::StageRun;
+use crate::stored_answer;
 use crate::wait::{GivenUp, Waiter};
 use bytes::{Bytes, BytesMut};
 use protocol::claim::{self, Verdict};
@@ -18,13 +18,13 @@
 use tokio::time::Instant;
 
 /// When to come back while the table service is away.
-const STORE_AWAY: Duration = Duration::from_secs(1);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// When to come back while a service has no target.
-const NO_TARGET: Duration = Duration::from_secs(1);
+const TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// When to come back for a model that no engine has loaded.
-const NO_MODEL: Duration = Duration::from_secs(2);
+const MODEL_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Runs a job to its end and leaves the end in its answer.
 pub async fn run<P: Platform>(core: &Arc<Core<P>>, job: &Job) {
@@ -40,25 +40,25 @@
 /// Runs a job that outlives this entry: admitted first, since a refusal after it is in the journal
 /// would not be true if this entry then stopped.
 async fn run_durable<P: Platform>(core: &Arc<Core<P>>, job: &Job) {
-    let turn = match admit(core, job).await {
-        Ok(turn) => turn,
+    let permit = match admit(core, job).await {
+        Ok(permit) => permit,
         Err(end) => return finish(core, job, end),
     };
-    match core.journal.begin(job, &core.life).await {
-        Begun::Written => {}
-        Begun::Refused => {
-            let end = End::NotRun {
+    match core.journal.insert(job, &core.incarnation).await {
+        InsertOutcome::Written => {}
+        InsertOutcome::Refused => {
+            let end = RequestOutcome::NotRun {
                 detail: "the table service is away".to_owned(),
-                retry_after: STORE_AWAY,
+                retry_after: STORE_RETRY_AFTER,
             };
             return finish(core, job, end);
         }
-        Begun::Unknown => {
+        InsertOutcome::Unknown => {
             let detail = "the journal does not say whether it has the request".to_owned();
-            return finish(core, job, End::Unknown { detail });
+            return finish(core, job, RequestOutcome::Unknown { detail });
         }
     }
-    end_journalled(core, job, Some(turn)).await;
+    end_journalled(core, job, Some(permit)).await;
 }
 
 /// Runs a job that is in the journal already, after its entry has gone.
@@ -68,35 +68,45 @@
 
 /// Runs a journalled job, keeps its answer where every entry finds it, and takes it out of the
 /// journal.
-async fn end_journalled<P: Platform>(core: &Arc<Core<P>>, job: &Job, turn: Option<Turn>) {
-    let end = end(job, run_from(core, job, turn).await);
-    if let End::NotRun { .. } = end {
+async fn end_journalled<P: Platform>(core: &Arc<Core<P>>, job: &Job, permit: Option<Permit>) {
+    let end = end(job, run_from(core, job, permit).await);
+    if let RequestOutcome::NotRun { .. } = end {
         // *Not run* is true only once no other entry can find the request.
-        let out = core.journal.end(job.id).await;
+        let removed = core.journal.remove(job.id).await;
         let detail = "it may be run by another entry".to_owned();
-        return finish(core, job, if out { end } else { End::Unknown { detail } });
+        return finish(
+            core,
+            job,
+            if removed {
+                end
+            } else {
+                RequestOutcome::Unknown { detail }
+            },
+        );
     }
     finish(core, job, end.clone());
-    if core.journal.holds(job.id) {
-        kept::store(core, job, &end).await;
-        core.journal.end(job.id).await;
+    if core.journal.is_running(job.id) {
+        stored_answer::store(core, job, &end).await;
+        core.journal.remove(job.id).await;
     }
 }
 
 /// Runs a job whose key nobody else has run, and keeps its answer where every entry finds it.
 async fn run_once<P: Platform>(core: &Arc<Core<P>>, job: &Job, key: &str) {
-    let digest = kept::digest(job);
+    let digest = stored_answer::digest(job);
     let settled = core.claims.claim(&job.workspace, key, job.id, digest).await;
     let refusal = match settled.verdict {
         Verdict::Granted => {
             let end = run_stages(core, job).await;
-            return close(core, job, settled, &end).await;
+            return close_claim(core, job, settled, &end).await;
         }
-        Verdict::Running(request) | Verdict::Answered(request) => End::Elsewhere { request },
-        Verdict::Mismatch => End::Mismatch,
-        Verdict::Unavailable => End::NotRun {
+        Verdict::Running(request) | Verdict::Answered(request) => {
+            RequestOutcome::Elsewhere { request }
+        }
+        Verdict::Mismatch => RequestOutcome::Mismatch,
+        Verdict::Unavailable => RequestOutcome::NotRun {
             detail: "the table service is away".to_owned(),
-            retry_after: STORE_AWAY,
+            retry_after: STORE_RETRY_AFTER,
         },
     };
     finish(core, job, refusal);
@@ -106,11 +116,16 @@
 }
 
 /// A claim of a request that may have run stays: no entry runs it again.
-async fn close<P: Platform>(core: &Arc<Core<P>>, job: &Job, settled: claims::Settled, end: &End) {
+async fn close_claim<P: Platform>(
+    core: &Arc<Core<P>>,
+    job: &Job,
+    settled: claims::SettledClaim,
+    end: &RequestOutcome,
+) {
     let event = match end {
-        End::NotRun { .. } => claim::Event::NotRun,
-        End::Whole { .. } | End::Failed { .. } => {
-            kept::store(core, job, end).await;
+        RequestOutcome::NotRun { .. } => claim::Event::NotRun,
+        RequestOutcome::Complete { .. } | RequestOutcome::Failed { .. } => {
+            stored_answer::store(core, job, end).await;
             claim::Event::Answered
         }
         _ => return,
@@ -118,9 +133,9 @@
     core.claims.close(settled, event).await;
 }
 
-async fn run_stages<P: Platform>(core: &Arc<Core<P>>, job: &Job) -> End {
+async fn run_stages<P: Platform>(core: &Arc<Core<P>>, job: &Job) -> RequestOutcome {
     let result = match admit(core, job).await {
-        Ok(turn) => run_from(core, job, Some(turn)).await,
+        Ok(permit) => run_from(core, job, Some(permit)).await,
         Err(end) => Err(end),
     };
     let end = end(job, result);
@@ -129,16 +144,16 @@
 }
 
 /// How a job ended, for its caller.
-fn end(job: &Job, result: Result<(), End>) -> End {
+fn end(job: &Job, result: Result<(), RequestOutcome>) -> RequestOutcome {
     match result {
-        Ok(()) => End::Whole {
+        Ok(()) => RequestOutcome::Complete {
             late: Instant::now() > job.deadline,
         },
         Err(end) => end,
     }
 }
 
-fn finish<P: Platform>(core: &Core<P>, job: &Job, end: End) {
+fn finish<P: Platform>(core: &Core<P>, job: &Job, end: RequestOutcome) {
     core.telemetry.ended(job, &end);
     job.answer.finish(end);
 }
@@ -147,16 +162,16 @@
 async fn run_from<P: Platform>(
     core: &Arc<Core<P>>,
     job: &Job,
-    mut turn: Option<Turn>,
-) -> Result<(), End> {
+    mut permit: Option<Permit>,
+) -> Result<(), RequestOutcome> {
     job.answer.admit();
     let last = job.pipeline.stages.len().saturating_sub(1);
     let mut input = job.input.clone();
     let mut elapsed = Vec::with_capacity(job.pipeline.stages.len());
     for position in 0..=last {
         let streamed = position == last && job.answer.is_streamed();
-        let run = Run::new(core, job, position, input, streamed);
-        let output = run.finish(turn.take()).await?;
+        let run = StageRun::new(core, job, position, input, streamed);
+        let output = run.finish(permit.take()).await?;
         elapsed.push(output.elapsed);
         input = if position == last {
             output.content
@@ -175,13 +190,13 @@
 ///
 /// The later stages' services are asked first: a request is not refused there any more, and what
 /// its first stages cost would be wasted if it then waited far beyond its deadline.
-async fn admit<P: Platform>(core: &Arc<Core<P>>, job: &Job) -> Result<Turn, End> {
+async fn admit<P: Platform>(core: &Arc<Core<P>>, job: &Job) -> Result<Permit, RequestOutcome> {
     let set = core.config.current();
     let mut stages = job.pipeline.stages.iter();
     if let Some(stage) = stages.find(|stage| !core.services.get(&stage.service).is_served(&set)) {
-        return Err(End::NotRun {
+        return Err(RequestOutcome::NotRun {
             detail: format!("service {} has no target", stage.service),
-            retry_after: NO_TARGET,
+            retry_after: TARGET_RETRY_AFTER,
         });
     }
     for stage in &job.pipeline.stages {
@@ -189,11 +204,11 @@
         let Some(model) = &stage.model else {
             continue;
         };
-        if service.availability(model, &set) == Availability::Absent {
-            service.missed(model);
-            return Err(End::NotRun {
+        if service.model_availability(model, &set) == ModelAvailability::Absent {
+            service.record_miss(model);
+            return Err(RequestOutcome::NotRun {
                 detail: format!("model {model} is not loaded"),
-                retry_after: NO_MODEL,
+                retry_after: MODEL_RETRY_AFTER,
             });
         }
     }
@@ -209,20 +224,20 @@
     let demand = core.demand(job, 0, &schedule, &[]);
     let service = core.services.get(&job.pipeline.stages[0].service);
     let mut waiter = Waiter::new(core, job, 0, job.may_have_run());
-    match waiter.until(service.offer(&demand)).await {
+    match waiter.until(service.admit(&demand)).await {
         Ok(offered) => offered.map_err(refused),
-        Err(GivenUp) => Err(End::NotRun {
+        Err(GivenUp) => Err(RequestOutcome::NotRun {
             detail: format!(
                 "service {} has lost its targets",
                 job.pipeline.stages[0].service
             ),
-            retry_after: NO_TARGET,
+            retry_after: TARGET_RETRY_AFTER,
         }),
     }
 }
 
-fn refused(overload: Overload) -> End {
-    End::NotRun {
+fn refused(overload: Overload) -> RequestOutcome {
+    RequestOutcome::NotRun {
         detail: "overload".to_owned(),
         retry_after: overload.retry_after,
     }
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -14,8 +14,8 @@
 pub mod sweep;
 
 use crate::job::Job;
-use crate::journal::row::Entry;
-use crate::writes::{Fate, Place, Writes};
+use crate::journal::row::JournalEntry;
+use crate::writes::{RowKey, WriteOutcome, Writes};
 use foldhash::fast::RandomState;
 use protocol::RequestId;
 use std::collections::HashMap;
@@ -28,13 +28,13 @@
 /// Table of the journal.
 pub const JOURNAL: &str = "journal";
 /// How long a write whose fate is not known is looked after.
-const SETTLE: Duration = Duration::from_secs(5);
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between attempts to settle it.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What became of a request's entry in the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begun {
+pub enum InsertOutcome {
     /// It is in the journal.
     Written,
     /// It is not, and never will be.
@@ -45,8 +45,8 @@
 
 /// A journalled request that this entry runs.
 #[derive(Clone, Debug)]
-struct Held {
-    entry: Entry,
+struct RunningRequest {
+    entry: JournalEntry,
     revision: RowRevision,
 }
 
@@ -54,19 +54,19 @@
 #[derive(Debug)]
 pub struct Journal {
     writes: Writes,
-    pulse: Duration,
-    held: Mutex<HashMap<RequestId, Held, RandomState>>,
+    renew_interval: Duration,
+    held: Mutex<HashMap<RequestId, RunningRequest, RandomState>>,
 }
 
-fn place(request: RequestId) -> Place {
-    Place {
+fn row_key(request: RequestId) -> RowKey {
+    RowKey {
         table: JOURNAL,
         key: row::key(request),
     }
 }
 
 /// Whether a request is in the journal.
-pub async fn has(table: &impl Table, request: RequestId) -> bool {
+pub async fn contains(table: &impl Table, request: RequestId) -> bool {
     let row = table.read(JOURNAL, &row::key(request)).await;
     matches!(row, Ok(Some(_)))
 }
@@ -74,10 +74,10 @@
 impl Journal {
     /// A journal that is written through this queue and whose rows are rewritten this often.
     #[must_use]
-    pub fn new(writes: Writes, pulse: Duration) -> Self {
+    pub fn new(writes: Writes, renew_interval: Duration) -> Self {
         Self {
             writes,
-            pulse,
+            renew_interval,
             held: Mutex::default(),
         }
     }
@@ -86,25 +86,29 @@
     ///
     /// A write whose answer was lost may still take effect, and another entry would then run a
     /// request whose caller was told *not run*. So it is sent again until its fate is known.
-    pub async fn begin(&self, job: &Job, owner: &str) -> Begun {
-        let entry = Entry::new(job, owner);
-        let until = Instant::now() + SETTLE;
+    pub async fn insert(&self, job: &Job, owner: &str) -> InsertOutcome {
+        let entry = JournalEntry::new(job, owner);
+        let give_up_at = Instant::now() + RESOLVE_TIMEOUT;
         let mut unsure = false;
         loop {
-            let fate = self.writes.write(place(job.id), None, Some(&entry)).await;
-            match fate {
-                Fate::Written(revision) => return self.hold(job.id, entry, revision),
+            let outcome = self.writes.write(row_key(job.id), None, Some(&entry)).await;
+            match outcome {
+                WriteOutcome::Written(revision) => {
+                    return self.record_written(job.id, entry, revision);
+                }
                 // Only this request writes this key, so that the row is its own.
-                Fate::Conflict(Some(row)) => return self.hold(job.id, entry, row.revision),
-                Fate::Conflict(None) => {}
-                Fate::Unavailable if !unsure => return Begun::Refused,
-                Fate::Unavailable => {}
-                Fate::Unsure => unsure = true,
+                WriteOutcome::Conflict(Some(row)) => {
+                    return self.record_written(job.id, entry, row.revision);
+                }
+                WriteOutcome::Conflict(None) => {}
+                WriteOutcome::Unavailable if !unsure => return InsertOutcome::Refused,
+                WriteOutcome::Unavailable => {}
+                WriteOutcome::Unsure => unsure = true,
             }
-            if Instant::now() > until {
-                return Begun::Unknown;
+            if Instant::now() > give_up_at {
+                return InsertOutcome::Unknown;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -113,107 +117,116 @@
     pub async fn take_over(
         &self,
         request: RequestId,
-        entry: Entry,
+        entry: JournalEntry,
         revision: RowRevision,
         owner: &str,
-    ) -> Option<Entry> {
+    ) -> Option<JournalEntry> {
         let entry = entry.taken_over(owner);
-        let place = place(request);
-        let fate = self.writes.write(place, Some(revision), Some(&entry)).await;
-        let Fate::Written(revision) = fate else {
+        let row_key = row_key(request);
+        let outcome = self
+            .writes
+            .write(row_key, Some(revision), Some(&entry))
+            .await;
+        let WriteOutcome::Written(revision) = outcome else {
             // After a lost answer the row is seen unchanged for a while and taken over again.
             return None;
         };
-        self.hold(request, entry.clone(), revision);
+        self.record_written(request, entry.clone(), revision);
         Some(entry)
     }
 
-    fn hold(&self, request: RequestId, entry: Entry, revision: RowRevision) -> Begun {
-        self.lock().insert(request, Held { entry, revision });
-        Begun::Written
+    fn record_written(
+        &self,
+        request: RequestId,
+        entry: JournalEntry,
+        revision: RowRevision,
+    ) -> InsertOutcome {
+        self.lock()
+            .insert(request, RunningRequest { entry, revision });
+        InsertOutcome::Written
     }
 
     /// Whether this entry runs the request.
-    pub fn holds(&self, request: RequestId) -> bool {
+    pub fn is_running(&self, request: RequestId) -> bool {
         self.lock().contains_key(&request)
     }
 
     /// Takes a request out of the journal; gives whether it is known to be out.
     ///
     /// Until it is, another entry may run it.
-    pub async fn end(&self, request: RequestId) -> bool {
-        let until = Instant::now() + SETTLE;
+    pub async fn remove(&self, request: RequestId) -> bool {
+        let give_up_at = Instant::now() + RESOLVE_TIMEOUT;
         loop {
             let Some(held) = self.lock().get(&request).cloned() else {
                 return false;
             };
-            let nothing = None::<&Entry>;
-            let fate = self
+            let nothing = None::<&JournalEntry>;
+            let outcome = self
                 .writes
-                .write(place(request), Some(held.revision), nothing)
+                .write(row_key(request), Some(held.revision), nothing)
                 .await;
-            match fate {
-                Fate::Written(_) | Fate::Conflict(None) => {
+            match outcome {
+                WriteOutcome::Written(_) | WriteOutcome::Conflict(None) => {
                     self.lock().remove(&request);
                     return true;
                 }
-                Fate::Conflict(Some(row)) => {
-                    if !self.keeps(request, row) {
+                WriteOutcome::Conflict(Some(row)) => {
+                    if !self.check_owner(request, row) {
                         return false;
                     }
                 }
-                Fate::Unavailable | Fate::Unsure => {}
+                WriteOutcome::Unavailable | WriteOutcome::Unsure => {}
             }
-            if Instant::now() > until {
+            if Instant::now() > give_up_at {
                 // The row stays, and whoever takes it over finds the answer that is kept.
                 self.lock().remove(&request);
                 return false;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
     /// Rewrites the rows of the requests that run here, until the entry stops.
-    pub async fn beat(&self) {
+    pub async fn renew_all(&self) {
         loop {
-            sleep(self.pulse).await;
+            sleep(self.renew_interval).await;
             let held: Vec<RequestId> = self.lock().keys().copied().collect();
-            let beats = held.into_iter().map(|request| self.beat_one(request));
-            futures::future::join_all(beats).await;
+            let renewals = held.into_iter().map(|request| self.renew(request));
+            futures::future::join_all(renewals).await;
         }
     }
 
-    async fn beat_one(&self, request: RequestId) {
+    async fn renew(&self, request: RequestId) {
         let Some(mut held) = self.lock().get(&request).cloned() else {
             return;
         };
         held.entry.beat += 1;
-        let place = place(request);
-        let fate = self
+        let row_key = row_key(request);
+        let outcome = self
             .writes
-            .write(place, Some(held.revision), Some(&held.entry))
+            .write(row_key, Some(held.revision), Some(&held.entry))
             .await;
-        match fate {
-            Fate::Written(revision) => {
-                if let Some(kept) = self.lock().get_mut(&request) {
-                    *kept = Held { revision, ..held };
+        match outcome {
+            WriteOutcome::Written(revision) => {
+                if let Some(running) = self.lock().get_mut(&request) {
+                    *running = RunningRequest { revision, ..held };
                 }
             }
-            Fate::Conflict(Some(row)) => {
-                self.keeps(request, row);
+            WriteOutcome::Conflict(Some(row)) => {
+                self.check_owner(request, row);
             }
-            Fate::Conflict(None) => {
+            WriteOutcome::Conflict(None) => {
                 self.lock().remove(&request);
             }
-            Fate::Unavailable | Fate::Unsure => {}
+            WriteOutcome::Unavailable | WriteOutcome::Unsure => {}
         }
     }
 
     /// Takes in a row that is not as expected: written by an own beat whose answer was lost, or by
     /// another entry that has taken the request over.
-    fn keeps(&self, request: RequestId, row: store::Row) -> bool {
+    fn check_owner(&self, request: RequestId, row: store::Row) -> bool {
         let revision = row.revision;
-        let found: Option<Entry> = crate::config::rows::parse(row).ok();
+        let found: Option<JournalEntry> = crate::config::rows::parse(row).ok();
         let mut all = self.lock();
         let Some(held) = all.get_mut(&request) else {
             return false;
@@ -226,7 +239,7 @@
         false
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, Held, RandomState>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, RunningRequest, RandomState>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/journal/row.rs
+++ b/crates/entry/src/journal/row.rs
@@ -13,11 +13,11 @@
 
 /// Numbers of attempts that each entry which runs a request has to itself; a stage is given up long
 /// before it has had so many.
-const ATTEMPTS: Attempt = 1 << 10;
+const ATTEMPTS_PER_ENTRY: Attempt = 1 << 10;
 
 /// All that another entry needs to run the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct JournalEntry {
     /// Life of the entry that runs the request.
     pub owner: String,
     /// Number of times that the row was rewritten.
@@ -47,14 +47,14 @@
     format_id(request)
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     })
 }
 
-impl Entry {
+impl JournalEntry {
     /// The row of a job that this owner runs.
     #[must_use]
     pub fn new(job: &Job, owner: &str) -> Self {
@@ -69,7 +69,7 @@
             class: job.class.clone(),
             input: String::from_utf8_lossy(&job.input).into_owned(),
             streamed: job.answer.is_streamed(),
-            due_ms: wall_ms().saturating_add(remaining),
+            due_ms: unix_time_ms().saturating_add(remaining),
         }
     }
 
@@ -88,7 +88,7 @@
     #[must_use]
     pub fn job(&self, request: RequestId, set: &Arc<Set>) -> Option<Job> {
         let pipeline = set.pipeline(&self.pipeline, self.version)?.clone();
-        let remaining = Duration::from_millis(self.due_ms.saturating_sub(wall_ms()));
+        let remaining = Duration::from_millis(self.due_ms.saturating_sub(unix_time_ms()));
         let now = Instant::now();
         Some(Job {
             id: request,
@@ -99,7 +99,7 @@
             set: set.clone(),
             accepted: now,
             deadline: now + remaining,
-            first_attempt: self.takeovers.wrapping_mul(ATTEMPTS),
+            first_attempt: self.takeovers.wrapping_mul(ATTEMPTS_PER_ENTRY),
             input: Bytes::from(self.input.clone()),
             answer: Arc::new(Answer::new(request, self.streamed)),
         })
--- a/crates/entry/src/journal/sweep.rs
+++ b/crates/entry/src/journal/sweep.rs
@@ -3,8 +3,8 @@
 use crate::caller::format_id;
 use crate::core::{Core, Platform};
 use crate::journal::JOURNAL;
-use crate::journal::row::Entry;
-use crate::{config::rows, execute, kept};
+use crate::journal::row::JournalEntry;
+use crate::{config::rows, execute, stored_answer};
 use foldhash::fast::RandomState;
 use protocol::RequestId;
 use slog::info;
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Beats that a row must be seen without before its request is taken over.
-const BEATS: u32 = 3;
+const MISSED_RENEWALS: u32 = 3;
 /// Rows read at once.
 const PAGE: usize = 500;
 
@@ -31,16 +31,16 @@
 
 /// Looks through the journal until the entry stops.
 pub async fn run<P: Platform>(core: Arc<Core<P>>) {
-    let beat = Duration::from_millis(core.settings.journal_beat_ms);
+    let renew_interval = Duration::from_millis(core.settings.journal_beat_ms);
     let mut watch = Watch::default();
     loop {
-        sleep(beat).await;
+        sleep(renew_interval).await;
         if core.is_draining() || !core.config.is_ready() {
             continue;
         }
         // While the table is away nothing is learnt, and nothing that was seen counts as newer.
         if let Ok(rows) = scan(&core).await {
-            for (request, row) in lapsed(&mut watch, rows, beat * BEATS) {
+            for (request, row) in expired(&mut watch, rows, renew_interval * MISSED_RENEWALS) {
                 take_over(&core, request, row).await;
             }
         }
@@ -61,10 +61,10 @@
 }
 
 /// The rows that have been seen unchanged for long enough.
-fn lapsed(watch: &mut Watch, rows: Vec<Row>, lapse: Duration) -> Vec<(RequestId, Row)> {
+fn expired(watch: &mut Watch, rows: Vec<Row>, timeout: Duration) -> Vec<(RequestId, Row)> {
     let now = Instant::now();
     let mut seen = Watch::default();
-    let mut lapsed = Vec::new();
+    let mut expired = Vec::new();
     for row in rows {
         let Ok(request) = RequestId::from_str_radix(&row.key, 16) else {
             continue;
@@ -75,20 +75,20 @@
         let since = before.map_or(now, |before| before.since);
         let revision = row.revision;
         seen.insert(request, Seen { revision, since });
-        if now - since >= lapse {
-            lapsed.push((request, row));
+        if now - since >= timeout {
+            expired.push((request, row));
         }
     }
     *watch = seen;
-    lapsed
+    expired
 }
 
 async fn take_over<P: Platform>(core: &Arc<Core<P>>, request: RequestId, row: Row) {
-    if core.journal.holds(request) {
+    if core.journal.is_running(request) {
         return;
     }
     let revision = row.revision;
-    let Ok(entry) = rows::parse::<Entry>(row) else {
+    let Ok(entry) = rows::parse::<JournalEntry>(row) else {
         return;
     };
     // A request whose pipeline is no longer in force waits for an entry that has read it.
@@ -96,13 +96,13 @@
         return;
     }
     let journal = &core.journal;
-    let taken = journal.take_over(request, entry, revision, &core.life);
+    let taken = journal.take_over(request, entry, revision, &core.incarnation);
     let Some(entry) = taken.await else {
         return;
     };
     // Its entry may have kept the answer and gone before it could end the row.
-    if kept::load(core, request).await.is_some() {
-        core.journal.end(request).await;
+    if stored_answer::load(core, request).await.is_some() {
+        core.journal.remove(request).await;
         return;
     }
     let Some(job) = entry.job(request, &core.config.current()) else {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -9,7 +9,7 @@
 //!   long it is kept
 //! * [`execute`]: a job from admission to its end; [`stage`]: one stage with all its attempts
 //! * [`wait`]: calls that no target has, and what ends their waits
-//! * [`claim`], [`journal`] and [`kept`]: idempotency keys, durable requests, the answers kept for
+//! * [`claim`], [`journal`] and [`stored_answer`]: idempotency keys, durable requests, the answers kept for
 //!   them; [`writes`]: their rows, many in one transaction
 //! * [`target`], [`service`], [`services`] and [`discovery`]: links to agents and who gets work
 //! * [`engine`]: what a target's engine holds
@@ -33,7 +33,6 @@
 pub mod fields;
 pub mod job;
 pub mod journal;
-pub mod kept;
 pub mod news;
 pub mod operator;
 pub mod peers;
@@ -45,6 +44,7 @@
 pub mod service;
 pub mod services;
 pub mod stage;
+pub mod stored_answer;
 pub mod target;
 pub mod telemetry;
 pub mod wait;
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -57,7 +57,7 @@
 
     /// Listens to some of the other entries, and to no one who is gone.
     pub fn listen(&self, entries: &[Vm], own: &str) {
-        let wanted = neighbours(entries, own);
+        let wanted = successors(entries, own);
         let mut dialled = self.dialled.lock().unwrap_or_else(PoisonError::into_inner);
         for gone in dialled.difference(&wanted) {
             self.subscriber.hang_up(*gone);
@@ -74,7 +74,7 @@
 
 /// The entries that follow this one in the order of names, the first coming after the last: a ring
 /// in which each entry's news reaches all others, whichever of them are listed.
-fn neighbours(entries: &[Vm], own: &str) -> HashSet<SocketAddr> {
+fn successors(entries: &[Vm], own: &str) -> HashSet<SocketAddr> {
     let mut others: Vec<&Vm> = entries.iter().filter(|vm| vm.id != own).collect();
     others.sort_by(|one, other| one.id.cmp(&other.id));
     let start = others.partition_point(|vm| vm.id.as_str() < own);
@@ -87,9 +87,9 @@
     while let Some(item) = news.recv().await {
         // Who leaves and what load there is comes over the links, which every sender of work has.
         if let News::Head { revision } = item
-            && revision > core.config.heard_of()
+            && revision > core.config.latest_known_revision()
         {
-            core.config.heard(revision);
+            core.config.record_revision(revision);
             core.announce(revision);
         }
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -17,9 +17,9 @@
 /// Largest change in bytes.
 const MAX_CHANGE: usize = 16 << 20;
 /// Entries of the change log handed out at once at most.
-const HISTORY_MOST: usize = 1000;
+const MAX_HISTORY: usize = 1000;
 /// When to come back while the table service is away, unless it says so itself.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct Listing {
@@ -28,12 +28,12 @@
 }
 
 #[derive(Deserialize)]
-struct One {
+struct RecordQuery {
     key: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Span {
+struct HistoryQuery {
     after: Option<Revision>,
     limit: Option<usize>,
 }
@@ -89,10 +89,13 @@
 /// `GET /v1/records`.
 pub async fn records<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
     if !core.config.is_ready() {
-        return Problem::not_run("no configuration has been read yet", COME_BACK).response();
+        return Problem::not_run("no configuration has been read yet", RETRY_AFTER).response();
     }
-    let one = request.query::<One>().ok().and_then(|query| query.key);
-    let records = core.config.records(one.as_deref());
+    let key = request
+        .query::<RecordQuery>()
+        .ok()
+        .and_then(|query| query.key);
+    let records = core.config.records(key.as_deref());
     let listing = Listing {
         revision: core.config.revision(),
         records: records.into_values().collect(),
@@ -146,14 +149,14 @@
                 store::Error::Unavailable { retry_after, .. } => *retry_after,
                 _ => None,
             };
-            Problem::not_run(source.to_string(), retry_after.unwrap_or(COME_BACK)).response()
+            Problem::not_run(source.to_string(), retry_after.unwrap_or(RETRY_AFTER)).response()
         }
         Refusal::Unknown => {
             let problem =
                 Problem::unknown("the change may be accepted: apply it again with the same token");
             Problem {
                 status: StatusCode::SERVICE_UNAVAILABLE.as_u16(),
-                retry_after: Some(COME_BACK.as_secs_f64()),
+                retry_after: Some(RETRY_AFTER.as_secs_f64()),
                 ..problem
             }
             .response()
@@ -163,15 +166,15 @@
 
 /// `GET /v1/history`.
 pub async fn history<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
-    let span = request.query::<Span>().ok();
-    let after = span.as_ref().and_then(|span| span.after).unwrap_or(0);
-    let limit = span.and_then(|span| span.limit).unwrap_or(HISTORY_MOST);
+    let query = request.query::<HistoryQuery>().ok();
+    let after = query.as_ref().and_then(|query| query.after).unwrap_or(0);
+    let limit = query.and_then(|query| query.limit).unwrap_or(MAX_HISTORY);
     match core.config.changes(after).await {
         Ok(mut changes) => {
-            changes.truncate(limit.min(HISTORY_MOST));
+            changes.truncate(limit.min(MAX_HISTORY));
             json(StatusCode::OK, &History { changes })
         }
-        Err(error) => Problem::not_run(error.to_string(), COME_BACK).response(),
+        Err(error) => Problem::not_run(error.to_string(), RETRY_AFTER).response(),
     }
 }
 
@@ -215,7 +218,7 @@
 /// `GET /ready`: what the balancer asks.
 pub async fn ready<P: Platform>(core: Arc<Core<P>>) -> Response {
     if core.is_draining() || !core.config.is_ready() {
-        return Problem::not_run("not ready", COME_BACK).response();
+        return Problem::not_run("not ready", RETRY_AFTER).response();
     }
     Response::text("ready\n")
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,6 +1,6 @@
 //! The other entries: whom to ask for answers and records that this entry does not have.
 
-mod silence;
+mod liveness;
 
 use crate::caller::{EVENT_STREAM, Follow, format_id};
 use crate::config::Records;
@@ -25,7 +25,7 @@
 /// Header that keeps a forwarded question from being forwarded again.
 pub const FORWARDED: &str = "linnetdrift-forwarded";
 /// How long a peer may take to answer a question that needs no waiting.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Number of low bits of a request's identity that are drawn at random; the high bits name the
 /// entry that accepted it, so that any other entry knows whom to ask.
@@ -63,9 +63,9 @@
 
     async fn request(
         &self,
-        question: Request<Empty<Bytes>>,
+        request: Request<Empty<Bytes>>,
     ) -> Result<Response<Incoming>, hyper_util::client::legacy::Error> {
-        self.client.request(question).await
+        self.client.request(request).await
     }
 }
 
@@ -85,7 +85,7 @@
 
 /// Tag of an entry in the identities of the requests it accepts.
 #[must_use]
-pub fn tag(entry: &str) -> u32 {
+pub fn entry_tag(entry: &str) -> u32 {
     // FNV-1a: stable across builds and processes, which a seeded hasher is not.
     entry.bytes().fold(0x811c_9dc5, |hash: u32, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
@@ -93,9 +93,9 @@
 }
 
 /// Draws the identity of a new request at an entry.
-pub fn draw(entry: &str, rng: &mut impl rand::Rng) -> RequestId {
+pub fn draw_request_id(entry: &str, rng: &mut impl rand::Rng) -> RequestId {
     let random: u128 = rng.random();
-    (u128::from(tag(entry)) << RANDOM_BITS) | (random >> (128 - RANDOM_BITS))
+    (u128::from(entry_tag(entry)) << RANDOM_BITS) | (random >> (128 - RANDOM_BITS))
 }
 
 impl Peers {
@@ -124,43 +124,45 @@
         let owner = u32::try_from(request >> RANDOM_BITS).unwrap_or(0);
         self.read()
             .iter()
-            .find(|vm| tag(&vm.id) == owner)
+            .find(|vm| entry_tag(&vm.id) == owner)
             .map(|vm| vm.address)
     }
 
     /// Passes a caller's question about a request on to the entry that accepted it; gives nothing
     /// if that entry cannot be reached or falls silent.
-    pub async fn ask(
+    pub async fn forward(
         &self,
         address: SocketAddr,
         request: RequestId,
         follow: &Follow,
     ) -> Option<hyper::Response<viz::Body>> {
         let path = format!("/v1/requests/{}", format_id(request));
-        let mut question = self.http.get(address, &path).header(FORWARDED, "1");
+        let mut request = self.http.get(address, &path).header(FORWARDED, "1");
         if follow.stream {
-            question = question.header("accept", EVENT_STREAM);
+            request = request.header("accept", EVENT_STREAM);
         }
         if let Some(last) = follow.from.checked_sub(1) {
-            question = question.header("last-event-id", last);
+            request = request.header("last-event-id", last);
         }
         if let Some(wait) = follow.wait {
-            question = question.header("prefer", format!("wait={}", wait.as_secs()));
+            request = request.header("prefer", format!("wait={}", wait.as_secs()));
         }
-        let question = question.body(Empty::new()).ok()?;
-        let mut silent = Box::pin(silence::silent(self.http.clone(), address));
+        let request = request.body(Empty::new()).ok()?;
+        let mut unresponsive = Box::pin(liveness::unresponsive(self.http.clone(), address));
         let answer = tokio::select! {
-            answer = self.http.request(question) => answer.ok()?,
-            () = &mut silent => return None,
+            answer = self.http.request(request) => answer.ok()?,
+            () = &mut unresponsive => return None,
         };
-        Some(answer.map(|body| viz::Body::from_stream(silence::watched(body, silent))))
+        Some(answer.map(|body| {
+            viz::Body::from_stream(liveness::abort_if_unresponsive(body, unresponsive))
+        }))
     }
 
     /// Records of the peer that has seen most, for a fresh process while the table is down.
     pub async fn records(&self) -> Option<(Revision, Records)> {
         let addresses = self.addresses();
-        let questions = addresses.into_iter().map(|address| self.listing(address));
-        futures::future::join_all(questions)
+        let requests = addresses.into_iter().map(|address| self.listing(address));
+        futures::future::join_all(requests)
             .await
             .into_iter()
             .flatten()
@@ -173,14 +175,14 @@
     }
 
     async fn listing(&self, address: SocketAddr) -> Option<Listing> {
-        let listing = tokio::time::timeout(TIMEOUT, self.read_listing(address));
+        let listing = tokio::time::timeout(REQUEST_TIMEOUT, self.read_listing(address));
         listing.await.ok()?
     }
 
     async fn read_listing(&self, address: SocketAddr) -> Option<Listing> {
-        let question = self.http.get(address, "/v1/records");
-        let question = question.body(Empty::new()).ok()?;
-        let answer = self.http.request(question).await.ok()?;
+        let request = self.http.get(address, "/v1/records");
+        let request = request.body(Empty::new()).ok()?;
+        let answer = self.http.request(request).await.ok()?;
         if !answer.status().is_success() {
             return None;
         }
--- a/crates/entry/src/peers/silence.rs
+++ b/crates/entry/src/peers/liveness.rs
@@ -16,18 +16,21 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause between two questions; most answers are there before the first.
-const PAUSE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the peer may take to say whether it is ready.
-const LIMIT: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Completes once a peer no longer answers.
-pub(super) async fn silent(http: Http, address: SocketAddr) {
+pub(super) async fn unresponsive(http: Http, address: SocketAddr) {
     loop {
-        sleep(PAUSE).await;
-        let Ok(question) = http.get(address, "/ready").body(Empty::new()) else {
+        sleep(PROBE_INTERVAL).await;
+        let Ok(request) = http.get(address, "/ready").body(Empty::new()) else {
             return;
         };
-        if !matches!(timeout(LIMIT, http.request(question)).await, Ok(Ok(_))) {
+        if !matches!(
+            timeout(READY_TIMEOUT, http.request(request)).await,
+            Ok(Ok(_))
+        ) {
             return;
         }
     }
@@ -35,16 +38,19 @@
 
 /// The peer's answer, broken off with an error once the peer is silent: a clean end would make a
 /// part of the answer look whole.
-pub(super) fn watched(
+pub(super) fn abort_if_unresponsive(
     body: Incoming,
-    silent: impl Future<Output = ()> + Send,
+    unresponsive: impl Future<Output = ()> + Send,
 ) -> impl Stream<Item = io::Result<Bytes>> + Send {
-    unfold((body, Box::pin(silent)), |(mut body, mut silent)| async {
-        let frame = tokio::select! {
-            frame = body.frame() => frame?.map_err(io::Error::other),
-            () = &mut silent => Err(io::ErrorKind::TimedOut.into()),
-        };
-        let data = frame.map(|frame| frame.into_data().unwrap_or_default());
-        Some((data, (body, silent)))
-    })
+    unfold(
+        (body, Box::pin(unresponsive)),
+        |(mut body, mut unresponsive)| async {
+            let frame = tokio::select! {
+                frame = body.frame() => frame?.map_err(io::Error::other),
+                () = &mut unresponsive => Err(io::ErrorKind::TimedOut.into()),
+            };
+            let data = frame.map(|frame| frame.into_data().unwrap_or_default());
+            Some((data, (body, unresponsive)))
+        },
+    )
 }
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -23,32 +23,32 @@
 use tokio::time::{Instant, sleep};
 
 /// Time between two looks at the engines.
-const PERIOD: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Asks the engines what they hold and, while this entry holds the lease, gives them orders.
 pub async fn run<P: Platform>(core: Arc<Core<P>>) {
     let mut planner = Planner::new(&core.settings.placement);
     let mut before = Instant::now();
     loop {
-        sleep(PERIOD).await;
+        sleep(ROUND_INTERVAL).await;
         let since = std::mem::replace(&mut before, Instant::now());
-        look(&core, &mut planner, since.elapsed());
+        run_round(&core, &mut planner, since.elapsed());
     }
 }
 
-fn look<P: Platform>(core: &Arc<Core<P>>, planner: &mut Planner, span: Duration) {
+fn run_round<P: Platform>(core: &Arc<Core<P>>, planner: &mut Planner, span: Duration) {
     let set = core.config.current();
     let held = core.lease.may_act();
-    planner.begin(held);
+    planner.set_fence(held);
     let entries = core.peers.addresses().len() + 1;
     let mut names = services(&set);
-    planner.take_turns(&mut names);
+    planner.rotate(&mut names);
     for name in names {
         let service = core.services.get(&name);
         let targets = service.targets();
-        let missed = service.take_missed();
+        let missing_models = service.take_missing_models();
         for target in &targets {
-            target.query(held, missed.iter().cloned());
+            target.query(held, missing_models.iter().cloned());
         }
         let busy = service.take_busy();
         let Some(record) = set.service(&name) else {
@@ -61,7 +61,7 @@
         let fleet = Fleet::survey(&targets, &set, fence);
         let demand = fleet.demand(record, &busy, span, entries);
         for (target, order) in planner.plan(&name, &demand, &fleet) {
-            order::give(core, target, order);
+            order::submit(core, target, order);
         }
     }
 }
--- a/crates/entry/src/placement/fleet.rs
+++ b/crates/entry/src/placement/fleet.rs
@@ -1,7 +1,7 @@
 //! One service's engines and what they hold, as the plan needs to know it.
 
-use crate::engine::View;
-use crate::service::models::MISSED;
+use crate::engine::EngineView;
+use crate::service::models::MISS_BUSY_TIME;
 use crate::target::Target;
 use decide::place::{self, ModelName};
 use decide::route::TargetId;
@@ -18,7 +18,7 @@
     /// Where orders to it are sent.
     pub target: Arc<Target>,
     /// What it holds; `None` if it has not said so lately enough.
-    pub view: Option<View>,
+    pub view: Option<EngineView>,
 }
 
 /// Engines of one service that take new work.
@@ -59,7 +59,7 @@
 
     /// Engines besides `id` that have a model loaded.
     #[must_use]
-    pub fn warm_besides(&self, id: &TargetId, model: &str) -> usize {
+    pub fn other_replicas(&self, id: &TargetId, model: &str) -> usize {
         let others = self.engines.iter().filter(|engine| engine.id != *id);
         others
             .filter_map(|engine| engine.view.as_ref())
@@ -84,7 +84,7 @@
         let of = |name: &str| {
             let busy = busy.get(name).copied().unwrap_or_default();
             let lacked = if self.lacks(name) {
-                MISSED
+                MISS_BUSY_TIME
             } else {
                 Duration::ZERO
             };
--- a/crates/entry/src/placement/lease.rs
+++ b/crates/entry/src/placement/lease.rs
@@ -15,21 +15,21 @@
 /// Key of the lease under which orders are given.
 pub const KEY: &str = "placement";
 /// Parts of the lease's duration after which the holder renews it, and a contender looks at it.
-const PERIODS: u32 = 5;
-/// Parts of the duration that the holder stops acting before its end, of [`PARTS`].
-const MARGIN_PARTS: u32 = 3;
-const PARTS: u32 = 10;
+const PERIODS_PER_DURATION: u32 = 5;
+/// Parts of the duration that the holder stops acting before its end, of [`MARGIN_DENOMINATOR`].
+const MARGIN_NUMERATOR: u32 = 3;
+const MARGIN_DENOMINATOR: u32 = 10;
 /// Looks at the clock in each period.
-const LOOKS: u32 = 10;
+const CHECKS_PER_PERIOD: u32 = 10;
 /// How long a planned stop waits until the lease is given back. Without the row the next holder
 /// has to wait for the whole duration, and no engine gets orders meanwhile.
-const RESIGN_PATIENCE: Duration = Duration::from_secs(2);
+const RESIGN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// This entry's view of the lease.
 #[derive(Debug)]
 pub struct Lease {
     started: Instant,
-    pause: Duration,
+    check_interval: Duration,
     state: Mutex<State>,
 }
 
@@ -37,9 +37,9 @@
 struct State {
     machine: Machine,
     /// Whether the table has ever been asked.
-    contends: bool,
+    has_contended: bool,
     /// What was last logged.
-    told: Option<FencingToken>,
+    last_logged: Option<FencingToken>,
 }
 
 impl Lease {
@@ -48,16 +48,16 @@
     pub fn new(duration: Duration) -> Self {
         let timing = Timing {
             duration,
-            margin: duration * MARGIN_PARTS / PARTS,
-            period: duration / PERIODS,
+            margin: duration * MARGIN_NUMERATOR / MARGIN_DENOMINATOR,
+            period: duration / PERIODS_PER_DURATION,
         };
         Self {
             started: Instant::now(),
-            pause: timing.period / LOOKS,
+            check_interval: timing.period / CHECKS_PER_PERIOD,
             state: Mutex::new(State {
                 machine: Machine::new(rand::random(), timing),
-                contends: false,
-                told: None,
+                has_contended: false,
+                last_logged: None,
             }),
         }
     }
@@ -74,14 +74,14 @@
     }
 
     /// Waits for a while until the lease that was resigned is known to be given back.
-    pub async fn resigned(&self) {
+    pub async fn wait_until_resigned(&self) {
         let wait = async {
-            while self.lock().is_open() {
-                sleep(self.pause).await;
+            while self.lock().may_be_listed() {
+                sleep(self.check_interval).await;
             }
         };
         // The next holder takes over all the same, once the lease has lapsed.
-        let _ = timeout(RESIGN_PATIENCE, wait).await;
+        let _ = timeout(RESIGN_TIMEOUT, wait).await;
     }
 
     /// Asks the table what the state machine wants asked, if anything is due.
@@ -89,17 +89,17 @@
         let now = self.now();
         let action = self.lock().tick(now);
         if let Some(action) = action {
-            let event = carry_out(table, action).await;
+            let event = execute(table, action).await;
             let now = self.now();
             self.lock().machine.on(event, now);
         }
     }
 
     /// Whether the lease has been won or lost since this was last called, and what it is now.
-    fn changed(&self) -> Option<Option<FencingToken>> {
+    fn take_change(&self) -> Option<Option<FencingToken>> {
         let held = self.may_act();
-        let told = std::mem::replace(&mut self.lock().told, held);
-        (told != held).then_some(held)
+        let last_logged = std::mem::replace(&mut self.lock().last_logged, held);
+        (last_logged != held).then_some(held)
     }
 
     fn now(&self) -> Duration {
@@ -113,29 +113,29 @@
 
 impl State {
     fn tick(&mut self, now: Duration) -> Option<Action> {
-        self.contends = true;
+        self.has_contended = true;
         self.machine.tick(now)
     }
 
     /// Whether the row may still name this entry.
-    fn is_open(&self) -> bool {
-        self.contends && !self.machine.is_resigned()
+    fn may_be_listed(&self) -> bool {
+        self.has_contended && !self.machine.is_resigned()
     }
 }
 
 /// Contends for the lease and renews it, as long as a service has models to place.
-pub async fn keep<P: Platform>(core: Arc<Core<P>>) {
+pub async fn maintain<P: Platform>(core: Arc<Core<P>>) {
     loop {
         if !super::services(&core.config.current()).is_empty() {
             core.lease.step(&core.platform).await;
         }
-        tell(&core);
-        sleep(core.lease.pause).await;
+        log_change(&core);
+        sleep(core.lease.check_interval).await;
     }
 }
 
-fn tell<P: Platform>(core: &Core<P>) {
-    let Some(held) = core.lease.changed() else {
+fn log_change<P: Platform>(core: &Core<P>) {
+    let Some(held) = core.lease.take_change() else {
         return;
     };
     core.telemetry.placement.held(held.is_some());
@@ -145,16 +145,16 @@
     }
 }
 
-async fn carry_out(table: &impl Table, action: Action) -> Event {
+async fn execute(table: &impl Table, action: Action) -> Event {
     match action {
         Action::Read => match table.read(TABLE, KEY).await {
-            Ok(row) => found(row),
+            Ok(row) => found_event(row),
             Err(_) => Event::Unavailable,
         },
         Action::Write { check, row } => match table.transact(&transaction(check, row)).await {
             Ok(revision) => Event::Written(revision),
             // The service leaves out rows that are gone.
-            Err(Error::Conflict { rows }) => found(rows.into_iter().next()),
+            Err(Error::Conflict { rows }) => found_event(rows.into_iter().next()),
             Err(Error::Unavailable { .. }) => Event::Unavailable,
             Err(Error::Unsure { .. } | Error::Garbled { .. }) => Event::Unsure,
         },
@@ -177,7 +177,7 @@
 }
 
 /// A row that cannot be read is as good as no answer: whoever wrote it may hold the lease.
-fn found(row: Option<Row>) -> Event {
+fn found_event(row: Option<Row>) -> Event {
     let Some(row) = row else {
         return Event::Found(None);
     };
--- a/crates/entry/src/placement/order.rs
+++ b/crates/entry/src/placement/order.rs
@@ -10,11 +10,11 @@
 use tokio::time::timeout;
 
 /// How long an order's answer is waited for; a load may have to wait for the weight store.
-const PATIENCE: Duration = Duration::from_secs(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(300);
 /// HTTP status of an order that was carried out.
-const DONE: Status = 200;
+const STATUS_DONE: Status = 200;
 /// HTTP status of an order under an old fencing number.
-const OLD_FENCE: Status = 412;
+const STATUS_STALE_FENCE: Status = 412;
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -46,13 +46,13 @@
 }
 
 /// Gives an order, unless the target has an open one.
-pub fn give<P: Platform>(core: &Arc<Core<P>>, target: Arc<Target>, order: Order) {
-    let Some(answer) = target.engine.open(order.clone()) else {
+pub fn submit<P: Platform>(core: &Arc<Core<P>>, target: Arc<Target>, order: Order) {
+    let Some(answer) = target.engine.open_order(order.clone()) else {
         return;
     };
     let core = core.clone();
     tokio::spawn(async move {
-        let outcome = carry_out(&core, &target, &order, answer).await;
+        let outcome = execute(&core, &target, &order, answer).await;
         core.telemetry.placement.ordered(order.verb, outcome);
         info!(core.log, "order over"; "vm" => &target.vm.id, "model" => &order.model,
             "outcome" => outcome.name());
@@ -60,7 +60,7 @@
     });
 }
 
-async fn carry_out<P: Platform>(
+async fn execute<P: Platform>(
     core: &Core<P>,
     target: &Target,
     order: &Order,
@@ -70,19 +70,19 @@
     // now. An engine that does not check numbers would carry the order out against the new
     // holder's, so the clock is looked at last.
     let Some(fence) = core.lease.may_act() else {
-        target.engine.close(None);
+        target.engine.close_order(None);
         return Outcome::Withheld;
     };
-    if !target.order(fence, order).await {
-        target.engine.close(None);
+    if !target.send_order(fence, order).await {
+        target.engine.close_order(None);
         return Outcome::Withheld;
     }
     core.telemetry.placement.sent(order.verb);
     info!(core.log, "order sent"; "vm" => &target.vm.id, "order" => ?order.verb,
         "model" => &order.model, "fence" => fence);
-    match timeout(PATIENCE, answer).await {
-        Ok(Ok(DONE)) => Outcome::Done,
-        Ok(Ok(OLD_FENCE)) => Outcome::Refused,
+    match timeout(ANSWER_TIMEOUT, answer).await {
+        Ok(Ok(STATUS_DONE)) => Outcome::Done,
+        Ok(Ok(STATUS_STALE_FENCE)) => Outcome::Refused,
         Ok(Ok(_)) => Outcome::Failed,
         Ok(Err(_)) | Err(_) => Outcome::Lost,
     }
--- a/crates/entry/src/placement/plan.rs
+++ b/crates/entry/src/placement/plan.rs
@@ -5,7 +5,7 @@
 //! that a load that fails takes nothing away. What is to be given up is worked out anew from what
 //! the engines hold, so that another holder ends a swap that this one began.
 
-use crate::engine::{Order, Verb, View};
+use crate::engine::{EngineView, Order, Verb};
 use crate::placement::fleet::{Engine, Fleet};
 use crate::placement::rate::Rate;
 use crate::target::Target;
@@ -18,32 +18,32 @@
 use tokio::time::Instant;
 
 /// How long a new holder waits for engines that have not said what they hold.
-const SETTLE: Duration = Duration::from_secs(5);
+const SURVEY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Share of an earlier look's demand that is kept in the next.
-const KEPT: f64 = 0.8;
+const DEMAND_SMOOTHING: f64 = 0.8;
 
 /// Plans of all services under one lease.
 #[derive(Debug)]
 pub struct Planner {
     fence: Option<FencingToken>,
-    since: Instant,
+    fence_since: Instant,
     rate: Rate,
     /// Service that got the last load.
-    last: Option<String>,
-    services: Map<String, Plan>,
+    last_loaded: Option<String>,
+    services: Map<String, ServicePlan>,
 }
 
 /// One service's plan.
 #[derive(Debug)]
-struct Plan {
+struct ServicePlan {
     placement: Placement,
     demand: Map<ModelName, f64>,
     /// Model that each engine was last ordered to serve.
-    wanted: Map<TargetId, ModelName>,
+    assigned: Map<TargetId, ModelName>,
 }
 
 /// An order and the target that is to get it.
-pub type Step = (Arc<Target>, Order);
+pub type PlannedOrder = (Arc<Target>, Order);
 
 impl Planner {
     /// A planner that holds no lease.
@@ -52,67 +52,67 @@
         let span = Duration::from_millis(settings.every_ms);
         Self {
             fence: None,
-            since: Instant::now(),
+            fence_since: Instant::now(),
             rate: Rate::new(settings.loads, span),
-            last: None,
+            last_loaded: None,
             services: Map::default(),
         }
     }
 
     /// Takes in the fencing number that is held. Under a new one nothing is known of the engines:
     /// other holders may have given orders in between.
-    pub fn begin(&mut self, held: Option<FencingToken>) {
+    pub fn set_fence(&mut self, held: Option<FencingToken>) {
         if self.fence == held {
             return;
         }
         self.fence = held;
-        self.since = Instant::now();
+        self.fence_since = Instant::now();
         self.services.clear();
         if held.is_some_and(|fence| fence > 1) {
-            self.rate.exhaust(self.since);
+            self.rate.exhaust(self.fence_since);
         }
     }
 
     /// Puts services into the order in which they are planned: the one that got the last load goes
     /// last, since otherwise the first by name could take all that the weight store bears.
-    pub fn take_turns(&self, services: &mut [String]) {
-        let last = self.last.as_ref();
-        let place = services.iter().position(|name| Some(name) == last);
+    pub fn rotate(&self, services: &mut [String]) {
+        let last_loaded = self.last_loaded.as_ref();
+        let place = services.iter().position(|name| Some(name) == last_loaded);
         services.rotate_left(place.map_or(0, |place| place + 1));
     }
 
     /// The orders to give to one service's engines now.
-    pub fn plan(&mut self, service: &str, models: &[Model], fleet: &Fleet) -> Vec<Step> {
-        if !fleet.is_known() && self.since.elapsed() < SETTLE {
+    pub fn plan(&mut self, service: &str, models: &[Model], fleet: &Fleet) -> Vec<PlannedOrder> {
+        if !fleet.is_known() && self.fence_since.elapsed() < SURVEY_TIMEOUT {
             return Vec::new();
         }
         let plan = self
             .services
             .entry(service.to_owned())
-            .or_insert_with(Plan::new);
+            .or_insert_with(ServicePlan::new);
         let models = plan.smooth(models);
-        let mut steps = plan.unloads(&models, fleet);
-        let loads = plan.loads(self.since.elapsed(), &models, fleet);
+        let mut orders = plan.unloads(&models, fleet);
+        let loads = plan.loads(self.fence_since.elapsed(), &models, fleet);
         for (engine, order) in loads {
             let now = Instant::now();
-            if !is_busy(engine) && self.rate.start(now) {
-                let wanted = ModelName::from(order.model.as_str());
-                plan.wanted.insert(engine.id.clone(), wanted);
-                self.last = Some(service.to_owned());
-                steps.push((engine.target.clone(), order));
+            if !is_busy(engine) && self.rate.try_start(now) {
+                let assigned = ModelName::from(order.model.as_str());
+                plan.assigned.insert(engine.id.clone(), assigned);
+                self.last_loaded = Some(service.to_owned());
+                orders.push((engine.target.clone(), order));
             }
         }
-        steps
+        orders
     }
 }
 
-impl Plan {
+impl ServicePlan {
     /// The rate of loads is kept over all services, by the planner.
     fn new() -> Self {
         Self {
             placement: Placement::new(u32::MAX, Duration::ZERO),
             demand: Map::default(),
-            wanted: Map::default(),
+            assigned: Map::default(),
         }
     }
 
@@ -121,7 +121,7 @@
         let mut models = models.to_vec();
         for model in &mut models {
             let before = self.demand.entry(model.name.clone()).or_default();
-            *before = *before * KEPT + model.demand * (1.0 - KEPT);
+            *before = *before * DEMAND_SMOOTHING + model.demand * (1.0 - DEMAND_SMOOTHING);
             model.demand = *before;
         }
         models
@@ -133,8 +133,8 @@
         models: &[Model],
         fleet: &'a Fleet,
     ) -> Vec<(&'a Engine, Order)> {
-        let serves = |engine: &Engine| self.engine(engine, models, fleet);
-        let engines: Vec<_> = fleet.engines.iter().map(serves).collect();
+        let describe = |engine: &Engine| self.engine(engine, models, fleet);
+        let engines: Vec<_> = fleet.engines.iter().map(describe).collect();
         let orders = self.placement.plan(now, models, &engines);
         let load = |order: place::Order| {
             let engine = fleet.get(&order.target)?;
@@ -151,37 +151,37 @@
         place::Engine {
             id: engine.id.clone(),
             warm: loading.is_none(),
-            model: loading.or_else(|| self.serves(engine, models, fleet)),
+            model: loading.or_else(|| self.served_model(engine, models, fleet)),
             live: view.is_some(),
         }
     }
 
     /// The model that an engine is there for, among the declared ones that it has loaded: the one
     /// it was ordered to serve, or else the one that the fewest others have.
-    fn serves(&self, engine: &Engine, models: &[Model], fleet: &Fleet) -> Option<ModelName> {
+    fn served_model(&self, engine: &Engine, models: &[Model], fleet: &Fleet) -> Option<ModelName> {
         let view = engine.view.as_ref()?;
         let has = |name: &ModelName| view.warm.iter().any(|warm| **warm == **name);
-        let wanted = self.wanted.get(&engine.id).filter(|name| has(name));
+        let assigned = self.assigned.get(&engine.id).filter(|name| has(name));
         let held = models
             .iter()
             .map(|model| &model.name)
             .filter(|name| has(name));
-        let rarest = held.min_by_key(|name| (fleet.warm_besides(&engine.id, name), *name));
-        wanted.or(rarest).cloned()
+        let rarest = held.min_by_key(|name| (fleet.other_replicas(&engine.id, name), *name));
+        assigned.or(rarest).cloned()
     }
 
     /// Models to be given up by engines that serve another one. A declared one goes only while
     /// enough other engines have it loaded, as they themselves have said.
-    fn unloads(&self, models: &[Model], fleet: &Fleet) -> Vec<Step> {
+    fn unloads(&self, models: &[Model], fleet: &Fleet) -> Vec<PlannedOrder> {
         let mut fleet = fleet.clone();
-        let mut steps = Vec::new();
+        let mut orders = Vec::new();
         for index in 0..fleet.engines.len() {
             let engine = &fleet.engines[index];
-            let Some(model) = self.superfluous(engine, models, &fleet) else {
+            let Some(model) = self.surplus_model(engine, models, &fleet) else {
                 continue;
             };
             let verb = Verb::Unload;
-            steps.push((
+            orders.push((
                 engine.target.clone(),
                 Order {
                     verb,
@@ -193,20 +193,20 @@
                 view.warm.retain(|warm| *warm != model);
             }
         }
-        steps
+        orders
     }
 
-    fn superfluous(&self, engine: &Engine, models: &[Model], fleet: &Fleet) -> Option<String> {
+    fn surplus_model(&self, engine: &Engine, models: &[Model], fleet: &Fleet) -> Option<String> {
         let view = engine.view.as_ref()?;
         if view.busy || view.loading.is_some() {
             return None;
         }
-        let serves = self.serves(engine, models, fleet)?;
-        let mut others = view.warm.iter().filter(|name| ***name != *serves);
+        let served_model = self.served_model(engine, models, fleet)?;
+        let mut others = view.warm.iter().filter(|name| ***name != *served_model);
         let may_go = |name: &&String| {
             let declared = models.iter().find(|model| *model.name == ***name);
             declared.is_none_or(|model| {
-                let rest = fleet.warm_besides(&engine.id, name);
+                let rest = fleet.other_replicas(&engine.id, name);
                 rest >= model.min.max(1) as usize
             })
         };
@@ -215,7 +215,7 @@
 }
 
 /// The declared model that an engine loads.
-fn loading(view: &View, models: &[Model]) -> Option<ModelName> {
+fn loading(view: &EngineView, models: &[Model]) -> Option<ModelName> {
     let loading = view.loading.as_deref()?;
     let declared = models.iter().find(|model| *model.name == *loading);
     declared.map(|model| model.name.clone())
--- a/crates/entry/src/placement/rate.rs
+++ b/crates/entry/src/placement/rate.rs
@@ -39,11 +39,11 @@
     ///
     /// let (span, now) = (Duration::from_secs(5), Instant::now());
     /// let mut rate = Rate::new(1, span);
-    /// assert!(rate.start(now));
-    /// assert!(!rate.start(now + span / 2));
-    /// assert!(rate.start(now + span));
+    /// assert!(rate.try_start(now));
+    /// assert!(!rate.try_start(now + span / 2));
+    /// assert!(rate.try_start(now + span));
     /// ```
-    pub fn start(&mut self, now: Instant) -> bool {
+    pub fn try_start(&mut self, now: Instant) -> bool {
         while self
             .started
             .front()
@@ -51,10 +51,10 @@
         {
             self.started.pop_front();
         }
-        let may = self.started.len() < self.loads;
-        if may {
+        let allowed = self.started.len() < self.loads;
+        if allowed {
             self.started.push_back(now);
         }
-        may
+        allowed
     }
 }
--- a/crates/entry/src/prefix.rs
+++ b/crates/entry/src/prefix.rs
@@ -3,12 +3,12 @@
 use decide::route::Block;
 
 /// Bytes of input that one block covers.
-const BLOCK: usize = 256;
+const BLOCK_BYTES: usize = 256;
 /// Blocks looked at; longer prompts share what they share in the first ones.
-const BLOCKS: usize = 64;
+const MAX_BLOCKS: usize = 64;
 /// Start value and factor of FNV-1a, which every build and process computes alike.
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0100_0000_01b3;
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// Hashes of the input's whole blocks, each over all bytes up to its end.
 ///
@@ -23,11 +23,11 @@
 #[must_use]
 pub fn blocks(input: &[u8]) -> Vec<Block> {
     input
-        .chunks_exact(BLOCK)
-        .take(BLOCKS)
-        .scan(OFFSET, |hash, block| {
+        .chunks_exact(BLOCK_BYTES)
+        .take(MAX_BLOCKS)
+        .scan(FNV_OFFSET, |hash, block| {
             *hash = block.iter().fold(*hash, |hash, byte| {
-                (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
+                (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
             });
             Some(*hash)
         })
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,6 +1,6 @@
 //! Problem documents (RFC 9457) with an outcome that the caller can act on.
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use http_body_util::Full;
 use protocol::RequestId;
 use serde::Serialize;
@@ -72,23 +72,23 @@
 
     /// The problem that a request's end is told as; a whole answer is none.
     #[must_use]
-    pub fn from_end(request: RequestId, end: &End) -> Option<Self> {
+    pub fn from_end(request: RequestId, end: &RequestOutcome) -> Option<Self> {
         let problem = match end {
-            End::Whole { .. } => return None,
-            End::NotRun {
+            RequestOutcome::Complete { .. } => return None,
+            RequestOutcome::NotRun {
                 detail,
                 retry_after,
             } => Self::not_run(detail, *retry_after),
-            End::Unknown { detail } => Self::unknown(detail),
-            End::Elsewhere { request } => Self::unknown(format!(
+            RequestOutcome::Unknown { detail } => Self::unknown(detail),
+            RequestOutcome::Elsewhere { request } => Self::unknown(format!(
                 "request {} has this idempotency key",
                 crate::caller::format_id(*request)
             )),
-            End::Mismatch => Self::bad(
+            RequestOutcome::Mismatch => Self::bad(
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "this idempotency key was used for another call",
             ),
-            End::Failed {
+            RequestOutcome::Failed {
                 stage,
                 status,
                 body,
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -18,9 +18,9 @@
 use wire::Key;
 
 /// How long a planned stop waits until what is known of ended requests is noted.
-const NOTES: Duration = Duration::from_secs(10);
+const TASKS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between a fresh entry's questions to its peers while the table service is away.
-const PEERS_PAUSE: Duration = Duration::from_millis(500);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why an entry could not start.
 #[derive(Debug, Snafu)]
@@ -125,11 +125,11 @@
     let follower = core.clone();
     spawn_until(stop, async move { follower.config.follow(pause).await });
     spawn_until(stop, discovery::follow(core.clone()));
-    spawn_until(stop, learn_from_peers(core.clone()));
-    spawn_until(stop, lease::keep(core.clone()));
+    spawn_until(stop, read_records_from_peers(core.clone()));
+    spawn_until(stop, lease::maintain(core.clone()));
     spawn_until(stop, placement::run(core.clone()));
     let journal = core.clone();
-    spawn_until(stop, async move { journal.journal.beat().await });
+    spawn_until(stop, async move { journal.journal.renew_all().await });
     spawn_until(stop, sweep::run(core.clone()));
 }
 
@@ -160,14 +160,14 @@
 }
 
 /// A fresh entry that cannot read the table service takes the records from its peers.
-async fn learn_from_peers<P: Platform>(core: Arc<Core<P>>) {
+async fn read_records_from_peers<P: Platform>(core: Arc<Core<P>>) {
     while !core.config.is_ready() {
-        tokio::time::sleep(PEERS_PAUSE).await;
+        tokio::time::sleep(PEER_POLL_INTERVAL).await;
         if core.config.is_ready() {
             break;
         }
         if let Some((revision, records)) = core.peers.records().await {
-            core.config.adopt(revision, records);
+            core.config.adopt_snapshot(revision, records);
         }
     }
 }
@@ -194,7 +194,7 @@
     core.requests.wait().await;
     // While the table service is away, claims and journal cannot be brought up to date. Their rows
     // then say less than is known, which makes a caller unsure but never runs a call twice.
-    let _ = tokio::time::timeout(NOTES, core.tasks.wait()).await;
-    core.lease.resigned().await;
+    let _ = tokio::time::timeout(TASKS_TIMEOUT, core.tasks.wait()).await;
+    core.lease.wait_until_resigned().await;
     info!(core.log, "stopped");
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -19,9 +19,9 @@
 use viz::{Request, Responder, Response, Router, Tree};
 
 /// How long a client may take over the TLS handshake.
-const HANDSHAKE: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed accept, so that a lack of file descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Routes of an entry.
 pub fn routes<P: Platform>(core: &Arc<Core<P>>) -> Router {
@@ -77,24 +77,24 @@
                 let graceful = graceful.clone();
                 tokio::spawn(connection(stream, address, tls.clone(), tree, graceful));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
     drop(listener);
-    let Some(graceful) = wait_alone(graceful).await else {
+    let Some(graceful) = wait_until_unshared(graceful).await else {
         return;
     };
     graceful.shutdown().await;
 }
 
 /// Waits until no connection that is still in its TLS handshake holds the watcher.
-async fn wait_alone(mut graceful: Arc<GracefulShutdown>) -> Option<GracefulShutdown> {
+async fn wait_until_unshared(mut graceful: Arc<GracefulShutdown>) -> Option<GracefulShutdown> {
     loop {
         match Arc::try_unwrap(graceful) {
             Ok(graceful) => return Some(graceful),
             Err(shared) => graceful = shared,
         }
-        tokio::time::sleep(ACCEPT_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -111,7 +111,7 @@
     match tls {
         None => http(stream, address, tree, graceful).await,
         Some(acceptor) => {
-            let handshake = tokio::time::timeout(HANDSHAKE, acceptor.accept(stream));
+            let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream));
             if let Ok(Ok(stream)) = handshake.await {
                 http(stream, address, tree, graceful).await;
             }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -22,10 +22,10 @@
 
 /// Targets that are looked at and passed over, because an operator has drained them, before a
 /// choice is given up.
-const PASSED_OVER: usize = 8;
+const MAX_DRAINED_SKIPS: usize = 8;
 
 /// Wakes a call whose turn it is.
-pub type Ticket = oneshot::Sender<()>;
+pub type Waker = oneshot::Sender<()>;
 
 /// A call of a stage, as the decisions need to know it.
 #[derive(Clone, Debug)]
@@ -60,27 +60,27 @@
     /// Time at work for each model since it was last asked for.
     busy: Map<String, Duration>,
     /// Models that calls have lacked since they were last asked for.
-    missed: BTreeSet<String>,
+    missing_models: BTreeSet<String>,
 }
 
 /// A call's turn to be in flight; given back when dropped.
 #[derive(Debug)]
-pub struct Turn {
+pub struct Permit {
     service: Arc<Service>,
     workspace: Arc<str>,
-    spent: Option<(Duration, Duration)>,
+    times: Option<(Duration, Duration)>,
 }
 
-impl Turn {
+impl Permit {
     /// Says how long the runner was busy with the call and how long it took in all.
-    pub fn spent(&mut self, busy: Duration, elapsed: Duration) {
-        self.spent = Some((busy, elapsed));
+    pub fn record_times(&mut self, busy: Duration, elapsed: Duration) {
+        self.times = Some((busy, elapsed));
     }
 }
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.service.give_back(&self.workspace, self.spent);
+        self.service.release(&self.workspace, self.times);
     }
 }
 
@@ -97,16 +97,16 @@
 
 /// A call's place in the queue. One that is left just as its turn comes gives the turn back: it would
 /// count as in flight for ever.
-struct Place<'a> {
+struct QueuedCall<'a> {
     service: &'a Service,
-    turn: oneshot::Receiver<()>,
+    permit: oneshot::Receiver<()>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuedCall<'_> {
     fn drop(&mut self) {
-        self.turn.close();
-        if self.turn.try_recv().is_ok() {
-            self.service.give_back("", None);
+        self.permit.close();
+        if self.permit.try_recv().is_ok() {
+            self.service.release("", None);
         }
     }
 }
@@ -115,11 +115,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// It is listed, and this entry keeps a link to it.
-    Chosen,
+    Selected,
     /// It is listed, and left to other entries.
-    Passed,
+    NotSelected,
     /// It is not listed.
-    Absent,
+    Unlisted,
 }
 
 /// A refusal, and when to come back.
@@ -142,7 +142,7 @@
                 policy: Policy::new(policy),
                 concurrency: 1,
                 busy: Map::default(),
-                missed: BTreeSet::new(),
+                missing_models: BTreeSet::new(),
             }),
         })
     }
@@ -165,22 +165,22 @@
             state.pool.assume_limit(service.concurrency);
         }
         let now = self.now();
-        state.resize(now);
-        state.policy.weigh(attainment);
+        state.resize_limit(now);
+        state.policy.set_attainment_weight(attainment);
     }
 
     /// Takes in one target that the platform lists; `start` opens the link to one that is new.
     ///
     /// The list lags: a mark of leaving is never taken back within one life of the VM.
-    pub fn list(&self, vm: &Vm, start: impl FnOnce(Vm) -> Arc<Target>) {
+    pub fn update_target(&self, vm: &Vm, start: impl FnOnce(Vm) -> Arc<Target>) {
         let mut state = self.lock();
         let id = TargetId::from(vm.id.as_str());
         match state.targets.get(&id) {
             Some(known) if known.vm.incarnation > vm.incarnation => {}
             Some(known) if known.vm.incarnation == vm.incarnation => {
-                known.relocate(vm.address);
+                known.update_address(vm.address);
                 if vm.leaving {
-                    known.leave();
+                    known.mark_leaving();
                     state.pool.leave(&id);
                 }
             }
@@ -200,10 +200,10 @@
         let State { targets, pool, .. } = &mut *state;
         targets.retain(|id, target| {
             let keep = match listing(id) {
-                Listing::Chosen => true,
+                Listing::Selected => true,
                 // Calls that are under way there go on to their end.
-                Listing::Passed => pool.get(id).is_some_and(|known| known.in_flight() > 0),
-                Listing::Absent => target.is_linked(),
+                Listing::NotSelected => pool.get(id).is_some_and(|known| known.in_flight() > 0),
+                Listing::Unlisted => target.is_linked(),
             };
             if !keep {
                 target.stop();
@@ -245,13 +245,13 @@
         let now = self.now();
         let mut state = self.lock();
         let limit = state.limit();
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             workspace: &demand.workspace,
             share: demand.share,
             latest_start: demand.latest_start,
         };
         let admission = &mut state.policy.admission;
-        let retry_after = admission.overload(&ask, limit, now, &mut rand::rng());
+        let retry_after = admission.overload(&request, limit, now, &mut rand::rng());
         retry_after.map(|retry_after| Overload { retry_after })
     }
 
@@ -260,75 +260,72 @@
     /// # Errors
     ///
     /// [`Overload`] if the request is refused instead.
-    pub async fn offer(self: &Arc<Self>, demand: &Demand) -> Result<Turn, Overload> {
-        let (ticket, turn) = oneshot::channel();
-        let verdict = {
+    pub async fn admit(self: &Arc<Self>, demand: &Demand) -> Result<Permit, Overload> {
+        let (waker, permit) = oneshot::channel();
+        let decision = {
             let now = self.now();
             let mut state = self.lock();
             let limit = state.limit();
-            let call = call(demand, ticket);
+            let call = call(demand, waker);
             let admission = &mut state.policy.admission;
             admission.offer(call, limit, now, &mut rand::rng())
         };
-        match verdict {
-            AdmissionDecision::Start(ticket) => self.wake(ticket),
+        match decision {
+            AdmissionDecision::Start(waker) => self.wake(waker),
             AdmissionDecision::Queued => {}
             AdmissionDecision::Refused { retry_after, .. } => return Err(Overload { retry_after }),
         }
-        Ok(self.wait(turn, demand).await)
+        Ok(self.wait(permit, demand).await)
     }
 
     /// Waits for a call of an accepted request to get its turn.
-    pub async fn push(self: &Arc<Self>, demand: &Demand) -> Turn {
-        let (ticket, turn) = oneshot::channel();
+    pub async fn acquire(self: &Arc<Self>, demand: &Demand) -> Permit {
+        let (waker, permit) = oneshot::channel();
         let started = {
             let now = self.now();
             let mut state = self.lock();
             let limit = state.limit();
-            state
-                .policy
-                .admission
-                .push(call(demand, ticket), limit, now)
+            state.policy.admission.push(call(demand, waker), limit, now)
         };
-        if let Some(ticket) = started {
-            self.wake(ticket);
+        if let Some(waker) = started {
+            self.wake(waker);
         }
-        self.wait(turn, demand).await
+        self.wait(permit, demand).await
     }
 
     /// Wakes a call whose turn it is; the queue may give out another than the one just pushed.
-    fn wake(&self, ticket: Ticket) {
-        if ticket.send(()).is_err() {
-            self.give_back("", None);
+    fn wake(&self, waker: Waker) {
+        if waker.send(()).is_err() {
+            self.release("", None);
         }
     }
 
-    async fn wait(self: &Arc<Self>, turn: oneshot::Receiver<()>, demand: &Demand) -> Turn {
-        let mut place = Place {
+    async fn wait(self: &Arc<Self>, permit: oneshot::Receiver<()>, demand: &Demand) -> Permit {
+        let mut queued = QueuedCall {
             service: self,
-            turn,
+            permit,
         };
         // The queue lives as long as the service, and this call holds the service.
-        let _ = (&mut place.turn).await;
-        self.turn(demand)
+        let _ = (&mut queued.permit).await;
+        self.permit(demand)
     }
 
-    fn turn(self: &Arc<Self>, demand: &Demand) -> Turn {
-        Turn {
+    fn permit(self: &Arc<Self>, demand: &Demand) -> Permit {
+        Permit {
             service: self.clone(),
             workspace: demand.workspace.clone(),
-            spent: None,
+            times: None,
         }
     }
 
     /// Ends a turn and gives the free place to the next calls in the queue.
-    fn give_back(&self, workspace: &str, spent: Option<(Duration, Duration)>) {
+    fn release(&self, workspace: &str, times: Option<(Duration, Duration)>) {
         let now = self.now();
         let mut state = self.lock();
-        let (busy, elapsed) = spent.unzip();
+        let (busy, elapsed) = times.unzip();
         let admission = &mut state.policy.admission;
         admission.finished(workspace, busy.unwrap_or_default(), elapsed);
-        state.start_waiting(now);
+        state.start_queued(now);
     }
 
     /// Chooses a target for a call and counts the call as sent there.
@@ -344,9 +341,9 @@
         state.pool.readmit(now);
         let mut tried = tried.to_vec();
         if let Some(model) = &demand.model {
-            tried.extend(state.without(model));
+            tried.extend(state.targets_lacking(model));
         }
-        for _ in 0..PASSED_OVER {
+        for _ in 0..MAX_DRAINED_SKIPS {
             let call = route::Call {
                 now,
                 domain: &self.domain,
@@ -368,7 +365,7 @@
     }
 
     /// A call was answered whole.
-    pub fn answered(
+    pub fn record_answer(
         &self,
         id: &str,
         demand: &Demand,
@@ -386,7 +383,7 @@
         };
         let in_flight = state.policy.admission.in_flight();
         state.pool.answered(id, now, &answer);
-        state.pool.reported(id, now, report(load));
+        state.pool.reported(id, now, load_report(load));
         state.policy.limit.answered(Sample {
             elapsed,
             queued: load.queued,
@@ -395,17 +392,17 @@
         });
         state.policy.retry.succeeded(now, elapsed);
         if let Some(model) = &demand.model {
-            state.spend(model, busy);
+            state.add_busy_time(model, busy);
         }
     }
 
     /// A call was refused, revoked or cancelled.
-    pub fn returned(&self, id: &str, load: Option<Load>, full: bool) {
+    pub fn record_withdrawn(&self, id: &str, load: Option<Load>, full: bool) {
         let now = self.now();
         let mut state = self.lock();
         state.pool.returned(id);
         if let Some(load) = load {
-            state.pool.reported(id, now, report(load));
+            state.pool.reported(id, now, load_report(load));
         }
         if full {
             state.policy.limit.refused();
@@ -413,7 +410,7 @@
     }
 
     /// A call failed, or its answer was lost.
-    pub fn failed(&self, id: &str) {
+    pub fn record_failure(&self, id: &str) {
         let now = self.now();
         self.lock().pool.failed(id, now);
     }
@@ -434,7 +431,7 @@
     }
 
     /// Whether a second copy may be sent now.
-    pub fn hedge(&self) -> bool {
+    pub fn try_hedge(&self) -> bool {
         let now = self.now();
         self.lock().policy.retry.hedge(now)
     }
@@ -454,20 +451,20 @@
     }
 
     /// Fits the limit to the targets that take new work.
-    fn resize(&mut self, now: Duration) {
+    fn resize_limit(&mut self, now: Duration) {
         let live = u32::try_from(self.pool.live().len()).unwrap_or(u32::MAX);
         let capacity = self.pool.capacity();
         // One call more for each target keeps its runner busy while an answer travels.
         self.policy
             .limit
             .resize(live.max(1), capacity.saturating_add(live).max(1));
-        self.start_waiting(now);
+        self.start_queued(now);
     }
 
-    fn start_waiting(&mut self, now: Duration) {
-        while let Some(ticket) = self.policy.admission.next(self.policy.limit.limit(), now) {
+    fn start_queued(&mut self, now: Duration) {
+        while let Some(waker) = self.policy.admission.next(self.policy.limit.limit(), now) {
             // A call that no longer waits gives its place to the next.
-            if ticket.send(()).is_err() {
+            if waker.send(()).is_err() {
                 self.policy.admission.finished("", Duration::ZERO, None);
             }
         }
@@ -475,7 +472,7 @@
 }
 
 impl Observer for Service {
-    fn changed(&self, target: &Arc<Target>, change: Change) {
+    fn target_changed(&self, target: &Arc<Target>, change: Change) {
         let now = self.now();
         let mut state = self.lock();
         let id = target.vm.id.as_str();
@@ -491,11 +488,11 @@
             }
             Change::Leaving => state.pool.leave(id),
         }
-        state.resize(now);
+        state.resize_limit(now);
     }
 }
 
-fn call(demand: &Demand, item: Ticket) -> decide::admit::Call<Ticket> {
+fn call(demand: &Demand, item: Waker) -> decide::admit::Call<Waker> {
     decide::admit::Call {
         workspace: demand.workspace.clone(),
         share: demand.share,
@@ -504,7 +501,7 @@
     }
 }
 
-fn report(load: Load) -> LoadReport {
+fn load_report(load: Load) -> LoadReport {
     LoadReport {
         queued: load.queued,
         running: load.running,
--- a/crates/entry/src/service/models.rs
+++ b/crates/entry/src/service/models.rs
@@ -8,11 +8,11 @@
 
 /// Time at work that a call refused for want of its model is counted as: enough to have the model
 /// loaded once, too little to want a second replica.
-pub const MISSED: Duration = Duration::from_millis(100);
+pub const MISS_BUSY_TIME: Duration = Duration::from_millis(100);
 
 /// Where a model stands in a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Availability {
+pub enum ModelAvailability {
     /// An engine that takes new work has it.
     Warm,
     /// An engine loads it.
@@ -25,7 +25,7 @@
 
 impl Service {
     /// Where a model stands.
-    pub fn availability(&self, model: &str, set: &Set) -> Availability {
+    pub fn model_availability(&self, model: &str, set: &Set) -> ModelAvailability {
         let state = self.lock();
         let mut open = state
             .targets
@@ -38,25 +38,25 @@
             target.engine.holds(model)
         });
         match (warm, loading, pending) {
-            (true, ..) => Availability::Warm,
-            (_, true, _) => Availability::Loading,
-            (_, _, true) => Availability::Pending,
-            _ => Availability::Absent,
+            (true, ..) => ModelAvailability::Warm,
+            (_, true, _) => ModelAvailability::Loading,
+            (_, _, true) => ModelAvailability::Pending,
+            _ => ModelAvailability::Absent,
         }
     }
 
     /// Notes that a call was refused for want of its model.
-    pub fn missed(&self, model: &str) {
+    pub fn record_miss(&self, model: &str) {
         let mut state = self.lock();
-        state.spend(model, MISSED);
-        if !state.missed.contains(model) {
-            state.missed.insert(model.to_owned());
+        state.add_busy_time(model, MISS_BUSY_TIME);
+        if !state.missing_models.contains(model) {
+            state.missing_models.insert(model.to_owned());
         }
     }
 
     /// Models that calls were refused or kept waiting for since this was last asked.
-    pub fn take_missed(&self) -> BTreeSet<String> {
-        std::mem::take(&mut self.lock().missed)
+    pub fn take_missing_models(&self) -> BTreeSet<String> {
+        std::mem::take(&mut self.lock().missing_models)
     }
 
     /// Time that engines were at work for each model since this was last asked.
@@ -67,7 +67,7 @@
 
 impl State {
     /// Notes time at work for a model.
-    pub(super) fn spend(&mut self, model: &str, busy: Duration) {
+    pub(super) fn add_busy_time(&mut self, model: &str, busy: Duration) {
         match self.busy.get_mut(model) {
             Some(sum) => *sum += busy,
             None => drop(self.busy.insert(model.to_owned(), busy)),
@@ -75,7 +75,7 @@
     }
 
     /// Targets that a call for this model may not go to.
-    pub(super) fn without(&self, model: &str) -> impl Iterator<Item = TargetId> {
+    pub(super) fn targets_lacking(&self, model: &str) -> impl Iterator<Item = TargetId> {
         let cold = self
             .targets
             .iter()
--- a/crates/entry/src/service/policy.rs
+++ b/crates/entry/src/service/policy.rs
@@ -1,6 +1,6 @@
 //! Which decisions a service is run with: the naive ones or those that ship.
 
-use super::Ticket;
+use super::Waker;
 use decide::Either;
 use decide::admit::{Predictive, Unbounded, predictive::AdmissionConfig};
 use decide::limit::{Fixed, Gradient};
@@ -9,7 +9,7 @@
 use decide::route::{Pool, RoundRobin, Sampled};
 
 /// Calls in flight that a service starts with before its targets are known.
-const FIRST_LIMIT: u32 = 1;
+const INITIAL_LIMIT: u32 = 1;
 
 /// Decisions of one service.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// Which target a call goes to.
     pub router: Either<RoundRobin, Sampled>,
     /// Whether a request is accepted, and whose turn it is.
-    pub admission: Either<Unbounded<Ticket>, Predictive<Ticket>>,
+    pub admission: Either<Unbounded<Waker>, Predictive<Waker>>,
     /// Calls in flight at once.
     pub limit: Either<Fixed, Gradient>,
     /// Second attempts.
@@ -47,7 +47,7 @@
             setting::Policy::Shipped => Self {
                 router: Either::Shipped(Sampled),
                 admission: Either::Shipped(Predictive::new(AdmissionConfig::default())),
-                limit: Either::Shipped(Gradient::new(FIRST_LIMIT, FIRST_LIMIT, FIRST_LIMIT)),
+                limit: Either::Shipped(Gradient::new(INITIAL_LIMIT, INITIAL_LIMIT, INITIAL_LIMIT)),
                 retry: Either::Shipped(Budgeted::new(BudgetRatios::weighted(0.0))),
                 attainment: 0.0,
             },
@@ -55,7 +55,7 @@
     }
 
     /// Takes in how much the pipelines that use the service weigh attainment against cost.
-    pub fn weigh(&mut self, attainment: f64) {
+    pub fn set_attainment_weight(&mut self, attainment: f64) {
         if (attainment - self.attainment).abs() < f64::EPSILON {
             return;
         }
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -1,17 +1,17 @@
 //! Runs one stage of a job: first try, retries and hedges, until one answer is committed.
 //!
-//! * `tries`: what becomes of the attempts
+//! * `attempts`: what becomes of the attempts
 //! * `retry`: whether the stage is tried again
-//! * `meaning`: what an agent's frames mean
+//! * `events`: what an agent's frames mean
 
-mod meaning;
+mod attempts;
+mod events;
 mod retry;
-mod tries;
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::core::{Core, Platform};
 use crate::job::Job;
-use crate::service::{Demand, Service, Turn};
+use crate::service::{Demand, Permit, Service};
 use crate::target::{Inbox, Message, Target};
 use crate::wait::{GivenUp, Waiter};
 use bytes::{Bytes, BytesMut};
@@ -26,7 +26,7 @@
 use wire::{Frame, Sender, Work};
 
 /// First pause before another attempt when no target would take the stage.
-const PAUSE_FIRST: Duration = Duration::from_millis(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
 
 /// What a stage has brought.
 #[derive(Clone, Debug)]
@@ -39,49 +39,49 @@
 
 /// What one attempt has brought so far.
 #[derive(Debug)]
-struct Try {
+struct AttemptState {
     target: Arc<Target>,
     link: Sender,
-    turn: Option<Turn>,
+    permit: Option<Permit>,
     sent: Instant,
     content: BytesMut,
-    over: bool,
+    ended: bool,
 }
 
 /// One stage of one job.
-pub struct Run<'a, P: Platform> {
+pub struct StageRun<'a, P: Platform> {
     core: &'a Arc<Core<P>>,
     job: &'a Job,
     spec: &'a record::Stage,
     position: StageIndex,
     /// Whether an earlier stage has run, so that the request is never told as *not run*.
-    ran: bool,
+    has_run: bool,
     streamed: bool,
     service: Arc<Service>,
     schedule: StageSchedule,
     demand: Demand,
     input: Bytes,
     machine: Stage,
-    tries: Vec<Try>,
+    attempts: Vec<AttemptState>,
     tried: Vec<TargetId>,
     inbox: Inbox,
     messages: mpsc::UnboundedReceiver<Message>,
     failure: Option<(u16, Bytes)>,
-    began: Instant,
+    started: Instant,
     waiter: Waiter<'a, P>,
-    pause: Duration,
+    backoff: Duration,
 }
 
 /// Losers of a stage free their runners, however the stage ends.
-impl<P: Platform> Drop for Run<'_, P> {
+impl<P: Platform> Drop for StageRun<'_, P> {
     fn drop(&mut self) {
-        for index in 0..self.tries.len() {
-            self.abandon(index);
+        for index in 0..self.attempts.len() {
+            self.abort(index);
         }
     }
 }
 
-impl<'a, P: Platform> Run<'a, P> {
+impl<'a, P: Platform> StageRun<'a, P> {
     /// A stage that has not been tried yet.
     pub fn new(
         core: &'a Arc<Core<P>>,
@@ -95,13 +95,13 @@
         let schedule = core.schedule(job, position);
         let demand = core.demand(job, position, &schedule, &input);
         let (inbox, messages) = mpsc::unbounded_channel();
-        let ran = position > 0 || job.may_have_run();
+        let has_run = position > 0 || job.may_have_run();
         Self {
             core,
             job,
             spec,
             position: StageIndex::try_from(position).unwrap_or(StageIndex::MAX),
-            ran,
+            has_run,
             streamed,
             service,
             schedule,
@@ -111,14 +111,14 @@
                 repeatable: spec.repeatable,
                 stream: streamed,
             }),
-            tries: Vec::new(),
+            attempts: Vec::new(),
             tried: Vec::new(),
             inbox,
             messages,
             failure: None,
-            began: Instant::now(),
-            waiter: Waiter::new(core, job, position, ran),
-            pause: PAUSE_FIRST,
+            started: Instant::now(),
+            waiter: Waiter::new(core, job, position, has_run),
+            backoff: INITIAL_BACKOFF,
         }
     }
 
@@ -127,39 +127,39 @@
     /// # Errors
     ///
     /// The end of the whole request.
-    pub async fn finish(mut self, first: Option<Turn>) -> Result<Output, End> {
-        let mut turn = first;
+    pub async fn finish(mut self, first: Option<Permit>) -> Result<Output, RequestOutcome> {
+        let mut permit = first;
         loop {
-            let turn = match turn.take() {
-                Some(turn) => turn,
-                None => self.turn().await?,
+            let permit = match permit.take() {
+                Some(permit) => permit,
+                None => self.acquire_permit().await?,
             };
-            match self.start(Some(turn)).await {
+            match self.start(Some(permit)).await {
                 Ok(true) => {}
                 Ok(false) => {
-                    self.rest().await?;
+                    self.back_off().await?;
                     continue;
                 }
                 Err(end) => return Err(end),
             }
-            if let Some(output) = self.follow().await {
+            if let Some(output) = self.process_messages().await {
                 return Ok(output);
             }
-            self.again().await?;
+            self.retry().await?;
         }
     }
 
     /// Waits for this call's turn.
-    async fn turn(&mut self) -> Result<Turn, End> {
-        let turn = self.service.push(&self.demand);
-        match self.waiter.until(turn).await {
-            Ok(turn) => Ok(turn),
+    async fn acquire_permit(&mut self) -> Result<Permit, RequestOutcome> {
+        let permit = self.service.acquire(&self.demand);
+        match self.waiter.until(permit).await {
+            Ok(permit) => Ok(permit),
             Err(GivenUp) => Err(self.end()),
         }
     }
 
     /// Sends an attempt to a target, if one would take it.
-    async fn start(&mut self, turn: Option<Turn>) -> Result<bool, End> {
+    async fn start(&mut self, permit: Option<Permit>) -> Result<bool, RequestOutcome> {
         if !self.machine.may_start() {
             return Err(self.end());
         }
@@ -172,12 +172,12 @@
             return Ok(false);
         };
         // The link is opened before the machine takes the attempt in: an attempt that it counts and
-        // that was never sent would shift the numbers of all later ones against `tries`.
-        let due = Attempt::try_from(self.tries.len()).unwrap_or(Attempt::MAX);
-        let call = self.call(due);
-        let link = target.open(call, self.inbox.clone());
+        // that was never sent would shift the numbers of all later ones against `attempts`.
+        let next_attempt = Attempt::try_from(self.attempts.len()).unwrap_or(Attempt::MAX);
+        let call = self.call(next_attempt);
+        let link = target.register_call(call, self.inbox.clone());
         let Some(link) = link else {
-            self.service.returned(&target.vm.id, None, false);
+            self.service.record_withdrawn(&target.vm.id, None, false);
             return Ok(false);
         };
         let Some((_, resume)) = self.machine.start() else {
@@ -187,15 +187,15 @@
             call,
             work: Box::new(self.work(resume)),
         };
-        self.tries.push(Try {
+        self.attempts.push(AttemptState {
             target,
             link: link.clone(),
-            turn,
+            permit,
             sent: Instant::now(),
             content: BytesMut::new(),
-            over: false,
+            ended: false,
         });
-        self.waiter.taken();
+        self.waiter.record_target_found();
         // A link that is gone tells the inbox.
         let _ = link.send(offer).await;
         Ok(true)
@@ -236,7 +236,7 @@
     }
 
     /// Takes in messages until an answer is committed or every attempt has ended.
-    async fn follow(&mut self) -> Option<Output> {
+    async fn process_messages(&mut self) -> Option<Output> {
         let mut hedge_at = self.hedge_at();
         while self.machine.outcome().is_none() {
             let message = match hedge_at {
@@ -245,14 +245,14 @@
                     message = self.messages.recv() => message,
                     () = tokio::time::sleep_until(at) => {
                         hedge_at = None;
-                        self.hedge().await;
+                        self.send_hedge().await;
                         continue;
                     }
                 },
             };
             // The run holds a sender itself, so that the channel cannot close.
             let message = message?;
-            if let Some(output) = self.take_in(message).await {
+            if let Some(output) = self.handle_message(message).await {
                 return Some(output);
             }
         }
@@ -265,26 +265,26 @@
         if !self.spec.repeatable || self.streamed {
             return None;
         }
-        let sent = self.tries.last()?.sent;
+        let sent = self.attempts.last()?.sent;
         self.service.hedge_after().map(|after| sent + after)
     }
 
-    async fn hedge(&mut self) {
+    async fn send_hedge(&mut self) {
         if let Some(target) = self
-            .tries
+            .attempts
             .last()
             .map(|last| last.target.vm.id.as_str().into())
         {
             self.tried.push(target);
         }
-        if self.service.hedge() {
+        if self.service.try_hedge() {
             self.core.telemetry.hedged();
             // A hedge that finds no target leaves the first attempt as it was.
             let _ = self.start(None).await;
         }
     }
 
-    async fn take_in(&mut self, message: Message) -> Option<Output> {
+    async fn handle_message(&mut self, message: Message) -> Option<Output> {
         let (call, frame) = match message {
             Message::Frame(call, frame) => (call, Some(frame)),
             Message::Lost(call) => (call, None),
@@ -294,9 +294,9 @@
         }
         let actions = self
             .machine
-            .on(self.attempt(call), meaning::event(frame.as_ref()));
+            .on(self.attempt(call), events::event(frame.as_ref()));
         for action in actions.into_iter().flatten() {
-            if let Some(output) = self.act(call, action, frame.as_ref()).await {
+            if let Some(output) = self.execute(call, action, frame.as_ref()).await {
                 return Some(output);
             }
         }
@@ -304,9 +304,14 @@
     }
 
     /// Carries out what the state machine asks for; gives the output once it is committed.
-    async fn act(&mut self, call: CallId, action: Action, frame: Option<&Frame>) -> Option<Output> {
+    async fn execute(
+        &mut self,
+        call: CallId,
+        action: Action,
+        frame: Option<&Frame>,
+    ) -> Option<Output> {
         let index = usize::from(self.attempt(call));
-        let link = self.tries.get(index)?.link.clone();
+        let link = self.attempts.get(index)?.link.clone();
         // A link that fails while something is sent tells the inbox.
         let _ = match action {
             Action::Grant => link.send(Frame::Grant { call }).await,
@@ -325,7 +330,7 @@
                 Ok(())
             }
             Action::Ended(end) => {
-                self.over(index, end, frame);
+                self.end_attempt(index, end, frame);
                 Ok(())
             }
             Action::Commit => return self.commit(index, frame),
--- a/crates/entry/src/stage/tries.rs
+++ b/crates/entry/src/stage/attempts.rs
@@ -1,7 +1,7 @@
 //! What becomes of a stage's attempts.
 
-use super::meaning::{is_unreachable, reason, refusal};
-use super::{Output, Run};
+use super::events::{is_unreachable, reason, refusal};
+use super::{Output, StageRun};
 use crate::caller::format_id;
 use crate::core::Platform;
 use crate::target::Message;
@@ -13,9 +13,9 @@
 
 /// How long a lost answer to a call that may not be repeated is waited for before its outcome is
 /// told as unknown.
-const RECALL_PATIENCE: Duration = Duration::from_secs(30);
+const RECALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-impl<P: Platform> Run<'_, P> {
+impl<P: Platform> StageRun<'_, P> {
     pub(super) fn accept(&mut self, index: usize, frame: Option<&Frame>) {
         let Some(Frame::Chunk { data, .. }) = frame else {
             return;
@@ -23,7 +23,7 @@
         if self.streamed {
             self.job.answer.push(data.clone());
         } else {
-            self.tries[index].content.extend_from_slice(data);
+            self.attempts[index].content.extend_from_slice(data);
         }
     }
 
@@ -32,22 +32,22 @@
             return None;
         };
         let call = self.call(index as Attempt);
-        let won = &mut self.tries[index];
-        won.over = true;
-        let elapsed = won.sent.elapsed();
-        if let Some(mut turn) = won.turn.take() {
-            turn.spent(*busy, elapsed);
+        let winner = &mut self.attempts[index];
+        winner.ended = true;
+        let elapsed = winner.sent.elapsed();
+        if let Some(mut permit) = winner.permit.take() {
+            permit.record_times(*busy, elapsed);
         }
-        let content = std::mem::take(&mut won.content).freeze();
-        let id = won.target.vm.id.clone();
-        won.target.close(call);
+        let content = std::mem::take(&mut winner.content).freeze();
+        let id = winner.target.vm.id.clone();
+        winner.target.unregister_call(call);
         if !self.spec.repeatable {
             // The agent keeps such an answer for an entry that comes back for it, and waits for
             // that when it leaves; this tells it that nobody will.
-            won.target.send_later(Frame::Cancel { call });
+            winner.target.send_in_background(Frame::Cancel { call });
         }
         self.service
-            .answered(&id, &self.demand, *busy, elapsed, *load);
+            .record_answer(&id, &self.demand, *busy, elapsed, *load);
         self.core
             .telemetry
             .attempt(&self.spec.name, "whole", elapsed);
@@ -55,37 +55,37 @@
     }
 
     /// Notes how an attempt ended that brought no answer.
-    pub(super) fn over(&mut self, index: usize, end: call::Outcome, frame: Option<&Frame>) {
+    pub(super) fn end_attempt(&mut self, index: usize, end: call::Outcome, frame: Option<&Frame>) {
         let call = self.call(index as Attempt);
-        let one = &mut self.tries[index];
-        one.over = true;
-        one.turn.take();
-        let elapsed = one.sent.elapsed();
-        let target = one.target.clone();
-        target.close(call);
+        let state = &mut self.attempts[index];
+        state.ended = true;
+        state.permit.take();
+        let elapsed = state.sent.elapsed();
+        let target = state.target.clone();
+        target.unregister_call(call);
         let id = target.vm.id.as_str();
         self.tried.push(id.into());
         let outcome = match end {
             // The agent answers at once for a runner that is gone, and would look idle: every call
             // would go there first.
             call::Outcome::NotRun if is_unreachable(frame) => {
-                self.service.failed(id);
+                self.service.record_failure(id);
                 "not_run"
             }
             call::Outcome::NotRun => {
                 let (load, full) = refusal(frame);
-                self.service.returned(id, load, full);
+                self.service.record_withdrawn(id, load, full);
                 "not_run"
             }
             call::Outcome::Failed => {
                 if let Some(Frame::Fail { status, body, .. }) = frame {
                     self.failure = Some((*status, body.clone()));
                 }
-                self.service.failed(id);
+                self.service.record_failure(id);
                 "failed"
             }
             call::Outcome::Unknown | call::Outcome::Complete => {
-                self.service.failed(id);
+                self.service.record_failure(id);
                 "unknown"
             }
         };
@@ -98,22 +98,23 @@
     }
 
     pub(super) fn cancel_others(&mut self, winner: usize) {
-        for index in (0..self.tries.len()).filter(|index| *index != winner) {
-            self.abandon(index);
+        for index in (0..self.attempts.len()).filter(|index| *index != winner) {
+            self.abort(index);
         }
     }
 
     /// Gives up an attempt whose answer is no longer wanted.
-    pub(super) fn abandon(&mut self, index: usize) {
+    pub(super) fn abort(&mut self, index: usize) {
         let call = self.call(index as Attempt);
-        let one = &mut self.tries[index];
-        if std::mem::replace(&mut one.over, true) {
+        let state = &mut self.attempts[index];
+        if std::mem::replace(&mut state.ended, true) {
             return;
         }
-        one.turn.take();
-        one.target.close(call);
-        one.target.send_later(Frame::Cancel { call });
-        self.service.returned(&one.target.vm.id, None, false);
+        state.permit.take();
+        state.target.unregister_call(call);
+        state.target.send_in_background(Frame::Cancel { call });
+        self.service
+            .record_withdrawn(&state.target.vm.id, None, false);
     }
 
     /// Asks for the answer again over a new link, if the call may have run and may not be
@@ -129,16 +130,16 @@
         }
         let call = self.call(attempt);
         let from = self.machine.call(attempt).map_or(0, protocol::Call::next);
-        let Some(one) = self.tries.get_mut(usize::from(attempt)) else {
+        let Some(state) = self.attempts.get_mut(usize::from(attempt)) else {
             return false;
         };
-        let relinked = tokio::time::timeout(RECALL_PATIENCE, one.target.linked()).await;
+        let relinked = tokio::time::timeout(RECALL_TIMEOUT, state.target.wait_until_linked()).await;
         if !matches!(relinked, Ok(true)) {
             return false;
         }
-        match one.target.open(call, self.inbox.clone()) {
+        match state.target.register_call(call, self.inbox.clone()) {
             Some(link) => {
-                one.link = link.clone();
+                state.link = link.clone();
                 let _ = link.send(Frame::Recall { call, from }).await;
             }
             // Lost again at once: the inbox hears of it as of the first loss.
--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/stored_answer.rs
@@ -1,6 +1,6 @@
 //! Answers kept in the object store, where every entry finds them.
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::caller::format_id;
 use crate::core::{Core, Platform};
 use crate::job::Job;
@@ -12,13 +12,13 @@
 use tokio::time::Instant;
 
 /// Pause before an answer that could not be kept is tried again.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long a stopping entry goes on trying; its callers have their answers.
-const STOPPING: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An answer as it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// Whether it came after its deadline.
     pub late: bool,
     /// Whether the caller wanted a stream.
@@ -29,12 +29,12 @@
     pub chunks: Vec<String>,
 }
 
-impl Kept {
-    fn new(job: &Job, end: &End) -> Option<Self> {
+impl StoredAnswer {
+    fn new(job: &Job, end: &RequestOutcome) -> Option<Self> {
         let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
         let (late, failure, chunks) = match end {
-            End::Whole { late } => (*late, None, job.answer.chunks()),
-            End::Failed {
+            RequestOutcome::Complete { late } => (*late, None, job.answer.chunks()),
+            RequestOutcome::Failed {
                 stage,
                 status,
                 body,
@@ -51,10 +51,10 @@
 
     /// How the request ended.
     #[must_use]
-    pub fn end(&self) -> End {
+    pub fn end(&self) -> RequestOutcome {
         match &self.failure {
-            None => End::Whole { late: self.late },
-            Some((stage, status)) => End::Failed {
+            None => RequestOutcome::Complete { late: self.late },
+            Some((stage, status)) => RequestOutcome::Failed {
                 stage: stage.clone(),
                 status: *status,
                 body: Bytes::from(self.chunks.concat()),
@@ -63,7 +63,7 @@
     }
 }
 
-fn name(request: RequestId) -> String {
+fn object_name(request: RequestId) -> String {
     format!("answer-{}", format_id(request))
 }
 
@@ -81,28 +81,32 @@
 }
 
 /// Keeps a job's answer, for as many attempts as it takes.
-pub async fn store<P: Platform>(core: &Core<P>, job: &Job, end: &End) {
-    let Some(kept) = Kept::new(job, end) else {
+pub async fn store<P: Platform>(core: &Core<P>, job: &Job, end: &RequestOutcome) {
+    let Some(stored_answer) = StoredAnswer::new(job, end) else {
         return;
     };
-    let content = Bytes::from(serde_json::to_vec(&kept).unwrap_or_default());
-    let name = name(job.id);
+    let content = Bytes::from(serde_json::to_vec(&stored_answer).unwrap_or_default());
+    let object_name = object_name(job.id);
     let since = Instant::now();
     while core
         .platform
-        .put_object(&name, content.clone())
+        .put_object(&object_name, content.clone())
         .await
         .is_err()
     {
-        if core.is_draining() && since.elapsed() > STOPPING {
+        if core.is_draining() && since.elapsed() > STOP_TIMEOUT {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 /// Reads a kept answer.
-pub async fn load<P: Platform>(core: &Core<P>, request: RequestId) -> Option<Kept> {
-    let content = core.platform.get_object(&name(request)).await.ok()??;
+pub async fn load<P: Platform>(core: &Core<P>, request: RequestId) -> Option<StoredAnswer> {
+    let content = core
+        .platform
+        .get_object(&object_name(request))
+        .await
+        .ok()??;
     serde_json::from_slice(&content).ok()
 }
--- a/crates/entry/src/target.rs
+++ b/crates/entry/src/target.rs
@@ -15,12 +15,12 @@
 use wire::{Frame, Key, Receiver, Sender};
 
 /// Pause before the first attempt to open a lost link again.
-const RECONNECT_FIRST: Duration = Duration::from_millis(20);
+const INITIAL_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// Longest pause between attempts to open a link.
-const RECONNECT_MOST: Duration = Duration::from_secs(1);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
 /// Longest wait for the link to take an order.
-const ORDER_PATIENCE: Duration = Duration::from_millis(200);
+const ORDER_SEND_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What reaches a stage about one of its calls.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 /// Takes in changes of the targets.
 pub trait Observer: Send + Sync + 'static {
     /// Takes in a change of one target.
-    fn changed(&self, target: &Arc<Target>, change: Change);
+    fn target_changed(&self, target: &Arc<Target>, change: Change);
 }
 
 /// A target with an agent beside it, in one life of its VM.
@@ -57,7 +57,7 @@
     /// What the platform lists.
     pub vm: Vm,
     /// Frames that belonged to no current call.
-    pub strays: AtomicU64,
+    pub unmatched_frames: AtomicU64,
     /// What is known of its engine, if it has one.
     pub engine: Engine,
     /// Where its agent was last listed.
@@ -76,14 +76,14 @@
             leaving: AtomicBool::new(vm.leaving),
             address: Mutex::new(vm.address),
             vm,
-            strays: AtomicU64::default(),
+            unmatched_frames: AtomicU64::default(),
             engine: Engine::default(),
             link: Mutex::default(),
             up: watch::Sender::new(false),
             calls: Mutex::default(),
             stop: CancellationToken::new(),
         });
-        tokio::spawn(keep_linked(target.clone(), key, log, observer));
+        tokio::spawn(maintain_link(target.clone(), key, log, observer));
         target
     }
 
@@ -94,7 +94,7 @@
 
     /// Takes in where the agent is listed now. An agent that was started again in the same life of its
     /// VM may serve at another address; a link that is up stays.
-    pub fn relocate(&self, address: SocketAddr) {
+    pub fn update_address(&self, address: SocketAddr) {
         *self.address() = address;
     }
 
@@ -114,12 +114,12 @@
     }
 
     /// Marks the target as leaving; nothing clears the mark in this life of the VM.
-    pub fn leave(&self) {
+    pub fn mark_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
     /// Waits until there is a link, or gives `false` once the target is stopped.
-    pub async fn linked(&self) -> bool {
+    pub async fn wait_until_linked(&self) -> bool {
         let mut up = self.up.subscribe();
         tokio::select! {
             result = up.wait_for(|up| *up) => result.is_ok(),
@@ -131,22 +131,22 @@
     ///
     /// The call is registered before the link is read: a link lost in between tells the inbox, so
     /// that no call can wait for an answer on a link that is gone.
-    pub fn open(&self, call: CallId, inbox: Inbox) -> Option<Sender> {
+    pub fn register_call(&self, call: CallId, inbox: Inbox) -> Option<Sender> {
         self.calls().insert(call, inbox);
         let link = self.link().clone();
         if link.is_none() {
-            self.close(call);
+            self.unregister_call(call);
         }
         link
     }
 
     /// Forgets a call; later frames for it are strays.
-    pub fn close(&self, call: CallId) {
+    pub fn unregister_call(&self, call: CallId) {
         self.calls().remove(&call);
     }
 
     /// Sends a frame from where nothing can be awaited, if there is a link.
-    pub fn send_later(&self, frame: Frame) {
+    pub fn send_in_background(&self, frame: Frame) {
         if let Some(link) = self.link().clone() {
             tokio::spawn(async move { link.send(frame).await });
         }
@@ -156,10 +156,10 @@
     /// which models callers have lacked.
     pub fn query(&self, fence: Option<FencingToken>, wanted: impl IntoIterator<Item = String>) {
         if self.is_linked()
-            && let Some(number) = self.engine.ask(fence)
+            && let Some(number) = self.engine.next_query(fence)
         {
             let wanted = wanted.into_iter().collect();
-            self.send_later(Frame::Query {
+            self.send_in_background(Frame::Query {
                 number,
                 fence,
                 wanted,
@@ -171,20 +171,21 @@
     ///
     /// A link that does not take it soon is no way for it: the order would leave long after the
     /// lease was looked at.
-    pub async fn order(&self, fence: FencingToken, order: &Order) -> bool {
+    pub async fn send_order(&self, fence: FencingToken, order: &Order) -> bool {
         let link = self.link().clone();
         let body = order.body(fence).into();
         let Some(link) = link else {
             return false;
         };
-        let sent = tokio::time::timeout(ORDER_PATIENCE, link.send(Frame::Order { fence, body }));
+        let sent =
+            tokio::time::timeout(ORDER_SEND_TIMEOUT, link.send(Frame::Order { fence, body }));
         matches!(sent.await, Ok(Ok(())))
     }
 
-    fn lose_link(&self) {
+    fn drop_link(&self) {
         self.link().take();
         self.up.send_replace(false);
-        self.engine.forget();
+        self.engine.reset();
         let calls = std::mem::take(&mut *self.calls());
         for (call, inbox) in calls {
             // A stage that no longer listens has its answer.
@@ -206,17 +207,17 @@
 
     async fn dispatch(&self, link: &Sender, call: CallId, frame: Frame) {
         let inbox = self.calls().get(&call).cloned();
-        let stray = match inbox {
+        let unmatched = match inbox {
             Some(inbox) => match inbox.send(Message::Frame(call, frame)) {
                 Ok(()) => None,
                 Err(error) => Some(error.0),
             },
             None => Some(Message::Frame(call, frame)),
         };
-        let Some(Message::Frame(call, frame)) = stray else {
+        let Some(Message::Frame(call, frame)) = unmatched else {
             return;
         };
-        self.strays.fetch_add(1, Ordering::Relaxed);
+        self.unmatched_frames.fetch_add(1, Ordering::Relaxed);
         // A question about a call that is over is denied: an agent that was frozen with the offer
         // must not start what the caller was told had not run.
         if matches!(frame, Frame::Ask { .. }) {
@@ -226,29 +227,29 @@
     }
 }
 
-async fn keep_linked(target: Arc<Target>, key: Key, log: Logger, observer: Arc<impl Observer>) {
-    let mut pause = RECONNECT_FIRST;
-    let mut barred = false;
+async fn maintain_link(target: Arc<Target>, key: Key, log: Logger, observer: Arc<impl Observer>) {
+    let mut delay = INITIAL_RECONNECT_DELAY;
+    let mut unauthorized = false;
     while !target.stop.is_cancelled() {
         let address = *target.address();
         match wire::connect(address, &key).await {
             Ok((sender, receiver)) => {
-                pause = RECONNECT_FIRST;
-                barred = false;
+                delay = INITIAL_RECONNECT_DELAY;
+                unauthorized = false;
                 info!(log, "link up"; "vm" => &target.vm.id, "address" => %address);
                 serve(&target, sender, receiver, &observer).await;
                 info!(log, "link lost"; "vm" => &target.vm.id);
             }
             Err(wire::Error::Unauthorized) => {
-                if !std::mem::replace(&mut barred, true) {
+                if !std::mem::replace(&mut unauthorized, true) {
                     error!(log, "agent does not hold the shared key"; "vm" => &target.vm.id);
                 }
-                pause = RECONNECT_MOST;
+                delay = MAX_RECONNECT_DELAY;
             }
-            Err(_) => pause = (pause * 2).min(RECONNECT_MOST),
+            Err(_) => delay = (delay * 2).min(MAX_RECONNECT_DELAY),
         }
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             () = target.stop.cancelled() => {}
         }
     }
@@ -260,10 +261,10 @@
     mut receiver: Receiver,
     observer: &Arc<impl Observer>,
 ) {
-    target.engine.linked();
+    target.engine.record_link_up();
     *target.link() = Some(sender.clone());
     target.up.send_replace(true);
-    observer.changed(target, Change::Up);
+    observer.target_changed(target, Change::Up);
     loop {
         let frame = tokio::select! {
             frame = receiver.recv() => frame,
@@ -275,11 +276,11 @@
         match frame {
             // The link is to one life of the agent, whatever number it gives itself.
             Frame::Leave { .. } => {
-                target.leave();
-                observer.changed(target, Change::Leaving);
+                target.mark_leaving();
+                observer.target_changed(target, Change::Leaving);
             }
-            Frame::Models { number, models } => target.engine.answered(number, models),
-            Frame::OrderDone { status, .. } => target.engine.close(Some(status)),
+            Frame::Models { number, models } => target.engine.record_models(number, models),
+            Frame::OrderDone { status, .. } => target.engine.close_order(Some(status)),
             frame => {
                 if let Some(call) = frame.call() {
                     target.dispatch(&sender, call, frame).await;
@@ -287,6 +288,6 @@
             }
         }
     }
-    observer.changed(target, Change::Down);
-    target.lose_link();
+    observer.target_changed(target, Change::Down);
+    target.drop_link();
 }
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -2,7 +2,7 @@
 
 pub mod placement;
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::job::Job;
 use metric::{Bound, Latency, Registry, latency};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -13,11 +13,11 @@
 
 /// Workspaces with a label of their own; the rest share one. At 14 buckets, 4 classes and 256
 /// workspaces a scrape stays near 1 MB whatever callers send.
-const WORKSPACES: usize = 256;
+const MAX_WORKSPACES: usize = 256;
 /// Classes with a label of their own.
-const CLASSES: usize = 4;
+const MAX_CLASSES: usize = 4;
 /// Stages with a label of their own.
-const STAGES: usize = 128;
+const MAX_STAGES: usize = 128;
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Ended {
     outcome: &'static str,
@@ -47,13 +47,13 @@
     /// Metrics registered under the names that the operators' page explains.
     pub fn new(registry: &mut Registry) -> Self {
         let telemetry = Self {
-            stages: Bound::new(STAGES),
+            stages: Bound::new(MAX_STAGES),
             latency: Latency::new(
                 registry,
                 "entry_request_seconds",
                 "Time from acceptance to the end of a request",
-                WORKSPACES,
-                CLASSES,
+                MAX_WORKSPACES,
+                MAX_CLASSES,
             ),
             ended: Family::default(),
             attempts: Family::new_with_constructor(latency::histogram),
@@ -96,15 +96,15 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, job: &Job, end: &End) {
+    pub fn ended(&self, job: &Job, end: &RequestOutcome) {
         let outcome = match end {
-            End::Whole { late: false } => "on_time",
-            End::Whole { late: true } => "late",
-            End::NotRun { .. } => "not_run",
-            End::Unknown { .. } => "unknown",
-            End::Elsewhere { .. } => "repeated",
-            End::Mismatch => "mismatch",
-            End::Failed { .. } => "failed",
+            RequestOutcome::Complete { late: false } => "on_time",
+            RequestOutcome::Complete { late: true } => "late",
+            RequestOutcome::NotRun { .. } => "not_run",
+            RequestOutcome::Unknown { .. } => "unknown",
+            RequestOutcome::Elsewhere { .. } => "repeated",
+            RequestOutcome::Mismatch => "mismatch",
+            RequestOutcome::Failed { .. } => "failed",
         };
         self.ended.get_or_create(&Ended { outcome }).inc();
         let taken = job.accepted.elapsed();
--- a/crates/entry/src/wait.rs
+++ b/crates/entry/src/wait.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, Platform};
 use crate::job::Job;
 use crate::service::Service;
-use crate::service::models::Availability;
+use crate::service::models::ModelAvailability;
 use decide::wait::{TargetAvailability, Wait, WaitDecision, WaitLimits};
 use futures::FutureExt;
 use protocol::RequestId;
@@ -15,21 +15,21 @@
 use tokio::time::sleep;
 
 /// Longest time between two looks at what a waiting call waits for.
-const LOOK: Duration = Duration::from_millis(250);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which calls wait in bursts, so that nothing is said of it.
-const USUAL: Duration = Duration::from_secs(1);
+const UNLOGGED_WAIT: Duration = Duration::from_secs(1);
 /// Bounds for a request of which nothing has run: it can be refused in truth, and is refused within a
 /// second of when a new one would be.
-const FRESH: WaitLimits = WaitLimits {
+const NOT_RUN_LIMITS: WaitLimits = WaitLimits {
     closed: Duration::from_millis(500),
     unknown: Duration::from_secs(6),
     total: Duration::from_secs(3_600),
 };
 /// Bounds for a request of which stages have run: nobody can take it up anew.
-const BEGUN: WaitLimits = WaitLimits {
+const PARTLY_RUN_LIMITS: WaitLimits = WaitLimits {
     closed: Duration::from_secs(300),
     unknown: Duration::from_secs(300),
-    ..FRESH
+    ..NOT_RUN_LIMITS
 };
 
 /// One call that waits for a target, a turn or a model.
@@ -47,16 +47,20 @@
 pub struct GivenUp;
 
 impl<'a, P: Platform> Waiter<'a, P> {
-    /// A wait for a stage that begins now; `begun` says whether any of the request may have run.
-    pub fn new(core: &'a Arc<Core<P>>, job: &'a Job, position: usize, begun: bool) -> Self {
+    /// A wait for a stage that begins now; `may_have_run` says whether any of the request may have run.
+    pub fn new(core: &'a Arc<Core<P>>, job: &'a Job, position: usize, may_have_run: bool) -> Self {
         let stage = &job.pipeline.stages[position];
-        let bounds = if begun { BEGUN } else { FRESH };
+        let limits = if may_have_run {
+            PARTLY_RUN_LIMITS
+        } else {
+            NOT_RUN_LIMITS
+        };
         Self {
             core,
             service: core.services.get(&stage.service),
             request: job.id,
             stage,
-            wait: Wait::new(bounds, core.now()),
+            wait: Wait::new(limits, core.now()),
             logged: false,
         }
     }
@@ -73,7 +77,7 @@
             return Ok(done);
         }
         loop {
-            let pause = self.look()?;
+            let pause = self.check()?;
             tokio::select! {
                 biased;
                 done = &mut work => return Ok(done),
@@ -83,33 +87,34 @@
     }
 
     /// A target has taken the call: what speaks against it later counts from then on.
-    pub fn taken(&mut self) {
+    pub fn record_target_found(&mut self) {
         self.wait.observe(TargetAvailability::Open, self.core.now());
     }
 
     /// Whether the call may get a target, and after which time to look again.
-    fn look(&mut self) -> Result<Duration, GivenUp> {
+    fn check(&mut self) -> Result<Duration, GivenUp> {
         let now = self.core.now();
-        let outlook = self.outlook();
-        let verdict = self.wait.observe(outlook, now);
-        self.log(outlook, verdict);
-        match verdict {
-            WaitDecision::Wait { until } => Ok(until.saturating_sub(now).min(LOOK)),
+        let target_availability = self.target_availability();
+        let decision = self.wait.observe(target_availability, now);
+        self.log(target_availability, decision);
+        match decision {
+            WaitDecision::Wait { until } => Ok(until.saturating_sub(now).min(MAX_CHECK_INTERVAL)),
             WaitDecision::GiveUp { .. } => Err(GivenUp),
         }
     }
 
     /// Whether the call can get a target as things stand.
-    pub fn outlook(&self) -> TargetAvailability {
+    pub fn target_availability(&self) -> TargetAvailability {
         let set = self.core.config.current();
-        outlook(&self.service, self.stage.model.as_deref(), &set)
+        target_availability(&self.service, self.stage.model.as_deref(), &set)
     }
 
-    fn log(&mut self, outlook: TargetAvailability, verdict: WaitDecision) {
+    fn log(&mut self, target_availability: TargetAvailability, decision: WaitDecision) {
         let now = self.core.now();
-        let usual = outlook == TargetAvailability::Open && self.wait.elapsed(now) < USUAL;
-        let (message, until) = match verdict {
-            WaitDecision::Wait { .. } if self.logged || usual => return,
+        let is_short = target_availability == TargetAvailability::Open
+            && self.wait.elapsed(now) < UNLOGGED_WAIT;
+        let (message, until) = match decision {
+            WaitDecision::Wait { .. } if self.logged || is_short => return,
             WaitDecision::Wait { until } => ("call waits", until),
             WaitDecision::GiveUp { .. } => ("call given up", now),
         };
@@ -117,7 +122,7 @@
         let queue = self.service.queue();
         info!(self.core.log, "{}", message; "request" => format_id(self.request),
             "stage" => &self.stage.name, "service" => &self.stage.service, "model" => &self.stage.model,
-            "outlook" => outlook.name(), "revision" => self.core.config.revision(),
+            "outlook" => target_availability.name(), "revision" => self.core.config.revision(),
             "waiting" => queue.waiting, "in_flight" => queue.in_flight, "limit" => queue.limit,
             "waited_ms" => millis(self.wait.elapsed(now)),
             "bound_ms" => millis(self.wait.elapsed(until)));
@@ -130,17 +135,21 @@
 
 /// Whether a call at a service, for a model if it names one, can get a target.
 #[must_use]
-pub fn outlook(service: &Service, model: Option<&str>, set: &Set) -> TargetAvailability {
+pub fn target_availability(
+    service: &Service,
+    model: Option<&str>,
+    set: &Set,
+) -> TargetAvailability {
     if !service.is_served(set) {
         return TargetAvailability::Closed;
     }
     let Some(model) = model else {
         return TargetAvailability::Open;
     };
-    match service.availability(model, set) {
-        Availability::Warm => TargetAvailability::Open,
-        Availability::Loading => TargetAvailability::Loading,
-        Availability::Pending => TargetAvailability::Unknown,
-        Availability::Absent => TargetAvailability::Closed,
+    match service.model_availability(model, set) {
+        ModelAvailability::Warm => TargetAvailability::Open,
+        ModelAvailability::Loading => TargetAvailability::Loading,
+        ModelAvailability::Pending => TargetAvailability::Unknown,
+        ModelAvailability::Absent => TargetAvailability::Closed,
     }
 }
--- a/crates/entry/src/writes.rs
+++ b/crates/entry/src/writes.rs
@@ -10,13 +10,13 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Writes in one transaction at most.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Writes that wait before their senders wait to queue more.
-const QUEUE: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// A row's place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct RowKey {
     /// Table the row is in.
     pub table: &'static str,
     /// Key within the table.
@@ -25,7 +25,7 @@
 
 /// What became of a write.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
+pub enum WriteOutcome {
     /// It took effect as this transaction.
     Written(RowRevision),
     /// It did nothing, since the row is as given.
@@ -38,10 +38,10 @@
 
 #[derive(Debug)]
 struct Write {
-    place: Place,
+    row_key: RowKey,
     check: Option<RowRevision>,
     value: Option<serde_json::Value>,
-    done: oneshot::Sender<Fate>,
+    done: oneshot::Sender<WriteOutcome>,
 }
 
 /// The queue of an entry's single-row writes.
@@ -53,7 +53,7 @@
 impl Writes {
     /// Starts the writer.
     pub fn start(table: impl Table) -> Self {
-        let (queue, writes) = mpsc::channel(QUEUE);
+        let (queue, writes) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(commit(table, writes));
         Self { queue }
     }
@@ -61,35 +61,35 @@
     /// Writes a row, or deletes it without a value, if its revision is still as expected.
     pub async fn write(
         &self,
-        place: Place,
+        row_key: RowKey,
         check: Option<RowRevision>,
         value: Option<&impl Serialize>,
-    ) -> Fate {
-        let (done, fate) = oneshot::channel();
+    ) -> WriteOutcome {
+        let (done, outcome) = oneshot::channel();
         let write = Write {
-            place,
+            row_key,
             check,
             value: value.and_then(|value| serde_json::to_value(value).ok()),
             done,
         };
         if self.queue.send(write).await.is_err() {
-            return Fate::Unavailable;
+            return WriteOutcome::Unavailable;
         }
         // The writer goes only with the runtime.
-        fate.await.unwrap_or(Fate::Unsure)
+        outcome.await.unwrap_or(WriteOutcome::Unsure)
     }
 }
 
 async fn commit(table: impl Table, mut queue: mpsc::Receiver<Write>) {
     let mut waiting = VecDeque::new();
-    while fill(&mut queue, &mut waiting).await {
-        let batch = take(&mut waiting);
+    while receive(&mut queue, &mut waiting).await {
+        let batch = next_batch(&mut waiting);
         write_all(&table, batch).await;
     }
 }
 
 /// Waits for a first write, if none waits yet, and takes all that are queued behind it.
-async fn fill(queue: &mut mpsc::Receiver<Write>, waiting: &mut VecDeque<Write>) -> bool {
+async fn receive(queue: &mut mpsc::Receiver<Write>, waiting: &mut VecDeque<Write>) -> bool {
     if waiting.is_empty() {
         match queue.recv().await {
             Some(write) => waiting.push_back(write),
@@ -104,18 +104,18 @@
 
 /// Takes the next batch, with each row at most once: two claims on one key in one transaction
 /// would both find the row absent, and both would run the call.
-fn take(waiting: &mut VecDeque<Write>) -> Vec<Write> {
+fn next_batch(waiting: &mut VecDeque<Write>) -> Vec<Write> {
     let mut batch: Vec<Write> = Vec::new();
-    let mut left = VecDeque::new();
+    let mut remaining = VecDeque::new();
     while let Some(write) = waiting.pop_front() {
-        let taken = batch.iter().any(|other| other.place == write.place);
-        if taken || batch.len() == BATCH {
-            left.push_back(write);
+        let taken = batch.iter().any(|other| other.row_key == write.row_key);
+        if taken || batch.len() == MAX_BATCH {
+            remaining.push_back(write);
         } else {
             batch.push(write);
         }
     }
-    *waiting = left;
+    *waiting = remaining;
     batch
 }
 
@@ -123,56 +123,58 @@
 async fn write_all(table: &impl Table, mut batch: Vec<Write>) {
     while !batch.is_empty() {
         match table.transact(&transaction(&batch)).await {
-            Ok(revision) => return tell(batch, &Fate::Written(revision)),
+            Ok(revision) => return reply(batch, &WriteOutcome::Written(revision)),
             Err(Error::Conflict { rows }) => batch = drop_conflicts(table, batch, rows).await,
-            Err(Error::Unavailable { .. }) => return tell(batch, &Fate::Unavailable),
-            Err(Error::Unsure { .. } | Error::Garbled { .. }) => return tell(batch, &Fate::Unsure),
+            Err(Error::Unavailable { .. }) => return reply(batch, &WriteOutcome::Unavailable),
+            Err(Error::Unsure { .. } | Error::Garbled { .. }) => {
+                return reply(batch, &WriteOutcome::Unsure);
+            }
         }
     }
 }
 
-fn tell(batch: Vec<Write>, fate: &Fate) {
+fn reply(batch: Vec<Write>, outcome: &WriteOutcome) {
     for write in batch {
         // A sender that no longer listens has gone with its runtime.
-        let _ = write.done.send(fate.clone());
+        let _ = write.done.send(outcome.clone());
     }
 }
 
 async fn drop_conflicts(table: &impl Table, batch: Vec<Write>, rows: Vec<Row>) -> Vec<Write> {
     let known = batch.len();
-    let mut left = Vec::new();
+    let mut remaining = Vec::new();
     for write in batch {
         let changed = rows
             .iter()
-            .find(|row| row.table == write.place.table && row.key == write.place.key);
+            .find(|row| row.table == write.row_key.table && row.key == write.row_key.key);
         match changed {
-            Some(row) => tell(vec![write], &Fate::Conflict(Some(row.clone()))),
-            None => left.push(write),
+            Some(row) => reply(vec![write], &WriteOutcome::Conflict(Some(row.clone()))),
+            None => remaining.push(write),
         }
     }
-    if left.len() < known {
-        return left;
+    if remaining.len() < known {
+        return remaining;
     }
     // A check failed on a row that is gone: the service names no row, so each is read.
-    for write in left {
-        let fate = match table.read(write.place.table, &write.place.key).await {
-            Ok(row) => Fate::Conflict(row),
-            Err(_) => Fate::Unavailable,
+    for write in remaining {
+        let outcome = match table.read(write.row_key.table, &write.row_key.key).await {
+            Ok(row) => WriteOutcome::Conflict(row),
+            Err(_) => WriteOutcome::Unavailable,
         };
-        tell(vec![write], &fate);
+        reply(vec![write], &outcome);
     }
     Vec::new()
 }
 
 fn transaction(batch: &[Write]) -> Transaction {
     let check = |write: &Write| Check {
-        table: write.place.table.to_owned(),
-        key: write.place.key.clone(),
+        table: write.row_key.table.to_owned(),
+        key: write.row_key.key.clone(),
         revision: write.check,
     };
     let put = |write: &Write| Put {
-        table: write.place.table.to_owned(),
-        key: write.place.key.clone(),
+        table: write.row_key.table.to_owned(),
+        key: write.row_key.key.clone(),
         value: write.value.clone(),
     };
     Transaction {
--- a/crates/entry/tests/journal_row.rs
+++ b/crates/entry/tests/journal_row.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
-use entry::journal::row::Entry;
+use entry::journal::row::JournalEntry;
 use record::{Document, Set};
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
     Arc::new(Set::new(1, [document]))
 }
 
-fn row() -> Entry {
-    Entry {
+fn row() -> JournalEntry {
+    JournalEntry {
         owner: "entry-1/1".to_owned(),
         beat: 3,
         takeovers: 0,
@@ -45,7 +45,7 @@
 fn attempts_apart() {
     let once = row().taken_over("entry-2/1");
     let twice = once.clone().taken_over("entry-3/1");
-    let first = |row: Entry| row.job(7, &set()).unwrap().first_attempt;
+    let first = |row: JournalEntry| row.job(7, &set()).unwrap().first_attempt;
     assert_eq!(first(row()), 0);
     assert!(first(once.clone()) > 500);
     assert!(first(twice) > first(once) + 500);
--- a/crates/entry/tests/placement_order.rs
+++ b/crates/entry/tests/placement_order.rs
@@ -20,7 +20,7 @@
 struct Nobody;
 
 impl Observer for Nobody {
-    fn changed(&self, _: &Arc<Target>, _: Change) {}
+    fn target_changed(&self, _: &Arc<Target>, _: Change) {}
 }
 
 fn settings(any: SocketAddr) -> setting::Entry {
@@ -91,7 +91,7 @@
     let vm = vm(listener.address().unwrap());
     let target = Target::start(vm, Key::new(KEY), log, Arc::new(Nobody));
     let (sender, mut receiver) = listener.accept().await.unwrap();
-    assert!(target.linked().await);
+    assert!(target.wait_until_linked().await);
     let holder = core.clone();
     let renewing = tokio::spawn(async move {
         loop {
@@ -106,7 +106,7 @@
         verb: Verb::Load,
         model: "new".into(),
     };
-    order::give(&core, target.clone(), load.clone());
+    order::submit(&core, target.clone(), load.clone());
     let body = load.body(1).into();
     assert_eq!(next(&mut receiver).await, Frame::Order { fence: 1, body });
     let (status, body) = (200, bytes::Bytes::new());
@@ -120,11 +120,11 @@
     while core.lease.may_act().is_some() {
         tokio::time::sleep(LOOK).await;
     }
-    order::give(&core, target.clone(), load.clone());
+    order::submit(&core, target.clone(), load.clone());
     // What an order leaves behind, sent or not, is a question; no other frame comes before it.
     assert!(matches!(
         next(&mut receiver).await,
         Frame::Query { fence: None, .. }
     ));
-    assert!(target.engine.open(load).is_some());
+    assert!(target.engine.open_order(load).is_some());
 }
--- a/crates/entry/tests/placement_plan.rs
+++ b/crates/entry/tests/placement_plan.rs
@@ -2,9 +2,9 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::place::Model;
-use entry::engine::{Order, Verb, View};
+use entry::engine::{EngineView, Order, Verb};
 use entry::placement::fleet::{Engine, Fleet};
-use entry::placement::plan::{Planner, Step};
+use entry::placement::plan::{PlannedOrder, Planner};
 use entry::target::{Change, Observer, Target};
 use setting::Placement;
 use slog::{Discard, Logger, o};
@@ -20,7 +20,7 @@
 struct Nobody;
 
 impl Observer for Nobody {
-    fn changed(&self, _: &Arc<Target>, _: Change) {}
+    fn target_changed(&self, _: &Arc<Target>, _: Change) {}
 }
 
 fn target(id: &str) -> Arc<Target> {
@@ -50,9 +50,9 @@
     let engine = |(number, warm): (usize, &&[&str])| {
         let id = format!("e{number}");
         let warm = warm.iter().map(|model| (*model).to_owned()).collect();
-        let view = View {
+        let view = EngineView {
             warm,
-            ..View::default()
+            ..EngineView::default()
         };
         Engine {
             id: id.as_str().into(),
@@ -80,14 +80,15 @@
         every_ms: 5_000,
         lease_ms: 10_000,
     });
-    planner.begin(Some(fence));
+    planner.set_fence(Some(fence));
     planner
 }
 
-fn text(steps: &[Step]) -> Vec<String> {
-    let text =
-        |(target, Order { verb, model }): &Step| format!("{verb:?} {model} {}", target.vm.id);
-    steps.iter().map(text).collect()
+fn text(orders: &[PlannedOrder]) -> Vec<String> {
+    let text = |(target, Order { verb, model }): &PlannedOrder| {
+        format!("{verb:?} {model} {}", target.vm.id)
+    };
+    orders.iter().map(text).collect()
 }
 
 /// An engine has loaded the new version and still holds the old one, and the holder that ordered it
@@ -108,9 +109,9 @@
 async fn last_kept() {
     let models = [model("old", 1), model("new", 1)];
     let both = fleet(&[&["new", "old"], &["new", "old"]]);
-    let steps = planner(2).plan("assistant", &models, &both);
-    assert_eq!(steps.len(), 2);
-    assert_ne!(steps[0].1.model, steps[1].1.model);
+    let orders = planner(2).plan("assistant", &models, &both);
+    assert_eq!(orders.len(), 2);
+    assert_ne!(orders[0].1.model, orders[1].1.model);
     let single = fleet(&[&["new", "old"]]);
     assert!(planner(2).plan("assistant", &models, &single).is_empty());
 }
@@ -123,12 +124,12 @@
     let fleet = fleet(&[&["old"], &["old"]]);
     let mut planner = planner(1);
     assert!(planner.plan("assistant", &models, &fleet).is_empty());
-    let mut steps = Vec::new();
+    let mut orders = Vec::new();
     for _ in 0..LONG {
         sleep(Duration::from_secs(1)).await;
-        steps.extend(planner.plan("assistant", &models, &fleet));
+        orders.extend(planner.plan("assistant", &models, &fleet));
     }
-    assert_eq!(text(&steps[..1]), ["Load new e0"]);
+    assert_eq!(text(&orders[..1]), ["Load new e0"]);
 }
 
 /// Two services want models at the same moment. Together they may start no more loads than the
@@ -141,7 +142,7 @@
     let mut names = ["one".to_owned(), "other".to_owned()];
     let mut served = Vec::new();
     for _ in 0..4 {
-        planner.take_turns(&mut names);
+        planner.rotate(&mut names);
         let loads = names
             .iter()
             .filter(|name| !planner.plan(name, &models, &fleet).is_empty());
@@ -192,8 +193,8 @@
         model: "new".to_owned(),
     };
     let engine = &fleet.engines[0].target.engine;
-    let first = engine.open(order.clone());
-    assert!(first.is_some() && engine.open(order).is_none());
+    let first = engine.open_order(order.clone());
+    assert!(first.is_some() && engine.open_order(order).is_none());
 }
 
 /// An answer was asked for before an order was over. It may show the engine as it was before, and
@@ -209,20 +210,20 @@
             wanted: Vec::new(),
         })
     };
-    let number = engine.ask(Some(1)).unwrap();
-    engine.answered(number, models("old"));
+    let number = engine.next_query(Some(1)).unwrap();
+    engine.record_models(number, models("old"));
     assert!(engine.view(1).is_some() && engine.view(2).is_none());
     let order = Order {
         verb: Verb::Unload,
         model: "old".to_owned(),
     };
-    let open = engine.open(order).unwrap();
+    let open = engine.open_order(order).unwrap();
     assert!(engine.view(1).unwrap().warm.is_empty());
-    let number = engine.ask(Some(1)).unwrap();
+    let number = engine.next_query(Some(1)).unwrap();
     advance(SPAN).await;
-    engine.close(Some(200));
+    engine.close_order(Some(200));
     assert_eq!(open.await.unwrap(), 200);
-    engine.answered(number, models("old"));
+    engine.record_models(number, models("old"));
     assert_eq!(engine.view(1), None);
 }
 
@@ -232,7 +233,7 @@
 async fn no_first_word() {
     let target = target("e0");
     assert!(!target.engine.is_pending());
-    target.engine.linked();
+    target.engine.record_link_up();
     assert!(target.engine.is_pending());
     advance(SPAN * 2).await;
     assert!(!target.engine.is_pending());
