--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -65,7 +65,7 @@
     admitted: bool,
     chunks: Vec<Bytes>,
     bytes: usize,
-    end: Option<RequestOutcome>,
+    outcome: Option<RequestOutcome>,
 }
 
 /// The answer to one request, which grows until the request has ended.
@@ -116,9 +116,9 @@
     }
 
     /// Sets the outcome; only the first one counts.
-    pub fn finish(&self, end: RequestOutcome) {
+    pub fn finish(&self, outcome: RequestOutcome) {
         self.change(|state| {
-            state.end.get_or_insert(end);
+            state.outcome.get_or_insert(outcome);
         });
     }
 
@@ -148,8 +148,8 @@
     }
 
     /// Returns the outcome of the request, if it has ended.
-    pub fn end(&self) -> Option<RequestOutcome> {
-        self.lock().end.clone()
+    pub fn outcome(&self) -> Option<RequestOutcome> {
+        self.lock().outcome.clone()
     }
 
     /// Subscribes to the progress of the answer.
@@ -170,8 +170,8 @@
     pub async fn ended(&self) -> RequestOutcome {
         let mut progress = self.follow();
         loop {
-            if let Some(end) = self.end() {
-                return end;
+            if let Some(outcome) = self.outcome() {
+                return outcome;
             }
             // The channel cannot close, since `self` holds the sender.
             let _ = progress.changed().await;
@@ -185,7 +185,7 @@
             Progress {
                 admitted: state.admitted,
                 chunks: state.chunks.len(),
-                ended: state.end.is_some(),
+                ended: state.outcome.is_some(),
             }
         };
         self.progress.send_replace(progress);
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -143,7 +143,7 @@
     match accept(&core, request).await {
         Ok(job) => {
             job.answer.admitted().await;
-            if let Some(RequestOutcome::Elsewhere { request }) = job.answer.end() {
+            if let Some(RequestOutcome::Elsewhere { request }) = job.answer.outcome() {
                 return find_answer(&core, request, &follow).await;
             }
             respond(&job.answer, &follow).await
@@ -274,7 +274,7 @@
 /// Responds with an answer, either as a stream from the first missing chunk or complete.
 async fn respond(answer: &Arc<Answer>, follow: &Follow) -> Response {
     let refused = matches!(
-        answer.end(),
+        answer.outcome(),
         Some(
             RequestOutcome::NotRun { .. }
                 | RequestOutcome::Mismatch
@@ -284,15 +284,15 @@
     if follow.stream && !refused {
         return stream::response(answer.clone(), follow.from);
     }
-    let end = match follow.wait {
+    let outcome = match follow.wait {
         None => answer.ended().await,
         Some(wait) => match tokio::time::timeout(wait, answer.ended()).await {
-            Ok(end) => end,
+            Ok(outcome) => outcome,
             Err(_) => return accepted(answer.request()),
         },
     };
     let chunks = answer.chunks();
-    render(answer.request(), &end, answer.is_streamed(), &chunks)
+    render(answer.request(), &outcome, answer.is_streamed(), &chunks)
 }
 
 fn respond_stored(id: RequestId, stored_answer: &StoredAnswer) -> Response {
@@ -302,15 +302,15 @@
         .cloned()
         .map(Bytes::from)
         .collect();
-    render(id, &stored_answer.end(), stored_answer.stream, &chunks)
+    render(id, &stored_answer.outcome(), stored_answer.stream, &chunks)
 }
 
-fn render(id: RequestId, end: &RequestOutcome, streamed: bool, chunks: &[Bytes]) -> Response {
-    let mut response = match Problem::from_end(id, end) {
+fn render(id: RequestId, outcome: &RequestOutcome, streamed: bool, chunks: &[Bytes]) -> Response {
+    let mut response = match Problem::from_outcome(id, outcome) {
         Some(problem) => problem.response(),
         None => complete(
             id,
-            matches!(end, RequestOutcome::Complete { late: true }),
+            matches!(outcome, RequestOutcome::Complete { late: true }),
             streamed,
             chunks,
         ),
--- a/crates/entry/src/caller/stream.rs
+++ b/crates/entry/src/caller/stream.rs
@@ -54,11 +54,11 @@
         while !self.ended {
             self.progress.borrow_and_update();
             // The outcome is read before the chunks, since no chunk can be added after it is set.
-            let end = self.answer.end();
+            let outcome = self.answer.outcome();
             let mut text = self.pending_events();
-            if let Some(end) = end {
+            if let Some(outcome) = outcome {
                 self.ended = true;
-                text.push_str(&self.final_event(&end));
+                text.push_str(&self.final_event(&outcome));
             }
             if !text.is_empty() {
                 return Some(Bytes::from(text));
@@ -86,14 +86,14 @@
         text
     }
 
-    fn final_event(&self, end: &RequestOutcome) -> String {
-        match Problem::from_end(self.answer.request(), end) {
+    fn final_event(&self, outcome: &RequestOutcome) -> String {
+        match Problem::from_outcome(self.answer.request(), outcome) {
             Some(problem) => {
                 let problem = serde_json::to_string(&problem).unwrap_or_default();
                 format!("event: problem\ndata: {problem}\n\n")
             }
             None => {
-                let late = matches!(end, RequestOutcome::Complete { late: true });
+                let late = matches!(outcome, RequestOutcome::Complete { late: true });
                 let id = format_id(self.answer.request());
                 let chunks = self.answer.len();
                 format!(
--- a/crates/entry/src/discovery.rs
+++ b/crates/entry/src/discovery.rs
@@ -19,7 +19,7 @@
         let result = core.platform.list().await;
         if result.is_ok() != reachable {
             reachable = result.is_ok();
-            warn!(core.log, "list of VMs"; "reachable" => reachable);
+            warn!(core.log, "VM list reachability changed"; "reachable" => reachable);
         }
         if let Ok(listed) = result {
             update(&core, listed);
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -43,35 +43,35 @@
 async fn run_durable<P: Platform>(core: &Arc<Core<P>>, job: &Job) {
     let permit = match admit(core, job).await {
         Ok(permit) => permit,
-        Err(end) => return finish(core, job, end),
+        Err(outcome) => return finish(core, job, outcome),
     };
     match core.journal.insert(job, &core.incarnation).await {
         InsertOutcome::Written => {}
         InsertOutcome::Refused => {
-            let end = RequestOutcome::NotRun {
+            let outcome = RequestOutcome::NotRun {
                 detail: "the table service is away".to_owned(),
                 retry_after: STORE_RETRY_AFTER,
             };
-            return finish(core, job, end);
+            return finish(core, job, outcome);
         }
         InsertOutcome::Unknown => {
             let detail = "the journal does not say whether it has the request".to_owned();
             return finish(core, job, RequestOutcome::Unknown { detail });
         }
     }
-    end_journalled(core, job, Some(permit)).await;
+    finish_journalled(core, job, Some(permit)).await;
 }
 
 /// Runs a job that is already in the journal because the entry that ran it stopped or crashed.
 pub async fn run_journalled<P: Platform>(core: &Arc<Core<P>>, job: &Job) {
-    end_journalled(core, job, None).await;
+    finish_journalled(core, job, None).await;
 }
 
 /// Runs a journalled job, stores its answer where every entry can read it, and removes it from the
 /// journal.
-async fn end_journalled<P: Platform>(core: &Arc<Core<P>>, job: &Job, permit: Option<Permit>) {
-    let end = end(job, run_from(core, job, permit).await);
-    if let RequestOutcome::NotRun { .. } = end {
+async fn finish_journalled<P: Platform>(core: &Arc<Core<P>>, job: &Job, permit: Option<Permit>) {
+    let outcome = job_outcome(job, run_from(core, job, permit).await);
+    if let RequestOutcome::NotRun { .. } = outcome {
         // *Not run* is true only once no other entry can find the request in the journal.
         let removed = core.journal.remove(job.id).await;
         let detail = "it may be run by another entry".to_owned();
@@ -79,15 +79,15 @@
             core,
             job,
             if removed {
-                end
+                outcome
             } else {
                 RequestOutcome::Unknown { detail }
             },
         );
     }
-    finish(core, job, end.clone());
+    finish(core, job, outcome.clone());
     if core.journal.is_running(job.id) {
-        stored_answer::store(core, job, &end).await;
+        stored_answer::store(core, job, &outcome).await;
         core.journal.remove(job.id).await;
     }
 }
@@ -99,8 +99,8 @@
     let settled = core.claims.claim(&job.workspace, key, job.id, digest).await;
     let refusal = match settled.verdict {
         Verdict::Granted => {
-            let end = run_stages(core, job).await;
-            return close_claim(core, job, settled, &end).await;
+            let outcome = run_stages(core, job).await;
+            return close_claim(core, job, settled, &outcome).await;
         }
         Verdict::Running(request) | Verdict::Answered(request) => {
             RequestOutcome::Elsewhere { request }
@@ -123,12 +123,12 @@
     core: &Arc<Core<P>>,
     job: &Job,
     settled: claims::SettledClaim,
-    end: &RequestOutcome,
+    outcome: &RequestOutcome,
 ) {
-    let event = match end {
+    let event = match outcome {
         RequestOutcome::NotRun { .. } => claim::Event::NotRun,
         RequestOutcome::Complete { .. } | RequestOutcome::Failed { .. } => {
-            stored_answer::store(core, job, end).await;
+            stored_answer::store(core, job, outcome).await;
             claim::Event::Answered
         }
         _ => return,
@@ -139,26 +139,26 @@
 async fn run_stages<P: Platform>(core: &Arc<Core<P>>, job: &Job) -> RequestOutcome {
     let result = match admit(core, job).await {
         Ok(permit) => run_from(core, job, Some(permit)).await,
-        Err(end) => Err(end),
+        Err(outcome) => Err(outcome),
     };
-    let end = end(job, result);
-    finish(core, job, end.clone());
-    end
+    let outcome = job_outcome(job, result);
+    finish(core, job, outcome.clone());
+    outcome
 }
 
 /// Returns the outcome of a job for its caller.
-fn end(job: &Job, result: Result<(), RequestOutcome>) -> RequestOutcome {
+fn job_outcome(job: &Job, result: Result<(), RequestOutcome>) -> RequestOutcome {
     match result {
         Ok(()) => RequestOutcome::Complete {
             late: Instant::now() > job.deadline,
         },
-        Err(end) => end,
+        Err(outcome) => outcome,
     }
 }
 
-fn finish<P: Platform>(core: &Core<P>, job: &Job, end: RequestOutcome) {
-    core.telemetry.ended(job, &end);
-    job.answer.finish(end);
+fn finish<P: Platform>(core: &Core<P>, job: &Job, outcome: RequestOutcome) {
+    core.telemetry.ended(job, &outcome);
+    job.answer.finish(outcome);
 }
 
 /// Runs all stages of an admitted job; `permit` is for the first one.
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -52,7 +52,7 @@
     /// Publishes that a revision was accepted.
     pub fn announce(&self, revision: Revision, log: &Logger) {
         if let Err(error) = self.publisher.publish(News::Head { revision }) {
-            warn!(log, "news not sent"; "error" => %error);
+            warn!(log, "notification not sent"; "error" => %error);
         }
     }
 
--- a/crates/entry/src/placement/order.rs
+++ b/crates/entry/src/placement/order.rs
@@ -55,7 +55,7 @@
     tokio::spawn(async move {
         let outcome = execute(&core, &target, &order, answer).await;
         core.telemetry.placement.ordered(order.verb, outcome);
-        info!(core.log, "order over"; "vm" => &target.vm.id, "model" => &order.model,
+        info!(core.log, "order finished"; "vm" => &target.vm.id, "model" => &order.model,
             "outcome" => outcome.name());
         target.query(core.lease.may_act(), []);
     });
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -73,8 +73,8 @@
 
     /// Returns the problem for the outcome of a request, or `None` for a complete answer.
     #[must_use]
-    pub fn from_end(request: RequestId, end: &RequestOutcome) -> Option<Self> {
-        let problem = match end {
+    pub fn from_outcome(request: RequestId, outcome: &RequestOutcome) -> Option<Self> {
+        let problem = match outcome {
             RequestOutcome::Complete { .. } => return None,
             RequestOutcome::NotRun {
                 detail,
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -141,7 +141,7 @@
                     self.back_off().await?;
                     continue;
                 }
-                Err(end) => return Err(end),
+                Err(outcome) => return Err(outcome),
             }
             if let Some(output) = self.process_messages().await {
                 return Ok(output);
@@ -155,14 +155,14 @@
         let permit = self.service.acquire(&self.demand);
         match self.waiter.until(permit).await {
             Ok(permit) => Ok(permit),
-            Err(GivenUp) => Err(self.end()),
+            Err(GivenUp) => Err(self.outcome()),
         }
     }
 
-    /// Sends an attempt to a target. Returns `false` if no target accepts it.
+    /// Sends an attempt to a target. Returns `false` if no target is available.
     async fn start(&mut self, permit: Option<Permit>) -> Result<bool, RequestOutcome> {
         if !self.machine.may_start() {
-            return Err(self.end());
+            return Err(self.outcome());
         }
         let set = self.core.config.current();
         let chosen = {
@@ -182,7 +182,7 @@
             return Ok(false);
         };
         let Some((_, resume)) = self.machine.start() else {
-            return Err(self.end());
+            return Err(self.outcome());
         };
         let offer = Frame::Offer {
             call,
@@ -330,8 +330,8 @@
                 self.cancel_others(index);
                 Ok(())
             }
-            Action::Ended(end) => {
-                self.end_attempt(index, end, frame);
+            Action::Ended(outcome) => {
+                self.end_attempt(index, outcome, frame);
                 Ok(())
             }
             Action::Commit => return self.commit(index, frame),
--- a/crates/entry/src/stage/attempts.rs
+++ b/crates/entry/src/stage/attempts.rs
@@ -90,7 +90,7 @@
                 "unknown"
             }
         };
-        info!(self.core.log, "attempt without answer"; "request" => format_id(self.job.id),
+        info!(self.core.log, "attempt ended without an answer"; "request" => format_id(self.job.id),
             "stage" => &self.spec.name, "vm" => id, "outcome" => outcome,
             "reason" => reason(frame), "took_ms" => elapsed.as_millis() as u64);
         self.core
--- a/crates/entry/src/stage/retry.rs
+++ b/crates/entry/src/stage/retry.rs
@@ -22,10 +22,10 @@
 impl<P: Platform> StageRun<'_, P> {
     /// Decides whether the stage is retried, and waits for the backoff.
     pub(super) async fn retry(&mut self) -> Result<(), RequestOutcome> {
-        let end = self.machine.outcome().unwrap_or(call::Outcome::Unknown);
+        let outcome = self.machine.outcome().unwrap_or(call::Outcome::Unknown);
         let blameless = matches!(&self.failure, Some((status, _)) if *status < SERVER_ERROR);
         if !self.machine.may_start() || blameless {
-            return Err(self.end());
+            return Err(self.outcome());
         }
         let last = self.attempts.len().saturating_sub(1);
         let attempt = Attempt::try_from(last).unwrap_or(Attempt::MAX);
@@ -43,8 +43,8 @@
         };
         match backoff {
             Some(backoff) => tokio::time::sleep(backoff).await,
-            None if end == call::Outcome::NotRun => return self.back_off().await,
-            None => return Err(self.end()),
+            None if outcome == call::Outcome::NotRun => return self.back_off().await,
+            None => return Err(self.outcome()),
         }
         Ok(())
     }
@@ -54,13 +54,13 @@
         self.request_model();
         let refused = self.waiter.target_availability() == TargetAvailability::Open;
         if refused && self.started.elapsed() > REFUSAL_TIMEOUT {
-            return Err(self.end());
+            return Err(self.outcome());
         }
         let most = self.backoff.min(MAX_BACKOFF);
         let backoff = rand::rng().random_range(most / 2..=most);
         let rested = self.waiter.until(tokio::time::sleep(backoff)).await;
         if rested == Err(GivenUp) {
-            return Err(self.end());
+            return Err(self.outcome());
         }
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.tried.clear();
@@ -79,7 +79,7 @@
     }
 
     /// Returns the outcome of the request if the stage is not retried.
-    pub(super) fn end(&self) -> RequestOutcome {
+    pub(super) fn outcome(&self) -> RequestOutcome {
         let stage = &self.spec.name;
         match (self.machine.outcome(), &self.failure) {
             (Some(call::Outcome::Failed), Some((status, body))) => RequestOutcome::Failed {
--- a/crates/entry/src/stored_answer.rs
+++ b/crates/entry/src/stored_answer.rs
@@ -30,9 +30,9 @@
 }
 
 impl StoredAnswer {
-    fn new(job: &Job, end: &RequestOutcome) -> Option<Self> {
+    fn new(job: &Job, outcome: &RequestOutcome) -> Option<Self> {
         let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
-        let (late, failure, chunks) = match end {
+        let (late, failure, chunks) = match outcome {
             RequestOutcome::Complete { late } => (*late, None, job.answer.chunks()),
             RequestOutcome::Failed {
                 stage,
@@ -51,7 +51,7 @@
 
     /// Returns the outcome of the request.
     #[must_use]
-    pub fn end(&self) -> RequestOutcome {
+    pub fn outcome(&self) -> RequestOutcome {
         match &self.failure {
             None => RequestOutcome::Complete { late: self.late },
             Some((stage, status)) => RequestOutcome::Failed {
@@ -81,8 +81,8 @@
 }
 
 /// Stores a job's answer, retrying until it succeeds.
-pub async fn store<P: Platform>(core: &Core<P>, job: &Job, end: &RequestOutcome) {
-    let Some(stored_answer) = StoredAnswer::new(job, end) else {
+pub async fn store<P: Platform>(core: &Core<P>, job: &Job, outcome: &RequestOutcome) {
+    let Some(stored_answer) = StoredAnswer::new(job, outcome) else {
         return;
     };
     let content = Bytes::from(serde_json::to_vec(&stored_answer).unwrap_or_default());
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -96,8 +96,8 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, job: &Job, end: &RequestOutcome) {
-        let outcome = match end {
+    pub fn ended(&self, job: &Job, outcome: &RequestOutcome) {
+        let outcome = match outcome {
             RequestOutcome::Complete { late: false } => "on_time",
             RequestOutcome::Complete { late: true } => "late",
             RequestOutcome::NotRun { .. } => "not_run",
