--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,17 +1,17 @@
-//! The small process beside one runner: the last hop of every call.
+//! Sidecar process of one runner, which is the last hop of every call.
 //!
-//! It holds offered calls, starts them within the runner's limit and only under a grant where one
-//! is needed, checks that each answer is whole and the call's own, and keeps it for entries whose
-//! link was lost. See [`protocol::gate`] for the rules and `docs/PLATFORM.md` for the runner's
-//! side.
+//! The agent queues offered calls and starts them within the runner's concurrency limit; a call
+//! that needs a grant starts only once it has one. It checks that each answer is complete and
+//! belongs to the call, and keeps the answer for entries whose link was lost. See
+//! [`protocol::gate`] for the rules and `docs/PLATFORM.md` for the interface of the runner.
 
 mod answer;
 mod core;
 mod event;
 mod fence;
+mod history;
 mod job;
 mod link;
-mod memory;
 mod models;
 mod output;
 mod queue;
@@ -20,11 +20,11 @@
 mod telemetry;
 
 use crate::core::Core;
-use crate::fence::Guard;
-use crate::models::Engine;
-use crate::queue::Order;
+use crate::fence::FencedEngine;
+use crate::models::EngineState;
+use crate::queue::QueueOrder;
 use crate::runner::Runner;
-use crate::state::Bounds;
+use crate::state::Config;
 use crate::telemetry::Telemetry;
 use metric::Registry;
 use setting::Policy;
@@ -38,8 +38,8 @@
 use wire::news::{News, Publisher};
 use wire::{Key, Listener};
 
-/// Orders that wait for their turn at the engine.
-const ORDERS: usize = 64;
+/// Maximum number of orders that wait for the engine.
+const ORDER_QUEUE_CAPACITY: usize = 64;
 
 /// Why an agent could not start.
 #[derive(Debug, Snafu)]
@@ -52,7 +52,7 @@
         /// Cause.
         source: wire::Error,
     },
-    /// The address for news could not be bound.
+    /// The address for published notifications could not be bound.
     #[snafu(display("cannot publish news on {address}: {source}"))]
     News {
         /// Address from the settings.
@@ -70,24 +70,24 @@
     },
 }
 
-/// Addresses of an agent that serves.
+/// Addresses of a running agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
-    /// Where entries connect.
+    /// Address to which entries connect.
     pub listen: SocketAddr,
-    /// Where the agent publishes news, if it does.
+    /// Address at which the agent publishes notifications, if it does.
     pub news: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
 }
 
-/// Serves entries until `shutdown` completes, then finishes every running call and returns.
+/// Serves entries until `shutdown` completes, then finishes all running calls and returns.
 ///
 /// `ready` is called once the agent serves.
 ///
 /// # Errors
 ///
-/// [`Error`] if an address cannot be bound; the agent has taken no call then.
+/// Returns an [`Error`] if an address cannot be bound; the agent has accepted no call then.
 pub async fn run(
     settings: setting::Agent,
     log: Logger,
@@ -97,19 +97,19 @@
     let mut registry = Registry::default();
     let telemetry = Telemetry::new(&mut registry);
     let runner = Runner::new(settings.runner);
-    let (orders, ordered) = mpsc::channel(ORDERS);
-    let guard = Guard {
-        table: platform(&settings),
+    let (orders, order_receiver) = mpsc::channel(ORDER_QUEUE_CAPACITY);
+    let engine = FencedEngine {
+        table: store_client(&settings),
         runner: runner.clone(),
-        engine: Engine::default(),
+        state: EngineState::default(),
     };
-    let fence = guard.clone().serve(ordered);
-    let bounds = bounds(&settings);
-    let core = Core::new(runner, telemetry, incarnation(), bounds, orders, guard);
+    let order_task = engine.clone().serve(order_receiver);
+    let config = config(&settings);
+    let core = Core::new(runner, telemetry, incarnation(), config, orders, engine);
     let core = Arc::new(core);
-    core.work.spawn(fence);
+    core.work.spawn(order_task);
     let key = Key::new(settings.key.as_bytes());
-    let publisher = publisher(&settings, &key)?;
+    let publisher = bind_publisher(&settings, &key)?;
     let address = settings.listen;
     let listener = Listener::bind(address, key)
         .await
@@ -122,7 +122,7 @@
 
     let links = TaskTracker::new();
     let accepting = tokio::spawn(accept(core.clone(), listener, links.clone(), log.clone()));
-    let sweeping = tokio::spawn(core.clone().sweep());
+    let evicting = tokio::spawn(core.clone().evict_periodically());
     info!(log, "serving"; "listen" => %listen, "runner" => %settings.runner);
     ready(Ready {
         listen,
@@ -135,29 +135,29 @@
     if let Some(publisher) = &publisher {
         publish_leaving(publisher, &settings.id, core.incarnation);
     }
-    core.leave().await;
+    core.shut_down().await;
     accepting.abort();
-    sweeping.abort();
+    evicting.abort();
     links.close();
     links.wait().await;
     info!(log, "left");
     Ok(())
 }
 
-fn platform(settings: &setting::Agent) -> store::Client {
-    let places = &settings.platform;
-    store::Client::new(places.table, places.objects, places.vms)
+fn store_client(settings: &setting::Agent) -> store::Client {
+    let addresses = &settings.platform;
+    store::Client::new(addresses.table, addresses.objects, addresses.vms)
 }
 
-fn publisher(settings: &setting::Agent, key: &Key) -> Result<Option<Publisher>, Error> {
+fn bind_publisher(settings: &setting::Agent, key: &Key) -> Result<Option<Publisher>, Error> {
     settings
         .news
         .map(|address| Publisher::bind(address, key.clone()).context(NewsSnafu { address }))
         .transpose()
 }
 
-/// Entries without a link yet hear of the leave by news; a loss costs them time until the list of
-/// VMs says so.
+/// Notifies entries that have no link yet of the shutdown. If this message is lost, they learn of
+/// it later from the list of VMs.
 fn publish_leaving(publisher: &Publisher, id: &str, incarnation: protocol::Incarnation) {
     let vm = id.to_owned();
     let _ = publisher.publish(News::Leaving { vm, incarnation });
@@ -178,20 +178,20 @@
     }
 }
 
-fn bounds(settings: &setting::Agent) -> Bounds {
-    let (order, queue) = match settings.policy {
-        Policy::Shipped => (Order::Slack, settings.queue as usize),
-        Policy::Naive => (Order::Arrival, usize::MAX),
+fn config(settings: &setting::Agent) -> Config {
+    let (order, max_queued) = match settings.policy {
+        Policy::Shipped => (QueueOrder::Slack, settings.queue as usize),
+        Policy::Naive => (QueueOrder::Fifo, usize::MAX),
     };
-    Bounds {
+    Config {
         service: settings.service.clone(),
         concurrency: settings.concurrency.max(1),
-        queue,
+        max_queued,
         order,
     }
 }
 
-/// Milliseconds since 1970: grows with each restart without anything being kept.
+/// Milliseconds since 1970, which increase with each restart without stored state.
 fn incarnation() -> protocol::Incarnation {
     let age = SystemTime::now().duration_since(UNIX_EPOCH);
     age.map_or(0, |age| age.as_millis().try_into().unwrap_or(u64::MAX))
