--- a/crates/entry/src/budgets.rs
+++ b/crates/entry/src/budgets.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 type Key = (String, Version);
-type Choice = Either<FullBudget, Split>;
+type BudgetPolicy = Either<FullBudget, Split>;
 
 /// Time budgets by pipeline and version.
 #[derive(Debug)]
 pub struct Budgets {
     policy: setting::Policy,
-    by_pipeline: Mutex<HashMap<Key, Choice, RandomState>>,
+    by_pipeline: Mutex<HashMap<Key, BudgetPolicy, RandomState>>,
 }
 
 impl Budgets {
@@ -37,17 +37,17 @@
         arrived: Duration,
         deadline: Duration,
     ) -> StageSchedule {
-        self.with(pipeline, |budget| {
+        self.with_budget(pipeline, |budget| {
             budget.schedule(stage, now, arrived, deadline)
         })
     }
 
     /// Records the stage durations of a completed request.
-    pub fn finished(&self, pipeline: &Pipeline, stages: &[Duration]) {
-        self.with(pipeline, |budget| budget.finished(stages));
+    pub fn record_durations(&self, pipeline: &Pipeline, stages: &[Duration]) {
+        self.with_budget(pipeline, |budget| budget.finished(stages));
     }
 
-    fn with<T>(&self, pipeline: &Pipeline, work: impl FnOnce(&mut Choice) -> T) -> T {
+    fn with_budget<T>(&self, pipeline: &Pipeline, work: impl FnOnce(&mut BudgetPolicy) -> T) -> T {
         let mut budgets = self
             .by_pipeline
             .lock()
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -58,7 +58,7 @@
 
 /// How a caller wants to receive an answer.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct AnswerOptions {
     /// Whether the answer is sent as an event stream.
     pub stream: bool,
     /// First chunk that the caller has not received.
@@ -69,8 +69,8 @@
     pub forwarded: bool,
 }
 
-impl Follow {
-    fn read(request: &Request) -> Self {
+impl AnswerOptions {
+    fn from_request(request: &Request) -> Self {
         Self {
             stream: accepts_stream(request),
             from: request
@@ -83,10 +83,10 @@
 }
 
 impl RunOptions {
-    fn read(request: &Request) -> Result<Self, Problem> {
+    fn from_request(request: &Request) -> Result<Self, Problem> {
         let text = |name: &str| -> Option<String> { request.header(name) };
         let Some(workspace) = text("linnetdrift-workspace").filter(|name| !name.is_empty()) else {
-            return Err(bad("header Linnetdrift-Workspace is missing"));
+            return Err(bad_request("header Linnetdrift-Workspace is missing"));
         };
         let deadline = match text("linnetdrift-deadline-ms") {
             Some(value) => Some(deadline(&value)?),
@@ -102,8 +102,8 @@
     }
 }
 
-fn bad(detail: impl Into<String>) -> Problem {
-    Problem::bad(StatusCode::BAD_REQUEST, detail)
+fn bad_request(detail: impl Into<String>) -> Problem {
+    Problem::rejected(StatusCode::BAD_REQUEST, detail)
 }
 
 fn deadline(value: &str) -> Result<Duration, Problem> {
@@ -114,7 +114,7 @@
         .map(Duration::from_millis)
         .filter(|deadline| *deadline <= MAX_DEADLINE)
         .ok_or_else(|| {
-            bad(format!(
+            bad_request(format!(
                 "header Linnetdrift-Deadline-Ms: {value:?} is no number of milliseconds from 1 to {}",
                 MAX_DEADLINE.as_millis()
             ))
@@ -124,7 +124,7 @@
 fn accepts_stream(request: &Request) -> bool {
     request
         .header::<_, String>("accept")
-        .is_some_and(|accept| accept.contains(EVENT_STREAM))
+        .is_some_and(|create_job| create_job.contains(EVENT_STREAM))
 }
 
 /// Reads `Prefer: wait=SECONDS` (RFC 7240), with which a caller limits the time to wait for the
@@ -139,8 +139,8 @@
 
 /// `POST /v1/pipelines/{name}/versions/{version}/run`.
 pub async fn run<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
-    let follow = Follow::read(&request);
-    match accept(&core, request).await {
+    let follow = AnswerOptions::from_request(&request);
+    match create_job(&core, request).await {
         Ok(job) => {
             job.answer.admitted().await;
             if let Some(RequestOutcome::Elsewhere { request }) = job.answer.outcome() {
@@ -149,13 +149,16 @@
             respond(&job.answer, &follow).await
         }
         Err(problem) => {
-            core.telemetry.refused();
+            core.telemetry.record_refusal();
             problem.response()
         }
     }
 }
 
-async fn accept<P: Platform>(core: &Arc<Core<P>>, request: Request) -> Result<Arc<Job>, Problem> {
+async fn create_job<P: Platform>(
+    core: &Arc<Core<P>>,
+    request: Request,
+) -> Result<Arc<Job>, Problem> {
     if core.is_draining() {
         return Err(Problem::not_run(
             "this entry is stopping",
@@ -168,10 +171,10 @@
             Duration::from_secs(1),
         ));
     }
-    let options = RunOptions::read(&request)?;
+    let options = RunOptions::from_request(&request)?;
     let set = core.config.current();
     let pipeline = find_pipeline(&set, &request)?;
-    let input = input(request).await?;
+    let input = read_input(request).await?;
     let now = Instant::now();
     let deadline = options
         .deadline
@@ -198,33 +201,33 @@
 fn find_pipeline(set: &Arc<Set>, request: &Request) -> Result<Arc<Pipeline>, Problem> {
     let name: String = request
         .param("name")
-        .map_err(|_| bad("no pipeline named"))?;
+        .map_err(|_| bad_request("no pipeline named"))?;
     let version: String = request
         .param("version")
-        .map_err(|_| bad("no version named"))?;
+        .map_err(|_| bad_request("no version named"))?;
     let pipeline = if version == "@current" {
         set.current(&name)
     } else {
         let version = version
             .parse()
-            .map_err(|_| bad(format!("{version:?} is neither a version nor @current")))?;
+            .map_err(|_| bad_request(format!("{version:?} is neither a version nor @current")))?;
         set.pipeline(&name, version)
     };
     pipeline.cloned().ok_or_else(|| {
-        Problem::bad(
+        Problem::rejected(
             StatusCode::NOT_FOUND,
             format!("no pipeline {name} in version {version}"),
         )
     })
 }
 
-async fn input(request: Request) -> Result<Bytes, Problem> {
+async fn read_input(request: Request) -> Result<Bytes, Problem> {
     let body = Limited::new(request.into_body(), MAX_INPUT).collect().await;
     let body = body
-        .map_err(|error| bad(format!("input: {error}")))?
+        .map_err(|error| bad_request(format!("input: {error}")))?
         .to_bytes();
     serde_json::from_slice::<&RawValue>(&body)
-        .map_err(|error| bad(format!("input is no JSON: {error}")))?;
+        .map_err(|error| bad_request(format!("input is no JSON: {error}")))?;
     Ok(body)
 }
 
@@ -232,15 +235,19 @@
 pub async fn fetch<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
     let text: String = request.param("id").unwrap_or_default();
     let Ok(id) = RequestId::from_str_radix(&text, 16) else {
-        return bad(format!("{text:?} is no request")).response();
+        return bad_request(format!("{text:?} is no request")).response();
     };
-    find_answer(&core, id, &Follow::read(&request)).await
+    find_answer(&core, id, &AnswerOptions::from_request(&request)).await
 }
 
 /// Finds the answer to a request in this entry, at the entry that accepted it, or in the object
 /// store. The load balancer may have routed the caller to any entry, and the one that accepted the
 /// request may have stopped.
-async fn find_answer<P: Platform>(core: &Arc<Core<P>>, id: RequestId, follow: &Follow) -> Response {
+async fn find_answer<P: Platform>(
+    core: &Arc<Core<P>>,
+    id: RequestId,
+    follow: &AnswerOptions,
+) -> Response {
     if let Some(answer) = core.answers.get(id) {
         return respond(&answer, follow).await;
     }
@@ -256,7 +263,7 @@
     if journal::contains(&core.platform, id).await {
         // The entry that ran the request has stopped or crashed; another one runs it or will run
         // it.
-        return accepted(id);
+        return respond_accepted(id);
     }
     not_found(id)
 }
@@ -266,13 +273,13 @@
     let problem = Problem {
         request: Some(format_id(id)),
         outcome: Outcome::Unknown,
-        ..Problem::bad(StatusCode::NOT_FOUND, detail)
+        ..Problem::rejected(StatusCode::NOT_FOUND, detail)
     };
     problem.response()
 }
 
 /// Responds with an answer, either as a stream from the first missing chunk or complete.
-async fn respond(answer: &Arc<Answer>, follow: &Follow) -> Response {
+async fn respond(answer: &Arc<Answer>, follow: &AnswerOptions) -> Response {
     let refused = matches!(
         answer.outcome(),
         Some(
@@ -288,7 +295,7 @@
         None => answer.ended().await,
         Some(wait) => match tokio::time::timeout(wait, answer.ended()).await {
             Ok(outcome) => outcome,
-            Err(_) => return accepted(answer.request()),
+            Err(_) => return respond_accepted(answer.request()),
         },
     };
     let chunks = answer.chunks();
@@ -320,7 +327,7 @@
 }
 
 /// Responds with `202 Accepted` to a caller that will request the answer again.
-fn accepted(request: RequestId) -> Response {
+fn respond_accepted(request: RequestId) -> Response {
     let id = format_id(request);
     let mut response = Response::with(
         Full::from(format!("{{\"request\":\"{id}\"}}")),
@@ -336,7 +343,7 @@
 
 fn complete(id: RequestId, late: bool, streamed: bool, chunks: &[Bytes]) -> Response {
     let joined = if streamed {
-        execute::join(chunks)
+        execute::join_chunks(chunks)
     } else {
         chunks.first().cloned().unwrap_or_default()
     };
@@ -353,7 +360,7 @@
 }
 
 fn unreadable(id: RequestId) -> Response {
-    let problem = Problem::bad(
+    let problem = Problem::rejected(
         StatusCode::BAD_GATEWAY,
         "the last stage's answer is no JSON",
     );
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -30,7 +30,7 @@
     records: Records,
     head_row: Option<store::table::RowRevision>,
     head_read: Option<Instant>,
-    down: bool,
+    unreachable: bool,
 }
 
 /// Configuration in force at one entry.
@@ -40,8 +40,8 @@
     log: Logger,
     state: Mutex<State>,
     current: RwLock<Arc<Set>>,
-    reading: tokio::sync::Mutex<()>,
-    writing: tokio::sync::Mutex<()>,
+    read_lock: tokio::sync::Mutex<()>,
+    write_lock: tokio::sync::Mutex<()>,
     /// Wakes the follower before its next poll is due.
     pub wake: Notify,
 }
@@ -54,8 +54,8 @@
             log,
             state: Mutex::default(),
             current: RwLock::default(),
-            reading: tokio::sync::Mutex::default(),
-            writing: tokio::sync::Mutex::default(),
+            read_lock: tokio::sync::Mutex::default(),
+            write_lock: tokio::sync::Mutex::default(),
             wake: Notify::new(),
         }
     }
@@ -143,8 +143,8 @@
 
     async fn poll_logged(&self) {
         let result = self.poll().await;
-        let down = result.is_err();
-        let changed = std::mem::replace(&mut self.lock().down, down) != down;
+        let unreachable = result.is_err();
+        let changed = std::mem::replace(&mut self.lock().unreachable, unreachable) != unreachable;
         if changed {
             match result {
                 Ok(()) => info!(self.log, "table service reachable"),
@@ -159,7 +159,7 @@
     ///
     /// Returns any error of the table service; the configuration in force is kept.
     pub async fn poll(&self) -> Result<(), Error> {
-        let _reading = self.reading.lock().await;
+        let _read_guard = self.read_lock.lock().await;
         let head = match self.head().await {
             Ok(head) => head,
             Err(error) => {
--- a/crates/entry/src/config/accept.rs
+++ b/crates/entry/src/config/accept.rs
@@ -83,7 +83,7 @@
     ///
     /// Returns a [`Refusal`]; only for [`Refusal::Unknown`] the change may have been accepted.
     pub async fn accept(&self, operator: &str, request: &Request) -> Result<Revision, Refusal> {
-        let _writing = self.writing.lock().await;
+        let _write_guard = self.write_lock.lock().await;
         loop {
             self.poll().await.map_err(unavailable)?;
             if let Some(revision) = self.accepted(&request.token).await.map_err(unavailable)? {
--- a/crates/entry/src/discovery.rs
+++ b/crates/entry/src/discovery.rs
@@ -33,7 +33,7 @@
     let (targets, entries): (Vec<Vm>, Vec<Vm>) =
         listed.into_iter().partition(|vm| vm.role == Role::Target);
     if let Some(exchange) = core.exchange.get() {
-        exchange.listen(&entries, &core.settings.id);
+        exchange.subscribe(&entries, &core.settings.id);
     }
     core.peers.update(entries, &core.settings.id);
     let key = Key::new(core.settings.key.as_bytes());
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -157,7 +157,7 @@
 }
 
 fn finish<P: Platform>(core: &Core<P>, job: &Job, outcome: RequestOutcome) {
-    core.telemetry.ended(job, &outcome);
+    core.telemetry.record_request(job, &outcome);
     job.answer.finish(outcome);
 }
 
@@ -185,7 +185,7 @@
     if !job.answer.is_streamed() {
         job.answer.push(input);
     }
-    core.budgets.finished(&job.pipeline, &elapsed);
+    core.budgets.record_durations(&job.pipeline, &elapsed);
     Ok(())
 }
 
@@ -220,7 +220,7 @@
         let demand = core.demand(job, position, &schedule, &[]);
         let service = core.services.get(&job.pipeline.stages[position].service);
         if let Some(overload) = service.overload(&demand) {
-            return Err(refused(overload));
+            return Err(overload_outcome(overload));
         }
     }
     let schedule = core.schedule(job, 0);
@@ -228,7 +228,7 @@
     let service = core.services.get(&job.pipeline.stages[0].service);
     let mut waiter = Waiter::new(core, job, 0, job.may_have_run());
     match waiter.until(service.admit(&demand)).await {
-        Ok(offered) => offered.map_err(refused),
+        Ok(offered) => offered.map_err(overload_outcome),
         Err(GivenUp) => Err(RequestOutcome::NotRun {
             detail: format!(
                 "service {} has lost its targets",
@@ -239,7 +239,7 @@
     }
 }
 
-fn refused(overload: Overload) -> RequestOutcome {
+fn overload_outcome(overload: Overload) -> RequestOutcome {
     RequestOutcome::NotRun {
         detail: "overload".to_owned(),
         retry_after: overload.retry_after,
@@ -249,7 +249,7 @@
 /// Joins the chunks of a streamed answer into one JSON array for callers that do not request a
 /// stream.
 #[must_use]
-pub fn join(chunks: &[Bytes]) -> Bytes {
+pub fn join_chunks(chunks: &[Bytes]) -> Bytes {
     let mut joined = BytesMut::from(&b"["[..]);
     for (index, chunk) in chunks.iter().enumerate() {
         if index > 0 {
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -55,7 +55,7 @@
 pub struct Journal {
     writes: Writes,
     renew_interval: Duration,
-    held: Mutex<HashMap<RequestId, RunningRequest, RandomState>>,
+    running: Mutex<HashMap<RequestId, RunningRequest, RandomState>>,
 }
 
 fn row_key(request: RequestId) -> RowKey {
@@ -78,7 +78,7 @@
         Self {
             writes,
             renew_interval,
-            held: Mutex::default(),
+            running: Mutex::default(),
         }
     }
 
@@ -159,13 +159,13 @@
     pub async fn remove(&self, request: RequestId) -> bool {
         let give_up_at = Instant::now() + RESOLVE_TIMEOUT;
         loop {
-            let Some(held) = self.lock().get(&request).cloned() else {
+            let Some(running) = self.lock().get(&request).cloned() else {
                 return false;
             };
             let nothing = None::<&JournalEntry>;
             let outcome = self
                 .writes
-                .write(row_key(request), Some(held.revision), nothing)
+                .write(row_key(request), Some(running.revision), nothing)
                 .await;
             match outcome {
                 WriteOutcome::Written(_) | WriteOutcome::Conflict(None) => {
@@ -192,26 +192,29 @@
     pub async fn renew_all(&self) {
         loop {
             sleep(self.renew_interval).await;
-            let held: Vec<RequestId> = self.lock().keys().copied().collect();
-            let renewals = held.into_iter().map(|request| self.renew(request));
+            let running: Vec<RequestId> = self.lock().keys().copied().collect();
+            let renewals = running.into_iter().map(|request| self.renew(request));
             futures::future::join_all(renewals).await;
         }
     }
 
     async fn renew(&self, request: RequestId) {
-        let Some(mut held) = self.lock().get(&request).cloned() else {
+        let Some(mut running) = self.lock().get(&request).cloned() else {
             return;
         };
-        held.entry.beat += 1;
+        running.entry.beat += 1;
         let row_key = row_key(request);
         let outcome = self
             .writes
-            .write(row_key, Some(held.revision), Some(&held.entry))
+            .write(row_key, Some(running.revision), Some(&running.entry))
             .await;
         match outcome {
             WriteOutcome::Written(revision) => {
-                if let Some(running) = self.lock().get_mut(&request) {
-                    *running = RunningRequest { revision, ..held };
+                if let Some(current) = self.lock().get_mut(&request) {
+                    *current = RunningRequest {
+                        revision,
+                        ..running
+                    };
                 }
             }
             WriteOutcome::Conflict(Some(row)) => {
@@ -231,11 +234,11 @@
         let revision = row.revision;
         let found: Option<JournalEntry> = crate::config::rows::parse(row).ok();
         let mut all = self.lock();
-        let Some(held) = all.get_mut(&request) else {
+        let Some(running) = all.get_mut(&request) else {
             return false;
         };
-        if found.is_some_and(|found| found.owner == held.entry.owner) {
-            held.revision = revision;
+        if found.is_some_and(|found| found.owner == running.entry.owner) {
+            running.revision = revision;
             return true;
         }
         all.remove(&request);
@@ -243,6 +246,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, RunningRequest, RandomState>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+        self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -34,13 +34,13 @@
     ///
     /// Returns [`Error`] if the address cannot be bound.
     pub fn bind(address: SocketAddr, key: &Key) -> Result<(Self, mpsc::Receiver<News>), Error> {
-        let (subscriber, news) = Subscriber::new(key.clone())?;
+        let (subscriber, notifications) = Subscriber::new(key.clone())?;
         let exchange = Self {
             publisher: Publisher::bind(address, key.clone())?,
             subscriber,
             dialled: Mutex::default(),
         };
-        Ok((exchange, news))
+        Ok((exchange, notifications))
     }
 
     /// Returns the address on which this entry publishes.
@@ -57,11 +57,11 @@
     }
 
     /// Subscribes to some of the other entries, and unsubscribes from those no longer listed.
-    pub fn listen(&self, entries: &[Vm], own: &str) {
+    pub fn subscribe(&self, entries: &[Vm], own: &str) {
         let wanted = successors(entries, own);
         let mut dialled = self.dialled.lock().unwrap_or_else(PoisonError::into_inner);
-        for gone in dialled.difference(&wanted) {
-            self.subscriber.hang_up(*gone);
+        for unlisted in dialled.difference(&wanted) {
+            self.subscriber.hang_up(*unlisted);
         }
         // An address that cannot be dialled is tried again with the next list.
         dialled.retain(|address| wanted.contains(address));
@@ -84,11 +84,11 @@
 }
 
 /// Processes notifications until the entry stops.
-pub async fn follow<P: Platform>(core: Arc<Core<P>>, mut news: mpsc::Receiver<News>) {
-    while let Some(item) = news.recv().await {
+pub async fn follow<P: Platform>(core: Arc<Core<P>>, mut notifications: mpsc::Receiver<News>) {
+    while let Some(notification) = notifications.recv().await {
         // Other notifications are ignored: leaving agents and their load are reported over the
         // links, which every entry that sends work has.
-        if let News::Head { revision } = item
+        if let News::Head { revision } = notification
             && revision > core.config.latest_known_revision()
         {
             core.config.record_revision(revision);
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -105,11 +105,11 @@
 
 /// `POST /v1/apply`.
 pub async fn apply<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
-    let Some(operator) = operator(&core, &request) else {
+    let Some(operator) = authenticate(&core, &request) else {
         let detail = "no operator of this deployment has this token";
-        return Problem::bad(StatusCode::UNAUTHORIZED, detail).response();
+        return Problem::rejected(StatusCode::UNAUTHORIZED, detail).response();
     };
-    let change = match read(request).await {
+    let change = match read_change(request).await {
         Ok(change) => change,
         Err(problem) => return problem.response(),
     };
@@ -123,8 +123,8 @@
     }
 }
 
-async fn read(request: Request) -> Result<accept::Request, Problem> {
-    let bad = |detail: String| Problem::bad(StatusCode::BAD_REQUEST, detail);
+async fn read_change(request: Request) -> Result<accept::Request, Problem> {
+    let bad = |detail: String| Problem::rejected(StatusCode::BAD_REQUEST, detail);
     let body = Limited::new(request.into_body(), MAX_CHANGE)
         .collect()
         .await
@@ -224,18 +224,18 @@
 }
 
 /// Returns the name of the operator whose token a request contains.
-fn operator<P: Platform>(core: &Core<P>, request: &Request) -> Option<String> {
+fn authenticate<P: Platform>(core: &Core<P>, request: &Request) -> Option<String> {
     let given: String = request.header("authorization")?;
     let given = given.strip_prefix("Bearer ")?;
     core.settings
         .operators
         .iter()
-        .find(|operator| equal(operator.token.as_bytes(), given.as_bytes()))
+        .find(|operator| constant_time_eq(operator.token.as_bytes(), given.as_bytes()))
         .map(|operator| operator.name.clone())
 }
 
 /// Compares in constant time, so that the duration does not reveal how many bytes match.
-fn equal(one: &[u8], other: &[u8]) -> bool {
+fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differing = one.iter().zip(other).fold(0, |sum, (a, b)| sum | (a ^ b));
     one.len() == other.len() && differing == 0
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -2,7 +2,7 @@
 
 mod liveness;
 
-use crate::caller::{EVENT_STREAM, Follow, format_id};
+use crate::caller::{AnswerOptions, EVENT_STREAM, format_id};
 use crate::config::Records;
 use crate::config::rows::Stored;
 use bytes::Bytes;
@@ -135,7 +135,7 @@
         &self,
         address: SocketAddr,
         request: RequestId,
-        follow: &Follow,
+        follow: &AnswerOptions,
     ) -> Option<hyper::Response<viz::Body>> {
         let path = format!("/v1/requests/{}", format_id(request));
         let mut request = self.http.get(address, &path).header(FORWARDED, "1");
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -55,7 +55,7 @@
         let Some(record) = set.service(&name) else {
             continue;
         };
-        core.telemetry.placement.warm(record, &targets);
+        core.telemetry.placement.update_warm(record, &targets);
         let Some(fence) = held else {
             continue;
         };
--- a/crates/entry/src/placement/lease.rs
+++ b/crates/entry/src/placement/lease.rs
@@ -141,7 +141,7 @@
     let Some(held) = core.lease.take_change() else {
         return;
     };
-    core.telemetry.placement.held(held.is_some());
+    core.telemetry.placement.set_held(held.is_some());
     match held {
         Some(fence) => info!(core.log, "placement lease won"; "fence" => fence),
         None => info!(core.log, "placement lease lost"),
--- a/crates/entry/src/placement/order.rs
+++ b/crates/entry/src/placement/order.rs
@@ -54,7 +54,7 @@
     let core = core.clone();
     tokio::spawn(async move {
         let outcome = execute(&core, &target, &order, answer).await;
-        core.telemetry.placement.ordered(order.verb, outcome);
+        core.telemetry.placement.record_outcome(order.verb, outcome);
         info!(core.log, "order finished"; "vm" => &target.vm.id, "model" => &order.model,
             "outcome" => outcome.name());
         target.query(core.lease.may_act(), []);
@@ -78,7 +78,7 @@
         target.engine.close_order(None);
         return Outcome::Withheld;
     }
-    core.telemetry.placement.sent(order.verb);
+    core.telemetry.placement.record_sent(order.verb);
     info!(core.log, "order sent"; "vm" => &target.vm.id, "order" => ?order.verb,
         "model" => &order.model, "fence" => fence);
     match timeout(ANSWER_TIMEOUT, answer).await {
--- a/crates/entry/src/placement/plan.rs
+++ b/crates/entry/src/placement/plan.rs
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Sorts services into their planning order: the one with the last load goes last. Otherwise,
+    /// Rotates services into their planning order: the one with the last load goes last. Otherwise,
     /// the first one by name could use up the whole load rate of the weight store.
     pub fn rotate(&self, services: &mut [String]) {
         let last_loaded = self.last_loaded.as_ref();
-        let place = services.iter().position(|name| Some(name) == last_loaded);
-        services.rotate_left(place.map_or(0, |place| place + 1));
+        let position = services.iter().position(|name| Some(name) == last_loaded);
+        services.rotate_left(position.map_or(0, |position| position + 1));
     }
 
     /// Returns the orders to send to one service's engines now.
@@ -204,14 +204,14 @@
         }
         let served_model = self.served_model(engine, models, fleet)?;
         let mut others = view.warm.iter().filter(|name| ***name != *served_model);
-        let may_go = |name: &&String| {
+        let can_unload = |name: &&String| {
             let declared = models.iter().find(|model| *model.name == ***name);
             declared.is_none_or(|model| {
                 let rest = fleet.other_replicas(&engine.id, name);
                 rest >= model.min.max(1) as usize
             })
         };
-        others.find(may_go).cloned()
+        others.find(can_unload).cloned()
     }
 }
 
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -44,7 +44,7 @@
 
 impl Problem {
     /// Creates a problem that the caller must correct before a retry.
-    pub fn bad(status: StatusCode, detail: impl Into<String>) -> Self {
+    pub fn rejected(status: StatusCode, detail: impl Into<String>) -> Self {
         Self {
             title: status.canonical_reason().unwrap_or("Error"),
             status: status.as_u16(),
@@ -59,7 +59,7 @@
     pub fn not_run(detail: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after.as_secs_f64()),
-            ..Self::bad(StatusCode::SERVICE_UNAVAILABLE, detail)
+            ..Self::rejected(StatusCode::SERVICE_UNAVAILABLE, detail)
         }
     }
 
@@ -67,7 +67,7 @@
     pub fn unknown(detail: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
-            ..Self::bad(StatusCode::GATEWAY_TIMEOUT, detail)
+            ..Self::rejected(StatusCode::GATEWAY_TIMEOUT, detail)
         }
     }
 
@@ -85,7 +85,7 @@
                 "request {} has this idempotency key",
                 crate::caller::format_id(*request)
             )),
-            RequestOutcome::Mismatch => Self::bad(
+            RequestOutcome::Mismatch => Self::rejected(
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "this idempotency key was used for another call",
             ),
@@ -95,7 +95,7 @@
                 body,
             } => Self {
                 outcome: Outcome::Failed,
-                ..Self::bad(
+                ..Self::rejected(
                     StatusCode::BAD_GATEWAY,
                     format!(
                         "stage {stage} answered {status}: {}",
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -86,10 +86,10 @@
     ready: impl FnOnce(Ready) + Send,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), Error> {
-    let tls = settings.tls.as_ref().map(server::acceptor).transpose();
+    let tls = settings.tls.as_ref().map(server::tls_acceptor).transpose();
     let tls = tls.context(CertificateSnafu)?;
-    let trust = settings.tls.as_ref().map(server::trust).transpose();
-    let peers = Peers::new(trust.context(CertificateSnafu)?);
+    let client_config = settings.tls.as_ref().map(server::client_config).transpose();
+    let peers = Peers::new(client_config.context(CertificateSnafu)?);
     let address = settings.listen;
     let listener = TcpListener::bind(address)
         .await
@@ -105,7 +105,7 @@
     let core = Arc::new(Core::new(settings, platform, peers, telemetry, log));
     let background = CancellationToken::new();
     start_background(&core, &background);
-    let news = start_news(&core, &background)?;
+    let news = start_notifications(&core, &background)?;
     let stop = CancellationToken::new();
     let serving = tokio::spawn(server::serve(core.clone(), listener, tls, stop.clone()));
     info!(core.log, "started"; "listen" => %listen);
@@ -141,11 +141,11 @@
         return Ok(None);
     };
     let key = Key::new(core.settings.key.as_bytes());
-    let (exchange, news) = Exchange::bind(address, &key).context(NewsSnafu)?;
+    let (exchange, notifications) = Exchange::bind(address, &key).context(NewsSnafu)?;
     let address = exchange.address();
     // The cell is empty, since this is the only place that sets it.
     let _ = core.exchange.set(exchange);
-    spawn_until(stop, news::follow(core.clone(), news));
+    spawn_until(stop, news::follow(core.clone(), notifications));
     Ok(Some(address))
 }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -75,7 +75,13 @@
             Ok((stream, address)) => {
                 let tree = tree.clone();
                 let graceful = graceful.clone();
-                tokio::spawn(connection(stream, address, tls.clone(), tree, graceful));
+                tokio::spawn(serve_connection(
+                    stream,
+                    address,
+                    tls.clone(),
+                    tree,
+                    graceful,
+                ));
             }
             Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
@@ -98,7 +104,7 @@
     }
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     address: SocketAddr,
     tls: Option<TlsAcceptor>,
@@ -109,17 +115,17 @@
         return;
     }
     match tls {
-        None => http(stream, address, tree, graceful).await,
-        Some(acceptor) => {
-            let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream));
+        None => serve_http(stream, address, tree, graceful).await,
+        Some(tls_acceptor) => {
+            let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, tls_acceptor.accept(stream));
             if let Ok(Ok(stream)) = handshake.await {
-                http(stream, address, tree, graceful).await;
+                serve_http(stream, address, tree, graceful).await;
             }
         }
     }
 }
 
-async fn http(
+async fn serve_http(
     stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
     address: SocketAddr,
     tree: Arc<Tree>,
@@ -141,12 +147,13 @@
 /// # Errors
 ///
 /// Returns an [`io::Error`] that names the unusable file.
-pub fn acceptor(tls: &setting::Tls) -> io::Result<TlsAcceptor> {
-    let key = PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| invalid(&tls.key, error))?;
+pub fn tls_acceptor(tls: &setting::Tls) -> io::Result<TlsAcceptor> {
+    let key =
+        PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| invalid_data(&tls.key, error))?;
     let mut config = rustls::ServerConfig::builder()
         .with_no_client_auth()
         .with_single_cert(certificates(&tls.certificate)?, key)
-        .map_err(|error| invalid(&tls.certificate, error))?;
+        .map_err(|error| invalid_data(&tls.certificate, error))?;
     config.alpn_protocols = vec![b"h2".to_vec(), b"http/1.1".to_vec()];
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
@@ -156,13 +163,13 @@
 /// # Errors
 ///
 /// Returns an [`io::Error`] that names the unusable file.
-pub fn trust(tls: &setting::Tls) -> io::Result<rustls::ClientConfig> {
+pub fn client_config(tls: &setting::Tls) -> io::Result<rustls::ClientConfig> {
     let path = tls.ca.as_ref().unwrap_or(&tls.certificate);
     let mut roots = rustls::RootCertStore::empty();
     for certificate in certificates(path)? {
         roots
             .add(certificate)
-            .map_err(|error| invalid(path, error))?;
+            .map_err(|error| invalid_data(path, error))?;
     }
     let config = rustls::ClientConfig::builder().with_root_certificates(roots);
     Ok(config.with_no_client_auth())
@@ -171,10 +178,10 @@
 fn certificates(path: &Path) -> io::Result<Vec<CertificateDer<'static>>> {
     CertificateDer::pem_file_iter(path)
         .and_then(Iterator::collect)
-        .map_err(|error| invalid(path, error))
+        .map_err(|error| invalid_data(path, error))
 }
 
-fn invalid(path: &Path, error: impl std::fmt::Display) -> io::Error {
+fn invalid_data(path: &Path, error: impl std::fmt::Display) -> io::Error {
     let reason = format!("{}: {error}", path.display());
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -279,7 +279,7 @@
             self.tried.push(target);
         }
         if self.service.try_hedge() {
-            self.core.telemetry.hedged();
+            self.core.telemetry.record_hedge();
             // If the hedge finds no target, the first attempt simply continues.
             let _ = self.start(None).await;
         }
@@ -323,7 +323,7 @@
                 Ok(())
             }
             Action::Drop => {
-                self.core.telemetry.dropped();
+                self.core.telemetry.record_dropped_message();
                 Ok(())
             }
             Action::CancelOthers => {
--- a/crates/entry/src/stage/attempts.rs
+++ b/crates/entry/src/stage/attempts.rs
@@ -51,7 +51,7 @@
             .record_answer(&id, &self.demand, *busy, elapsed, *load);
         self.core
             .telemetry
-            .attempt(&self.spec.name, "whole", elapsed);
+            .record_attempt(&self.spec.name, "whole", elapsed);
         Some(Output { content, elapsed })
     }
 
@@ -95,7 +95,7 @@
             "reason" => reason(frame), "took_ms" => elapsed.as_millis() as u64);
         self.core
             .telemetry
-            .attempt(&self.spec.name, outcome, elapsed);
+            .record_attempt(&self.spec.name, outcome, elapsed);
     }
 
     pub(super) fn cancel_others(&mut self, winner: usize) {
--- a/crates/entry/src/target.rs
+++ b/crates/entry/src/target.rs
@@ -239,7 +239,7 @@
                 delay = INITIAL_RECONNECT_DELAY;
                 unauthorized = false;
                 info!(log, "link up"; "vm" => &target.vm.id, "address" => %address);
-                serve(&target, sender, receiver, &observer).await;
+                process_frames(&target, sender, receiver, &observer).await;
                 info!(log, "link lost"; "vm" => &target.vm.id);
             }
             Err(wire::Error::Unauthorized) => {
@@ -257,7 +257,7 @@
     }
 }
 
-async fn serve(
+async fn process_frames(
     target: &Arc<Target>,
     sender: Sender,
     mut receiver: Receiver,
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -19,12 +19,12 @@
 /// Maximum number of stages with their own label.
 const MAX_STAGES: usize = 128;
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Attempted {
+struct AttemptLabels {
     stage: String,
     outcome: &'static str,
 }
@@ -34,8 +34,8 @@
 pub struct Telemetry {
     stages: Bound,
     latency: Latency,
-    ended: Family<Ended, Counter>,
-    attempts: Family<Attempted, Histogram>,
+    ended: Family<RequestLabels, Counter>,
+    attempts: Family<AttemptLabels, Histogram>,
     refused: Counter,
     hedges: Counter,
     dropped: Counter,
@@ -91,12 +91,12 @@
     }
 
     /// Counts a request that was refused before it was accepted.
-    pub fn refused(&self) {
+    pub fn record_refusal(&self) {
         self.refused.inc();
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, job: &Job, outcome: &RequestOutcome) {
+    pub fn record_request(&self, job: &Job, outcome: &RequestOutcome) {
         let outcome = match outcome {
             RequestOutcome::Complete { late: false } => "on_time",
             RequestOutcome::Complete { late: true } => "late",
@@ -106,26 +106,26 @@
             RequestOutcome::Mismatch => "mismatch",
             RequestOutcome::Failed { .. } => "failed",
         };
-        self.ended.get_or_create(&Ended { outcome }).inc();
+        self.ended.get_or_create(&RequestLabels { outcome }).inc();
         let taken = job.accepted.elapsed();
         self.latency.observe(&job.workspace, &job.class, taken);
     }
 
     /// Records an attempt that has ended.
-    pub fn attempt(&self, stage: &str, outcome: &'static str, taken: Duration) {
+    pub fn record_attempt(&self, stage: &str, outcome: &'static str, taken: Duration) {
         let stage = self.stages.label(stage).to_owned();
         self.attempts
-            .get_or_create(&Attempted { stage, outcome })
+            .get_or_create(&AttemptLabels { stage, outcome })
             .observe(taken.as_secs_f64());
     }
 
     /// Counts a hedged call.
-    pub fn hedged(&self) {
+    pub fn record_hedge(&self) {
         self.hedges.inc();
     }
 
     /// Counts a message that was a duplicate or belonged to no current attempt.
-    pub fn dropped(&self) {
+    pub fn record_dropped_message(&self) {
         self.dropped.inc();
     }
 }
--- a/crates/entry/src/telemetry/placement.rs
+++ b/crates/entry/src/telemetry/placement.rs
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ordered {
+struct OrderLabels {
     order: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct OutcomeLabels {
     order: &'static str,
     outcome: &'static str,
 }
 
 /// Only models that are declared in a record get labels.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Loaded {
+struct ModelLabels {
     service: String,
     model: String,
 }
@@ -33,9 +33,9 @@
 #[derive(Debug, Default)]
 pub struct Placement {
     held: Gauge,
-    sent: Family<Ordered, Counter>,
-    ended: Family<Ended, Counter>,
-    warm: Family<Loaded, Gauge>,
+    sent: Family<OrderLabels, Counter>,
+    ended: Family<OutcomeLabels, Counter>,
+    warm: Family<ModelLabels, Gauge>,
 }
 
 impl Placement {
@@ -66,29 +66,31 @@
     }
 
     /// Records whether the lease is held.
-    pub fn held(&self, held: bool) {
+    pub fn set_held(&self, held: bool) {
         self.held.set(i64::from(held));
     }
 
     /// Counts an order that was sent.
-    pub fn sent(&self, verb: Verb) {
+    pub fn record_sent(&self, verb: Verb) {
         let order = name(verb);
-        self.sent.get_or_create(&Ordered { order }).inc();
+        self.sent.get_or_create(&OrderLabels { order }).inc();
     }
 
     /// Counts an order that has ended.
-    pub fn ordered(&self, verb: Verb, outcome: Outcome) {
+    pub fn record_outcome(&self, verb: Verb, outcome: Outcome) {
         let (order, outcome) = (name(verb), outcome.name());
-        self.ended.get_or_create(&Ended { order, outcome }).inc();
+        self.ended
+            .get_or_create(&OutcomeLabels { order, outcome })
+            .inc();
     }
 
     /// Records how many engines have loaded each declared model.
-    pub fn warm(&self, service: &Service, targets: &[Arc<Target>]) {
+    pub fn update_warm(&self, service: &Service, targets: &[Arc<Target>]) {
         for model in &service.models {
             let holds =
                 |target: &&Arc<Target>| target.is_open() && target.engine.holds(&model.name);
             let count = targets.iter().filter(holds).count();
-            let loaded = Loaded {
+            let loaded = ModelLabels {
                 service: service.name.clone(),
                 model: model.name.clone(),
             };
--- a/crates/entry/src/wait.rs
+++ b/crates/entry/src/wait.rs
@@ -116,8 +116,8 @@
             && self.wait.elapsed(now) < UNLOGGED_WAIT;
         let (message, until) = match decision {
             WaitDecision::Wait { .. } if self.logged || is_short => return,
-            WaitDecision::Wait { until } => ("call is waiting for a target", until),
-            WaitDecision::GiveUp { .. } => ("call gave up waiting for a target", now),
+            WaitDecision::Wait { until } => ("call is waiting", until),
+            WaitDecision::GiveUp { .. } => ("call gave up waiting", now),
         };
         self.logged = true;
         let queue = self.service.queue();
--- a/crates/entry/tests/placement_lease.rs
+++ b/crates/entry/tests/placement_lease.rs
@@ -10,7 +10,7 @@
 const STEP: Duration = Duration::from_millis(50);
 
 /// Steps the `living` leases until a condition holds, and checks that no two may act at once.
-async fn until(memory: &Memory, living: &[&Lease], all: &[&Lease], holds: impl Fn() -> bool) {
+async fn step_until(memory: &Memory, living: &[&Lease], all: &[&Lease], holds: impl Fn() -> bool) {
     while !holds() {
         for lease in living {
             lease.step(memory).await;
@@ -32,9 +32,9 @@
         Lease::new(DURATION),
     );
     let all = [&first, &second];
-    until(&memory, &[&first], &all, || first.may_act() == Some(1)).await;
-    until(&memory, &[&second], &all, || second.may_act() == Some(2)).await;
-    until(&memory, &all, &all, || first.may_act().is_none()).await;
+    step_until(&memory, &[&first], &all, || first.may_act() == Some(1)).await;
+    step_until(&memory, &[&second], &all, || second.may_act() == Some(2)).await;
+    step_until(&memory, &all, &all, || first.may_act().is_none()).await;
     first.step(&memory).await;
     assert_eq!((first.may_act(), second.may_act()), (None, Some(2)));
 }
@@ -50,15 +50,15 @@
         Lease::new(DURATION),
     );
     let all = [&first, &second];
-    until(&memory, &[&first], &all, || first.may_act().is_some()).await;
+    step_until(&memory, &[&first], &all, || first.may_act().is_some()).await;
     second.step(&memory).await;
     memory.set_outage(true);
     let down = Instant::now();
-    until(&memory, &all, &all, || first.may_act().is_none()).await;
+    step_until(&memory, &all, &all, || first.may_act().is_none()).await;
     assert!(down.elapsed() < DURATION);
     memory.set_outage(false);
     let held = || all.iter().any(|lease| lease.may_act().is_some());
-    until(&memory, &all, &all, held).await;
+    step_until(&memory, &all, &all, held).await;
 }
 
 /// A new holder's write takes effect but its answer is lost. The holder must read the row back and
@@ -72,9 +72,9 @@
         Lease::new(DURATION),
     );
     let all = [&first, &second];
-    until(&memory, &[&first], &all, || first.may_act().is_some()).await;
+    step_until(&memory, &[&first], &all, || first.may_act().is_some()).await;
     memory.lose_answers(1);
-    until(&memory, &[&second], &all, || second.may_act() == Some(2)).await;
+    step_until(&memory, &[&second], &all, || second.may_act() == Some(2)).await;
 }
 
 /// The answer to a takeover is lost, and the write arrives only after another entry has won the
@@ -88,12 +88,12 @@
     );
     let all = [&first, &second];
     memory.hold_writes(1);
-    until(&memory, &[&first, &second], &all, || {
+    step_until(&memory, &[&first, &second], &all, || {
         second.may_act() == Some(1)
     })
     .await;
     assert_eq!(memory.release(), 0);
-    until(&memory, &[&second], &all, || second.may_act() == Some(1)).await;
+    step_until(&memory, &[&second], &all, || second.may_act() == Some(1)).await;
     first.step(&memory).await;
     assert_eq!(first.may_act(), None);
 }
@@ -107,10 +107,10 @@
         Lease::new(DURATION),
     );
     let all = [&first, &second];
-    until(&memory, &[&first], &all, || first.may_act().is_some()).await;
+    step_until(&memory, &[&first], &all, || first.may_act().is_some()).await;
     first.resign();
     assert_eq!(first.may_act(), None);
     let stopped = Instant::now();
-    until(&memory, &all, &all, || second.may_act() == Some(2)).await;
+    step_until(&memory, &all, &all, || second.may_act() == Some(2)).await;
     assert!(stopped.elapsed() < DURATION / 2);
 }
--- a/crates/entry/tests/placement_order.rs
+++ b/crates/entry/tests/placement_order.rs
@@ -15,11 +15,11 @@
 use wire::{Frame, Key, Listener, Receiver};
 
 const KEY: &str = "key of the tests";
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-struct Nobody;
+struct NoObserver;
 
-impl Observer for Nobody {
+impl Observer for NoObserver {
     fn target_changed(&self, _: &Arc<Target>, _: Change) {}
 }
 
@@ -89,18 +89,18 @@
     ));
     let listener = Listener::bind(any, Key::new(KEY)).await.unwrap();
     let vm = vm(listener.address().unwrap());
-    let target = Target::start(vm, Key::new(KEY), log, Arc::new(Nobody));
+    let target = Target::start(vm, Key::new(KEY), log, Arc::new(NoObserver));
     let (sender, mut receiver) = listener.accept().await.unwrap();
     assert!(target.wait_until_linked().await);
     let holder = core.clone();
     let renewing = tokio::spawn(async move {
         loop {
             holder.lease.step(&memory).await;
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
     while core.lease.may_act().is_none() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let load = Order {
         verb: Verb::Load,
@@ -118,7 +118,7 @@
 
     renewing.abort();
     while core.lease.may_act().is_some() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     order::submit(&core, target.clone(), load.clone());
     // Every order is followed by a query, whether it was sent or not; no other frame may come
--- a/crates/entry/tests/placement_plan.rs
+++ b/crates/entry/tests/placement_plan.rs
@@ -15,11 +15,11 @@
 
 const SPAN: Duration = Duration::from_secs(5);
 /// More rounds than a surplus must last before a replica is unloaded.
-const LONG: usize = 40;
+const SURPLUS_ROUNDS: usize = 40;
 
-struct Nobody;
+struct NoObserver;
 
-impl Observer for Nobody {
+impl Observer for NoObserver {
     fn target_changed(&self, _: &Arc<Target>, _: Change) {}
 }
 
@@ -39,7 +39,7 @@
         vm,
         wire::Key::new("k"),
         Logger::root(Discard, o!()),
-        Arc::new(Nobody),
+        Arc::new(NoObserver),
     );
     target.stop();
     target
@@ -126,7 +126,7 @@
     let mut planner = planner(1);
     assert!(planner.plan("assistant", &models, &fleet).is_empty());
     let mut orders = Vec::new();
-    for _ in 0..LONG {
+    for _ in 0..SURPLUS_ROUNDS {
         sleep(Duration::from_secs(1)).await;
         orders.extend(planner.plan("assistant", &models, &fleet));
     }
@@ -174,7 +174,7 @@
 /// A new holder has no report from one engine yet. That engine may already have the model, and a
 /// load would then go to another engine needlessly, so the holder must wait for the report.
 #[tokio::test(start_paused = true)]
-async fn silent_engine() {
+async fn unreported_engine() {
     let models = [model("new", 1)];
     let mut fleet = fleet(&[&[], &["new"]]);
     fleet.engines[1].view = None;
@@ -232,7 +232,7 @@
 /// An agent is linked but its engine never reports its models. If the entry waited for it without a
 /// limit, every call for a model that no engine has would be accepted and would wait in vain.
 #[tokio::test(start_paused = true)]
-async fn no_first_word() {
+async fn no_first_report() {
     let target = target("e0");
     assert!(!target.engine.is_pending());
     target.engine.record_link_up();
