--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -98,7 +98,7 @@
 
     /// Returns the highest revision known to exist.
     pub fn latest_known_revision(&self) -> Revision {
-        self.lock().follower.wanted()
+        self.lock().follower.latest_known()
     }
 
     /// Records that another process has seen this revision.
--- a/crates/entry/src/execute.rs
+++ b/crates/entry/src/execute.rs
@@ -12,7 +12,7 @@
 use crate::stored_answer;
 use crate::wait::{GivenUp, Waiter};
 use bytes::{Bytes, BytesMut};
-use protocol::claim::{self, Verdict};
+use protocol::claim::{self, Decision};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -97,16 +97,16 @@
 async fn run_once<P: Platform>(core: &Arc<Core<P>>, job: &Job, key: &str) {
     let digest = stored_answer::digest(job);
     let settled = core.claims.claim(&job.workspace, key, job.id, digest).await;
-    let refusal = match settled.verdict {
-        Verdict::Granted => {
+    let refusal = match settled.decision {
+        Decision::Granted => {
             let outcome = run_stages(core, job).await;
             return close_claim(core, job, settled, &outcome).await;
         }
-        Verdict::Running(request) | Verdict::Answered(request) => {
+        Decision::Running(request) | Decision::Answered(request) => {
             RequestOutcome::Elsewhere { request }
         }
-        Verdict::Mismatch => RequestOutcome::Mismatch,
-        Verdict::Unavailable => RequestOutcome::NotRun {
+        Decision::Mismatch => RequestOutcome::Mismatch,
+        Decision::Unavailable => RequestOutcome::NotRun {
             detail: "the table service is away".to_owned(),
             retry_after: STORE_RETRY_AFTER,
         },
