--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -133,7 +133,7 @@
     spawn_until(stop, sweep::run(core.clone()));
 }
 
-fn start_news<P: Platform>(
+fn start_notifications<P: Platform>(
     core: &Arc<Core<P>>,
     stop: &CancellationToken,
 ) -> Result<Option<SocketAddr>, Error> {
