--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -217,7 +217,7 @@
         state.last_order_ended = Some(Instant::now());
         state.query = None;
         if let Some(status) = status {
-            // The receiver is gone if its task has ended; the answer is then not needed.
+            // A dropped receiver means that the answer is no longer needed.
             let _ = open.done.send(status);
         }
     }
