--- a/crates/relay/src/batch/suspect.rs
+++ b/crates/relay/src/batch/suspect.rs
@@ -157,10 +157,10 @@
             return None;
         }
         let now = Instant::now();
-        let standing = relay.standing(service);
-        let may_run = |crashes: u32| standing.allows_attempt(crashes);
+        let availability = relay.availability(service);
+        let may_run = |crashes: u32| availability.allows_attempt(crashes);
         for group_id in self.isolation.give_up(relay.at(now), may_run) {
-            self.abandon(relay, group_id, standing);
+            self.abandon(relay, group_id, availability);
         }
         let runners = self.runner_states.len();
         let (silent, absent) = (relay.silent(service), relay.absent(service));
@@ -189,11 +189,11 @@
         &mut self,
         relay: &Relay<D>,
         group_id: GroupId,
-        standing: Availability,
+        availability: Availability,
     ) {
         if let Some(pending) = self.pending.get(&group_id) {
             slog::info!(relay.log, "suspect pieces rejected"; "request" => &*pending.order.id,
-                "stage" => pending.order.stage, "up" => standing.up, "down" => standing.down,
+                "stage" => pending.order.stage, "up" => availability.up, "down" => availability.down,
                 "content" => crate::serve::content_name(pending.order.content));
         }
         self.finish_order(group_id, Err(StageError::Poison));
--- a/crates/relay/src/graph.rs
+++ b/crates/relay/src/graph.rs
@@ -69,7 +69,7 @@
     fn exclusive_to(&self, route: &Route, stage: usize) -> Vec<Results> {
         let after = &route.stages[stage].after;
         let exclusive =
-            |before: usize| after.contains(&before) && route.followers(before).count() == 1;
+            |before: usize| after.contains(&before) && route.dependents(before).count() == 1;
         let stages = self.stages.iter().filter(|(before, ..)| exclusive(*before));
         stages.map(|(_, results)| results.clone()).collect()
     }
@@ -186,8 +186,8 @@
 /// Whether the results of a stage are no longer needed: other stages follow it, and all of those
 /// are done.
 fn is_consumed(route: &Route, results: &[Option<Vec<Handle>>], stage: usize) -> bool {
-    let mut followers = route.followers(stage).peekable();
-    followers.peek().is_some() && followers.all(|next| results[next].is_some())
+    let mut dependents = route.dependents(stage).peekable();
+    dependents.peek().is_some() && dependents.all(|next| results[next].is_some())
 }
 
 /// Input of the pieces of a stage.
@@ -337,7 +337,7 @@
 
     /// Minimum time from the end of a stage to the first event of the response.
     fn min_time_after(&self, stage: usize) -> Duration {
-        let next = self.route.followers(stage).filter(|&next| next > stage);
+        let next = self.route.dependents(stage).filter(|&next| next > stage);
         next.map(|next| self.call_time(next) + self.min_time_after(next))
             .max()
             .unwrap_or_else(|| self.model_time())
@@ -345,7 +345,7 @@
 
     /// Expected time from the end of a stage to the first event of the response, including waits.
     fn expected_time_after(&self, stage: usize) -> Duration {
-        let next = self.route.followers(stage).filter(|&next| next > stage);
+        let next = self.route.dependents(stage).filter(|&next| next > stage);
         next.filter(|&next| self.pieces(next) > 0)
             .map(|next| self.expected_stage_time(next) + self.expected_time_after(next))
             .max()
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -316,7 +316,7 @@
         Frame::Limit(notice) => relay.merge_notice(&notice, PEER),
         Frame::Suspicion(suspicion) => {
             relay.merge_suspicion(&suspicion, PEER);
-            outage::probe_named(relay, &suspicion);
+            outage::probe_reported(relay, &suspicion);
         }
         Frame::Beat {
             beat: digest,
