--- a/crates/entry/src/budgets.rs
+++ b/crates/entry/src/budgets.rs
@@ -1,4 +1,4 @@
-//! Time budgets of the pipelines' stages.
+//! Time budgets of pipeline stages.
 
 use decide::Either;
 use decide::budget::{Budget, FullBudget, Split, StageSchedule};
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 type Key = (String, Version);
-type Choice = Either<FullBudget, Split>;
+type BudgetPolicy = Either<FullBudget, Split>;
 
 /// Time budgets by pipeline and version.
 #[derive(Debug)]
 pub struct Budgets {
     policy: setting::Policy,
-    by_pipeline: Mutex<HashMap<Key, Choice, RandomState>>,
+    by_pipeline: Mutex<HashMap<Key, BudgetPolicy, RandomState>>,
 }
 
 impl Budgets {
-    /// Nothing has been measured yet.
+    /// Creates budgets without any measurements.
     #[must_use]
     pub fn new(policy: setting::Policy) -> Self {
         Self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// By when a stage should start.
+    /// Returns the schedule of a stage.
     pub fn schedule(
         &self,
         pipeline: &Pipeline,
@@ -37,17 +37,17 @@
         arrived: Duration,
         deadline: Duration,
     ) -> StageSchedule {
-        self.with(pipeline, |budget| {
+        self.with_budget(pipeline, |budget| {
             budget.schedule(stage, now, arrived, deadline)
         })
     }
 
-    /// Takes in how long the stages of a whole request took.
-    pub fn finished(&self, pipeline: &Pipeline, stages: &[Duration]) {
-        self.with(pipeline, |budget| budget.finished(stages));
+    /// Records the stage durations of a completed request.
+    pub fn record_durations(&self, pipeline: &Pipeline, stages: &[Duration]) {
+        self.with_budget(pipeline, |budget| budget.finished(stages));
     }
 
-    fn with<T>(&self, pipeline: &Pipeline, work: impl FnOnce(&mut Choice) -> T) -> T {
+    fn with_budget<T>(&self, pipeline: &Pipeline, work: impl FnOnce(&mut BudgetPolicy) -> T) -> T {
         let mut budgets = self
             .by_pipeline
             .lock()
--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -1,4 +1,4 @@
-//! What one target's engine holds, as it says itself, and the order that it has been given.
+//! Models that one target's engine reports, and the order that is open at the engine.
 
 use protocol::FencingToken;
 use serde::Serialize;
@@ -8,42 +8,42 @@
 use tokio::time::Instant;
 use wire::Models;
 
-/// How long an answer is waited for before the engine is asked anew.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+/// Time after which an unanswered query is sent again.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an engine's first word is waited for after its link came up.
-const FIRST_WORD: Duration = Duration::from_secs(5);
+/// Maximum time to wait for an engine's first report after its link came up.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an order is about.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verb {
     /// Load a model.
     Load,
-    /// Give up a model.
+    /// Unload a model.
     Unload,
 }
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Order {
-    /// What is to be done.
+    /// Kind of the order.
     #[serde(rename = "order")]
     pub verb: Verb,
-    /// Model that it is done with.
+    /// Model that the order refers to.
     pub model: String,
 }
 
-/// An order as engines read it.
+/// The JSON format of an order.
 #[derive(Serialize)]
-struct Fenced<'a> {
+struct FencedOrder<'a> {
     fence: FencingToken,
     #[serde(flatten)]
     order: &'a Order,
 }
 
 impl Order {
-    /// The JSON body of the order under a fencing number.
+    /// Returns the JSON body of the order under a fencing token.
     ///
     /// # Examples
     ///
@@ -55,29 +55,29 @@
     /// ```
     #[must_use]
     pub fn body(&self, fence: FencingToken) -> Vec<u8> {
-        let fenced = Fenced { fence, order: self };
-        // Numbers and strings always make JSON.
+        let fenced = FencedOrder { fence, order: self };
+        // Serializing numbers and strings cannot fail.
         serde_json::to_vec(&fenced).unwrap_or_default()
     }
 }
 
-/// HTTP status that an order was answered with.
+/// HTTP status of the answer to an order.
 pub type Status = u16;
 
-/// What an engine holds, for planning.
+/// State of an engine as seen by the planner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
-    /// Models that are loaded and are not being given up.
+pub struct EngineView {
+    /// Models that are loaded and not being unloaded.
     pub warm: Vec<String>,
     /// Model that is being loaded.
     pub loading: Option<String>,
     /// Whether an order is open, so that no other may be sent.
     pub busy: bool,
-    /// Models that callers of any entry have lately lacked.
+    /// Models that callers of any entry lacked recently.
     pub wanted: Vec<String>,
 }
 
-/// What is known of one target's engine.
+/// What an entry knows about one target's engine.
 #[derive(Debug, Default)]
 pub struct Engine {
     state: Mutex<State>,
@@ -86,137 +86,148 @@
 #[derive(Debug, Default)]
 struct State {
     /// When the link came up.
-    up: Option<Instant>,
-    held: Option<Held>,
-    /// Number of the latest question, and the question while it is open.
-    number: u64,
-    asked: Option<Question>,
-    open: Option<Open>,
-    /// When the last order was over: what was asked before then may be out of date.
-    settled: Option<Instant>,
+    link_up: Option<Instant>,
+    reported: Option<ReportedModels>,
+    /// Number of the latest query, and the query itself while it is open.
+    query_number: u64,
+    query: Option<Query>,
+    open: Option<OpenOrder>,
+    /// When the last order ended. Reports to earlier queries may be out of date.
+    last_order_ended: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct ReportedModels {
     models: Models,
-    asked: Question,
+    query: Query,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
-    at: Instant,
+struct Query {
+    sent_at: Instant,
     fence: Option<FencingToken>,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenOrder {
     order: Order,
     done: oneshot::Sender<Status>,
 }
 
 impl Engine {
-    /// Whether calls for a model may be sent to it.
+    /// Whether calls for a model may be sent to the engine.
     pub fn holds(&self, model: &str) -> bool {
         let state = self.lock();
-        let held = state.held.as_ref();
-        held.is_some_and(|held| held.models.warm.iter().any(|warm| warm == model))
+        let reported = state.reported.as_ref();
+        reported.is_some_and(|reported| reported.models.warm.iter().any(|warm| warm == model))
     }
 
-    /// Whether it is loading a model.
+    /// Whether the engine is loading a model.
     pub fn is_loading(&self, model: &str) -> bool {
         let state = self.lock();
-        let held = state.held.as_ref();
-        held.is_some_and(|held| held.models.loading.as_deref() == Some(model))
+        let reported = state.reported.as_ref();
+        reported.is_some_and(|reported| reported.models.loading.as_deref() == Some(model))
     }
 
-    /// Whether it is soon to say for the first time what it holds. One that stays silent is not
-    /// waited for: calls for a model that nobody has would be accepted on its account.
+    /// Whether the first report of the engine is expected soon. An engine that does not respond
+    /// within the time limit does not count, or calls for a model that no engine has would be
+    /// accepted because of it.
     pub fn is_pending(&self) -> bool {
         let state = self.lock();
-        let fresh = state.up.is_some_and(|up| up.elapsed() < FIRST_WORD);
-        fresh && state.held.is_none()
+        let fresh = state
+            .link_up
+            .is_some_and(|link_up| link_up.elapsed() < FIRST_ANSWER_TIMEOUT);
+        fresh && state.reported.is_none()
     }
 
-    /// A link has come up.
-    pub fn linked(&self) {
-        self.lock().up = Some(Instant::now());
+    /// Records that the link came up.
+    pub fn record_link_up(&self) {
+        self.lock().link_up = Some(Instant::now());
     }
 
-    /// What it held when it was asked under this fencing number and after the last order to it was
-    /// over.
+    /// Returns the state of the engine if it was queried under this fencing token and after the
+    /// last order had ended.
     ///
-    /// Any other answer may have been overtaken by an order, of this entry or of an earlier holder
-    /// of the lease, and a plan made from it could give up the last replica of a model.
-    pub fn view(&self, fence: FencingToken) -> Option<View> {
+    /// Any other report may be outdated by an order of this entry or of an earlier lease holder,
+    /// and a plan based on it could unload the last replica of a model.
+    pub fn view(&self, fence: FencingToken) -> Option<EngineView> {
         let state = self.lock();
-        let held = state.held.as_ref()?;
-        let Question { at, fence: under } = held.asked;
-        let fresh = under == Some(fence) && state.settled.is_none_or(|settled| at > settled);
-        fresh.then(|| state.view(held))
+        let reported = state.reported.as_ref()?;
+        let Query {
+            sent_at,
+            fence: query_fence,
+        } = reported.query;
+        let fresh = query_fence == Some(fence)
+            && state
+                .last_order_ended
+                .is_none_or(|last_order_ended| sent_at > last_order_ended);
+        fresh.then(|| state.view(reported))
     }
 
-    /// Number for the next question, unless the same one is open.
-    pub fn ask(&self, fence: Option<FencingToken>) -> Option<u64> {
+    /// Returns the number for a new query, unless a query under the same fencing token is still
+    /// open.
+    pub fn next_query(&self, fence: Option<FencingToken>) -> Option<u64> {
         let mut state = self.lock();
-        let at = Instant::now();
-        let open = |asked: Question| asked.fence == fence && at < asked.at + ASK_AGAIN;
-        if state.asked.is_some_and(open) {
+        let sent_at = Instant::now();
+        let open = |query: Query| query.fence == fence && sent_at < query.sent_at + QUERY_TIMEOUT;
+        if state.query.is_some_and(open) {
             return None;
         }
-        state.number += 1;
-        state.asked = Some(Question { at, fence });
-        Some(state.number)
+        state.query_number += 1;
+        state.query = Some(Query { sent_at, fence });
+        Some(state.query_number)
     }
 
-    /// Takes in an answer; one to an older question is dropped. An engine that could not be asked
-    /// is taken to hold what it held: it refuses calls for what it does not hold as *not run*.
-    pub fn answered(&self, number: u64, models: Option<Models>) {
+    /// Records the answer to a query; an answer to an older one is dropped. If the agent could not
+    /// query the engine, the previous report is kept: the engine refuses calls for models that it
+    /// does not hold as *not run*.
+    pub fn record_models(&self, query_number: u64, models: Option<Models>) {
         let mut state = self.lock();
-        if number != state.number {
+        if query_number != state.query_number {
             return;
         }
-        let Some(asked) = state.asked.take() else {
+        let Some(query) = state.query.take() else {
             return;
         };
         if let Some(models) = models {
-            state.held = Some(Held { models, asked });
+            state.reported = Some(ReportedModels { models, query });
         }
     }
 
-    /// Takes the place of the one open order, or `None` if it is taken.
+    /// Opens an order. Returns `None` if another order is open.
     ///
-    /// Answers bear no number of their order: with two open, the answer to one that had been given
-    /// up for its time would pass for the other's.
-    pub fn open(&self, order: Order) -> Option<oneshot::Receiver<Status>> {
+    /// Answers do not identify their order. With two open orders, a late answer to one that had
+    /// timed out would be taken for the answer to the other.
+    pub fn open_order(&self, order: Order) -> Option<oneshot::Receiver<Status>> {
         let mut state = self.lock();
         if state.open.is_some() {
             return None;
         }
         let (done, answer) = oneshot::channel();
-        state.open = Some(Open { order, done });
+        state.open = Some(OpenOrder { order, done });
         Some(answer)
     }
 
-    /// Gives the place of the open order back; `status` is its answer, if it was sent.
-    pub fn close(&self, status: Option<Status>) {
+    /// Closes the open order; `status` is its answer, if it was sent.
+    pub fn close_order(&self, status: Option<Status>) {
         let mut state = self.lock();
         let Some(open) = state.open.take() else {
             return;
         };
-        state.settled = Some(Instant::now());
-        state.asked = None;
+        state.last_order_ended = Some(Instant::now());
+        state.query = None;
         if let Some(status) = status {
-            // A planner that has gone with its entry needs no answer.
+            // A dropped receiver means that the answer is no longer needed.
             let _ = open.done.send(status);
         }
     }
 
-    /// The link is gone: nothing is known any more, and the answer to an open order is lost.
-    pub fn forget(&self) {
+    /// Resets the state after the link was lost; the answer to an open order is lost.
+    pub fn reset(&self) {
         let mut state = self.lock();
-        let number = state.number;
+        let query_number = state.query_number;
         *state = State {
-            number,
+            query_number,
             ..State::default()
         };
     }
@@ -227,23 +238,23 @@
 }
 
 impl State {
-    fn view(&self, held: &Held) -> View {
+    fn view(&self, reported: &ReportedModels) -> EngineView {
         let order = self.open.as_ref().map(|open| &open.order);
         let about = |verb, model: &str| {
             order.is_some_and(|order| order.verb == verb && order.model == model)
         };
         let ordered = order.filter(|order| order.verb == Verb::Load);
-        let warm = held.models.warm.iter();
-        View {
+        let warm = reported.models.warm.iter();
+        EngineView {
             warm: warm
                 .filter(|model| !about(Verb::Unload, model))
                 .cloned()
                 .collect(),
             loading: ordered
                 .map(|order| order.model.clone())
-                .or_else(|| held.models.loading.clone()),
+                .or_else(|| reported.models.loading.clone()),
             busy: order.is_some(),
-            wanted: held.models.wanted.clone(),
+            wanted: reported.models.wanted.clone(),
         }
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,8 +1,8 @@
-//! The other entries: whom to ask for answers and records that this entry does not have.
+//! Client of the other entries, for answers and records that this entry does not have.
 
-mod silence;
+mod liveness;
 
-use crate::caller::{EVENT_STREAM, Follow, format_id};
+use crate::caller::{AnswerOptions, EVENT_STREAM, format_id};
 use crate::config::Records;
 use crate::config::rows::Stored;
 use bytes::Bytes;
@@ -22,16 +22,16 @@
 use std::time::Duration;
 use store::Vm;
 
-/// Header that keeps a forwarded question from being forwarded again.
+/// Header that prevents a forwarded request from being forwarded again.
 pub const FORWARDED: &str = "linnetdrift-forwarded";
-/// How long a peer may take to answer a question that needs no waiting.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of requests to a peer that it can answer without waiting.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Number of low bits of a request's identity that are drawn at random; the high bits name the
-/// entry that accepted it, so that any other entry knows whom to ask.
+/// Number of random low bits in a request id. The high bits identify the entry that accepted the
+/// request, so that any other entry can forward requests for its answer.
 const RANDOM_BITS: u32 = 96;
 
-/// Client of the other entries, which serve as this one does: all with TLS, or none.
+/// HTTP client of the other entries. All entries of a deployment serve with TLS, or none does.
 #[derive(Clone, Debug)]
 struct Http {
     client: Client<HttpsConnector<HttpConnector>, Empty<Bytes>>,
@@ -63,13 +63,13 @@
 
     async fn request(
         &self,
-        question: Request<Empty<Bytes>>,
+        request: Request<Empty<Bytes>>,
     ) -> Result<Response<Incoming>, hyper_util::client::legacy::Error> {
-        self.client.request(question).await
+        self.client.request(request).await
     }
 }
 
-/// Records as an entry hands them out.
+/// The response of an entry to a request for its records.
 #[derive(Debug, Deserialize)]
 struct Listing {
     revision: Revision,
@@ -83,23 +83,24 @@
     http: Http,
 }
 
-/// Tag of an entry in the identities of the requests it accepts.
+/// Returns the tag of an entry, which is part of the ids of the requests that it accepts.
 #[must_use]
-pub fn tag(entry: &str) -> u32 {
-    // FNV-1a: stable across builds and processes, which a seeded hasher is not.
+pub fn entry_tag(entry: &str) -> u32 {
+    // FNV-1a is stable across builds and processes, unlike a seeded hasher.
     entry.bytes().fold(0x811c_9dc5, |hash: u32, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
     })
 }
 
-/// Draws the identity of a new request at an entry.
-pub fn draw(entry: &str, rng: &mut impl rand::Rng) -> RequestId {
+/// Generates the id of a new request that `entry` accepts.
+pub fn draw_request_id(entry: &str, rng: &mut impl rand::Rng) -> RequestId {
     let random: u128 = rng.random();
-    (u128::from(tag(entry)) << RANDOM_BITS) | (random >> (128 - RANDOM_BITS))
+    (u128::from(entry_tag(entry)) << RANDOM_BITS) | (random >> (128 - RANDOM_BITS))
 }
 
 impl Peers {
-    /// No other entry is known yet; `tls` says whom to trust if the entries serve with TLS.
+    /// Creates a client without known entries; `tls` holds the trusted certificates if the entries
+    /// serve with TLS.
     #[must_use]
     pub fn new(tls: Option<ClientConfig>) -> Self {
         Self {
@@ -108,59 +109,62 @@
         }
     }
 
-    /// Takes in the entries that the platform lists, less this one.
+    /// Updates the list of entries; `own` is the id of this entry, which is left out.
     pub fn update(&self, listed: Vec<Vm>, own: &str) {
         let others = listed.into_iter().filter(|vm| vm.id != own).collect();
         *self.entries.write().unwrap_or_else(PoisonError::into_inner) = others;
     }
 
-    /// Addresses of the other entries.
+    /// Returns the addresses of the other entries.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.read().iter().map(|vm| vm.address).collect()
     }
 
-    /// Address of the entry that accepted a request.
+    /// Returns the address of the entry that accepted a request.
     pub fn owner(&self, request: RequestId) -> Option<SocketAddr> {
         let owner = u32::try_from(request >> RANDOM_BITS).unwrap_or(0);
         self.read()
             .iter()
-            .find(|vm| tag(&vm.id) == owner)
+            .find(|vm| entry_tag(&vm.id) == owner)
             .map(|vm| vm.address)
     }
 
-    /// Passes a caller's question about a request on to the entry that accepted it; gives nothing
-    /// if that entry cannot be reached or falls silent.
-    pub async fn ask(
+    /// Forwards a caller's request for an answer to the entry that accepted the original request.
+    /// Returns `None` if that entry cannot be reached or stops responding.
+    pub async fn forward(
         &self,
         address: SocketAddr,
         request: RequestId,
-        follow: &Follow,
+        follow: &AnswerOptions,
     ) -> Option<hyper::Response<viz::Body>> {
         let path = format!("/v1/requests/{}", format_id(request));
-        let mut question = self.http.get(address, &path).header(FORWARDED, "1");
+        let mut request = self.http.get(address, &path).header(FORWARDED, "1");
         if follow.stream {
-            question = question.header("accept", EVENT_STREAM);
+            request = request.header("accept", EVENT_STREAM);
         }
         if let Some(last) = follow.from.checked_sub(1) {
-            question = question.header("last-event-id", last);
+            request = request.header("last-event-id", last);
         }
         if let Some(wait) = follow.wait {
-            question = question.header("prefer", format!("wait={}", wait.as_secs()));
+            request = request.header("prefer", format!("wait={}", wait.as_secs()));
         }
-        let question = question.body(Empty::new()).ok()?;
-        let mut silent = Box::pin(silence::silent(self.http.clone(), address));
+        let request = request.body(Empty::new()).ok()?;
+        let mut unresponsive = Box::pin(liveness::unresponsive(self.http.clone(), address));
         let answer = tokio::select! {
-            answer = self.http.request(question) => answer.ok()?,
-            () = &mut silent => return None,
+            answer = self.http.request(request) => answer.ok()?,
+            () = &mut unresponsive => return None,
         };
-        Some(answer.map(|body| viz::Body::from_stream(silence::watched(body, silent))))
+        Some(answer.map(|body| {
+            viz::Body::from_stream(liveness::abort_if_unresponsive(body, unresponsive))
+        }))
     }
 
-    /// Records of the peer that has seen most, for a fresh process while the table is down.
+    /// Returns the records of the peer with the highest revision, for a newly started process while
+    /// the table service is unavailable.
     pub async fn records(&self) -> Option<(Revision, Records)> {
         let addresses = self.addresses();
-        let questions = addresses.into_iter().map(|address| self.listing(address));
-        futures::future::join_all(questions)
+        let requests = addresses.into_iter().map(|address| self.listing(address));
+        futures::future::join_all(requests)
             .await
             .into_iter()
             .flatten()
@@ -173,14 +177,14 @@
     }
 
     async fn listing(&self, address: SocketAddr) -> Option<Listing> {
-        let listing = tokio::time::timeout(TIMEOUT, self.read_listing(address));
+        let listing = tokio::time::timeout(REQUEST_TIMEOUT, self.read_listing(address));
         listing.await.ok()?
     }
 
     async fn read_listing(&self, address: SocketAddr) -> Option<Listing> {
-        let question = self.http.get(address, "/v1/records");
-        let question = question.body(Empty::new()).ok()?;
-        let answer = self.http.request(question).await.ok()?;
+        let request = self.http.get(address, "/v1/records");
+        let request = request.body(Empty::new()).ok()?;
+        let answer = self.http.request(request).await.ok()?;
         if !answer.status().is_success() {
             return None;
         }
--- a/crates/entry/tests/placement_plan.rs
+++ b/crates/entry/tests/placement_plan.rs
@@ -1,10 +1,10 @@
-//! Orders that follow from what a service's engines hold.
+//! Orders planned from the models that a service's engines hold.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use decide::place::Model;
-use entry::engine::{Order, Verb, View};
+use entry::engine::{EngineView, Order, Verb};
 use entry::placement::fleet::{Engine, Fleet};
-use entry::placement::plan::{Planner, Step};
+use entry::placement::plan::{PlannedOrder, Planner};
 use entry::target::{Change, Observer, Target};
 use setting::Placement;
 use slog::{Discard, Logger, o};
@@ -14,13 +14,13 @@
 use tokio::time::{advance, sleep};
 
 const SPAN: Duration = Duration::from_secs(5);
-/// Longer than a surplus must last before a replica is given up.
-const LONG: usize = 40;
+/// More rounds than a surplus must last before a replica is unloaded.
+const SURPLUS_ROUNDS: usize = 40;
 
-struct Nobody;
+struct NoObserver;
 
-impl Observer for Nobody {
-    fn changed(&self, _: &Arc<Target>, _: Change) {}
+impl Observer for NoObserver {
+    fn target_changed(&self, _: &Arc<Target>, _: Change) {}
 }
 
 fn target(id: &str) -> Arc<Target> {
@@ -39,20 +39,20 @@
         vm,
         wire::Key::new("k"),
         Logger::root(Discard, o!()),
-        Arc::new(Nobody),
+        Arc::new(NoObserver),
     );
     target.stop();
     target
 }
 
-/// Engines that hold these models, named `e0`, `e1` and so on.
+/// Creates engines that hold these models, with the ids `e0`, `e1` and so on.
 fn fleet(held: &[&[&str]]) -> Fleet {
     let engine = |(number, warm): (usize, &&[&str])| {
         let id = format!("e{number}");
         let warm = warm.iter().map(|model| (*model).to_owned()).collect();
-        let view = View {
+        let view = EngineView {
             warm,
-            ..View::default()
+            ..EngineView::default()
         };
         Engine {
             id: id.as_str().into(),
@@ -80,18 +80,20 @@
         every_ms: 5_000,
         lease_ms: 10_000,
     });
-    planner.begin(Some(fence));
+    planner.set_fence(Some(fence));
     planner
 }
 
-fn text(steps: &[Step]) -> Vec<String> {
-    let text =
-        |(target, Order { verb, model }): &Step| format!("{verb:?} {model} {}", target.vm.id);
-    steps.iter().map(text).collect()
+fn text(orders: &[PlannedOrder]) -> Vec<String> {
+    let text = |(target, Order { verb, model }): &PlannedOrder| {
+        format!("{verb:?} {model} {}", target.vm.id)
+    };
+    orders.iter().map(text).collect()
 }
 
-/// An engine has loaded the new version and still holds the old one, and the holder that ordered it
-/// has died. The next holder must end the swap, or the engine's memory stays split for ever.
+/// An engine has loaded the new version and still holds the old one, and the holder that ordered
+/// the load has crashed. The next holder must complete the swap, or the engine's memory stays
+/// divided permanently.
 #[tokio::test(start_paused = true)]
 async fn swap_ended() {
     let models = [model("old", 1), model("new", 1)];
@@ -102,37 +104,37 @@
     );
 }
 
-/// Two engines hold both versions and nobody else has the old one. If both gave it up at once its
-/// callers would have no engine; one must keep it.
+/// Two engines hold both versions and no other engine has the old one. If both unloaded it at once,
+/// its callers would have no engine, so one must keep it.
 #[tokio::test(start_paused = true)]
 async fn last_kept() {
     let models = [model("old", 1), model("new", 1)];
     let both = fleet(&[&["new", "old"], &["new", "old"]]);
-    let steps = planner(2).plan("assistant", &models, &both);
-    assert_eq!(steps.len(), 2);
-    assert_ne!(steps[0].1.model, steps[1].1.model);
+    let orders = planner(2).plan("assistant", &models, &both);
+    assert_eq!(orders.len(), 2);
+    assert_ne!(orders[0].1.model, orders[1].1.model);
     let single = fleet(&[&["new", "old"]]);
     assert!(planner(2).plan("assistant", &models, &single).is_empty());
 }
 
-/// A new version is accepted while all engines serve the old one. Callers of the old version must
-/// not find its engines gone at once: a replica goes only after a lasting surplus.
+/// A new version is accepted while all engines serve the old one. The old version must not lose its
+/// engines at once: a replica is unloaded only after a lasting surplus.
 #[tokio::test(start_paused = true)]
 async fn surplus_lasts() {
     let models = [model("old", 1), model("new", 1)];
     let fleet = fleet(&[&["old"], &["old"]]);
     let mut planner = planner(1);
     assert!(planner.plan("assistant", &models, &fleet).is_empty());
-    let mut steps = Vec::new();
-    for _ in 0..LONG {
+    let mut orders = Vec::new();
+    for _ in 0..SURPLUS_ROUNDS {
         sleep(Duration::from_secs(1)).await;
-        steps.extend(planner.plan("assistant", &models, &fleet));
+        orders.extend(planner.plan("assistant", &models, &fleet));
     }
-    assert_eq!(text(&steps[..1]), ["Load new e0"]);
+    assert_eq!(text(&orders[..1]), ["Load new e0"]);
 }
 
-/// Two services want models at the same moment. Together they may start no more loads than the
-/// weight store bears.
+/// Two services need models at the same time. Together, they must not start more loads than the
+/// weight store allows.
 #[tokio::test(start_paused = true)]
 async fn shared_rate() {
     let models = [model("new", 2)];
@@ -141,7 +143,7 @@
     let mut names = ["one".to_owned(), "other".to_owned()];
     let mut served = Vec::new();
     for _ in 0..4 {
-        planner.take_turns(&mut names);
+        planner.rotate(&mut names);
         let loads = names
             .iter()
             .filter(|name| !planner.plan(name, &models, &fleet).is_empty());
@@ -153,8 +155,8 @@
     assert_eq!(served, ["one", "other", "one", "other"]);
 }
 
-/// A holder takes over right after the one before has started a load. It does not know of that
-/// load's start, so it must wait a span before its own first.
+/// A holder takes over right after the previous one has started a load. It does not know of that
+/// load, so it must wait one time span before its own first load.
 #[tokio::test(start_paused = true)]
 async fn rate_after_takeover() {
     let models = [model("new", 1)];
@@ -169,17 +171,18 @@
     );
 }
 
-/// A new holder has not heard from one engine yet. A load ordered now could go to an engine in
-/// place of one that has the model already, so it waits for the engine to speak.
+/// A new holder has no report from one engine yet. That engine may already have the model, and a
+/// load would then go to another engine needlessly, so the holder must wait for the report.
 #[tokio::test(start_paused = true)]
-async fn silent_engine() {
+async fn unreported_engine() {
     let models = [model("new", 1)];
     let mut fleet = fleet(&[&[], &["new"]]);
     fleet.engines[1].view = None;
     assert!(planner(1).plan("assistant", &models, &fleet).is_empty());
 }
 
-/// An engine loads or has an open order. It gets no other before that is over.
+/// An engine that is loading a model or has an open order must not receive another order until it
+/// is finished.
 #[tokio::test(start_paused = true)]
 async fn busy_engine() {
     let models = [model("old", 1), model("new", 1), model("other", 1)];
@@ -192,12 +195,12 @@
         model: "new".to_owned(),
     };
     let engine = &fleet.engines[0].target.engine;
-    let first = engine.open(order.clone());
-    assert!(first.is_some() && engine.open(order).is_none());
+    let first = engine.open_order(order.clone());
+    assert!(first.is_some() && engine.open_order(order).is_none());
 }
 
-/// An answer was asked for before an order was over. It may show the engine as it was before, and
-/// two engines that give up a model on such news could be the last two.
+/// A query was sent before an order ended. Its answer may show the state before the order, and two
+/// engines that unload a model based on outdated answers could be the last two that have it.
 #[tokio::test(start_paused = true)]
 async fn answer_overtaken() {
     let target = target("e0");
@@ -209,30 +212,30 @@
             wanted: Vec::new(),
         })
     };
-    let number = engine.ask(Some(1)).unwrap();
-    engine.answered(number, models("old"));
+    let number = engine.next_query(Some(1)).unwrap();
+    engine.record_models(number, models("old"));
     assert!(engine.view(1).is_some() && engine.view(2).is_none());
     let order = Order {
         verb: Verb::Unload,
         model: "old".to_owned(),
     };
-    let open = engine.open(order).unwrap();
+    let open = engine.open_order(order).unwrap();
     assert!(engine.view(1).unwrap().warm.is_empty());
-    let number = engine.ask(Some(1)).unwrap();
+    let number = engine.next_query(Some(1)).unwrap();
     advance(SPAN).await;
-    engine.close(Some(200));
+    engine.close_order(Some(200));
     assert_eq!(open.await.unwrap(), 200);
-    engine.answered(number, models("old"));
+    engine.record_models(number, models("old"));
     assert_eq!(engine.view(1), None);
 }
 
-/// An agent is linked and its engine never says what it holds. If it were waited for without end,
-/// every call for a model that no engine has would be accepted and wait in vain.
+/// An agent is linked but its engine never reports its models. If the entry waited for it without a
+/// limit, every call for a model that no engine has would be accepted and would wait in vain.
 #[tokio::test(start_paused = true)]
-async fn no_first_word() {
+async fn no_first_report() {
     let target = target("e0");
     assert!(!target.engine.is_pending());
-    target.engine.linked();
+    target.engine.record_link_up();
     assert!(target.engine.is_pending());
     advance(SPAN * 2).await;
     assert!(!target.engine.is_pending());
