--- a/crates/entry/src/config/rows.rs
+++ b/crates/entry/src/config/rows.rs
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Garbled`] if the content does not have the expected form.
+/// Returns [`Error::Malformed`] if the content does not have the expected form.
 pub fn parse<T: DeserializeOwned>(row: Row) -> Result<T, Error> {
     serde_json::from_value(row.value).map_err(|error| Error::Malformed {
         reason: format!("{}/{}: {error}", row.table, row.key),
