--- a/crates/relay/src/configuration.rs
+++ b/crates/relay/src/configuration.rs
@@ -226,8 +226,8 @@
 
     /// Rank of a workspace's request on a route: the workspace's rank decides first, then that of the route.
     ///
-    /// Operators give many workspaces the same rank. If the route's rank did not count then, a burst on the least
-    /// urgent route would make requests of the most urgent one late.
+    /// Operators give many workspaces the same rank. If the route's rank did not count then, a burst on the
+    /// least urgent route would make requests of the most urgent one late.
     #[must_use]
     pub fn rank(&self, workspace: Option<&Workspace>, route: &Route) -> Rank {
         let pair = rank_pair(workspace.and_then(|workspace| workspace.rank), route);
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -28,8 +28,8 @@
 use tokio_util::sync::CancellationToken;
 
 /// Fraction of a route's longest timeout below which a request counts as a retry. A client that is refused
-/// for lack of capacity is told to wait for one [`RETRY_TIME_DIVISOR`]th of its time. The threshold lies midway
-/// between the remainder and the whole, since clients of one route differ in their initial timeouts.
+/// for lack of capacity is told to wait for one [`RETRY_TIME_DIVISOR`]th of its time. The threshold lies
+/// midway between the remainder and the whole, since clients of one route differ in their initial timeouts.
 const MIN_FIRST_ATTEMPT_FRACTION: f64 = 1.0 - 0.5 / RETRY_TIME_DIVISOR as f64;
 
 /// Request bodies may occupy one `BODY_MEMORY_DIVISOR`th of the process's memory, and response bodies as
@@ -414,8 +414,8 @@
             };
             self.peers.expected_wait(self, &candidate.cell, LAST_RANK) + wait
         };
-        // Two random cells are compared rather than all, since many processes with the same load reports would
-        // all choose the same cell. One cell near the wanted domain is added if there is one.
+        // Two random cells are compared rather than all, since many processes with the same load reports
+        // would all choose the same cell. One cell near the wanted domain is added if there is one.
         let sampled = (0..2).map(|_| &cells[self.random(|rng| rng.random_range(0..cells.len()))]);
         let offset = self.random(|rng| rng.random_range(0..cells.len()));
         let rotated = (0..cells.len()).map(|step| &cells[(offset + step) % cells.len()]);
@@ -447,8 +447,8 @@
     /// The cells of a service. They are cached until its runners change, since at a thousand runners sorting
     /// them for each piece dominated all other work.
     pub fn cells(&self, service: &ServiceId) -> Arc<Vec<CellRunners>> {
-        // The lock is held throughout: a list that is read before a change and cached after it would contain a
-        // runner that has left.
+        // The lock is held throughout: a list that is read before a change and cached after it would
+        // contain a runner that has left.
         let mut cells = lock(&self.cells);
         let form = || {
             let runners = self.fleet(|fleet| fleet.of(service).to_vec());
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -13,8 +13,8 @@
 pub struct Drains {
     /// Revision up to which the operator's changes are included.
     pub revision: RowRevision,
-    /// Number of times that domains were released which had been kept drained although the table no longer lists
-    /// them.
+    /// Number of times that domains were released which had been kept drained although the table no longer
+    /// lists them.
     pub settled: u64,
     /// The drained failure domains.
     pub domains: BTreeSet<DomainId>,
@@ -27,12 +27,12 @@
         lock(&self.drains).clone()
     }
 
-    /// Applies a set of drained failure domains unless a newer one is known. `origin` names its source for the
-    /// log.
+    /// Applies a set of drained failure domains unless a newer one is known. `origin` names its source for
+    /// the log.
     ///
     /// A relay learns of a change from the table service, or from its peers if the service rejects its
-    /// requests, in any order. Sets are ordered by the table's own revisions, so that an older one never replaces
-    /// a newer one.
+    /// requests, in any order. Sets are ordered by the table's own revisions, so that an older one never
+    /// replaces a newer one.
     pub fn drain(&self, drains: &Drains, origin: &str) {
         let changed = {
             let mut known = lock(&self.drains);
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -29,7 +29,8 @@
 pub struct LimitNotice {
     /// The runner.
     pub runner: RunnerId,
-    /// Mean time between requests of all processes together; `None` if the runner no longer limits its requests.
+    /// Mean time between requests of all processes together; `None` if the runner no longer limits its
+    /// requests.
     pub spacing: Option<Duration>,
     /// Age of the response that carried the limit.
     pub ago: Duration,
@@ -163,7 +164,8 @@
             }) => {
                 self.merge_limit(&runner.id, *requested, Instant::now(), "response");
             }
-            // The response counts as of the time its request was sent: it says nothing about a limit set after that.
+            // The response counts as of the time its request was sent: it says nothing about a limit set
+            // after that.
             Ok(reply) if reply.proven => self.merge_limit(&runner.id, None, sent, "response"),
             _ => {}
         }
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -1,8 +1,8 @@
 //! Memory budgets of request and response bodies.
 //!
 //! Clients and runners may read slowly, and the process has to buffer what they have not read. Bodies are
-//! counted from when their bytes arrive until the last of them has been written, so that a process on a small VM
-//! is not killed for lack of memory because of unread bytes.
+//! counted from when their bytes arrive until the last of them has been written, so that a process on a
+//! small VM is not killed for lack of memory because of unread bytes.
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, StreamExt};
@@ -64,8 +64,8 @@
         permit.ok().map(|permit| MemoryReservation(Some(permit)))
     }
 
-    /// Waits until enough bytes are free and reserves them. A request for more than the whole budget reserves the
-    /// whole budget.
+    /// Waits until enough bytes are free and reserves them. A request for more than the whole budget
+    /// reserves the whole budget.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         let permit = self.free.clone().acquire_many_owned(self.clamp(bytes));
         // The semaphore is never closed.
--- a/crates/relay/src/outage.rs
+++ b/crates/relay/src/outage.rs
@@ -1,9 +1,9 @@
 //! Runners that have exited and not come back.
 //!
 //! The platform lists a runner for some seconds after its exit. A relay that relied on the list alone would
-//! keep sending it requests, whose connections are refused; in a service of few runners, requests would use up
-//! their attempts although other runners are available. So a runner gets no work while nothing listens at its
-//! address.
+//! keep sending it requests, whose connections are refused; in a service of few runners, requests would use
+//! up their attempts although other runners are available. So a runner gets no work while nothing listens
+//! at its address.
 
 use crate::configuration::ServiceId;
 use crate::core::{Relay, lock};
@@ -125,8 +125,8 @@
     }
 }
 
-/// Probes a runner that has lost a response or could not be reached. If it has exited, it gets no work until it is
-/// back.
+/// Probes a runner that has lost a response or could not be reached. If it has exited, it gets no work
+/// until it is back.
 pub(crate) async fn probe<D: Downstream>(relay: &Arc<Relay<D>>, runner: &Arc<Runner>) {
     let probed = instance(runner);
     if !lock(&relay.outages).probed.insert(probed.clone()) {
@@ -155,8 +155,8 @@
     });
 }
 
-/// Runs [`probe`] but waits at most [`PROBE_TIMEOUT`] for its outcome, which takes a round trip. If the runner does
-/// not answer in that time, the probe continues in the background.
+/// Runs [`probe`] but waits at most [`PROBE_TIMEOUT`] for its outcome, which takes a round trip. If the
+/// runner does not answer in that time, the probe continues in the background.
 pub(crate) async fn probe_briefly<D: Downstream>(relay: &Arc<Relay<D>>, runner: &Arc<Runner>) {
     let probing = {
         let (relay, runner) = (relay.clone(), runner.clone());
@@ -170,8 +170,8 @@
     }
 }
 
-/// Probes runners that another process reports to have exited recently. Otherwise each process would count them
-/// as up until one of its own requests fails there.
+/// Probes runners that another process reports to have exited recently. Otherwise each process would count
+/// them as up until one of its own requests fails there.
 pub(crate) fn probe_reported<D: Downstream>(relay: &Arc<Relay<D>>, suspicion: &Suspicion) {
     let recent = suspicion
         .crashes
@@ -188,8 +188,8 @@
     }
 }
 
-/// Waits until something listens at a runner's address again (`true`), or the runner is no longer listed as it was
-/// (`false`).
+/// Waits until something listens at a runner's address again (`true`), or the runner is no longer listed as
+/// it was (`false`).
 async fn await_return<D: Downstream>(relay: &Relay<D>, runner: &Runner) -> bool {
     loop {
         sleep(RETURN_POLL_INTERVAL).await;
--- a/crates/relay/src/pause.rs
+++ b/crates/relay/src/pause.rs
@@ -1,9 +1,10 @@
 //! Detection of periods in which the process did not run.
 //!
-//! A VM may be suspended, or the process stopped, for seconds. The monotonic clock does not advance during a
-//! suspension, so afterwards no timer is late and nothing looks wrong. Meanwhile runners may have left, keys may
-//! have been revoked and clients may have given up. The clock that counts the time since boot shows the
-//! suspension. The platform is then asked for changes at once, and requests wait briefly for its answer.
+//! A VM may be suspended, or the process stopped, for seconds. The monotonic clock does not advance during
+//! a suspension, so afterwards no timer is late and nothing looks wrong. Meanwhile runners may have left,
+//! keys may have been revoked and clients may have given up. The clock that counts the time since boot
+//! shows the suspension. The platform is then asked for changes at once, and requests wait briefly for its
+//! answer.
 
 use crate::core::{Relay, lock};
 use crate::downstream::Downstream;
@@ -32,13 +33,13 @@
 
 /// Interval at which the clocks are checked when no request does so.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Delay of a check that counts as a pause. The relay's data is up to half a second old in any case, and a VM with
-/// a tenth of a core is late by less than that.
+/// Delay of a check that counts as a pause. The relay's data is up to half a second old in any case, and a
+/// VM with a tenth of a core is late by less than that.
 pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 /// Difference between the two clocks that counts as a suspension. They are not read at the same instant.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(100);
-/// Longest time after a pause that requests wait for updates. The platform answers within milliseconds; while it is
-/// unavailable, requests are served with the data from before the pause.
+/// Longest time after a pause that requests wait for updates. The platform answers within milliseconds;
+/// while it is unavailable, requests are served with the data from before the pause.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Clocks at the last check, and the total time of suspension.
@@ -148,8 +149,8 @@
 }
 
 impl<D: Downstream> Relay<D> {
-    /// Checks whether the process has paused. After a pause the age of the membership data is unknown, so it is
-    /// discarded.
+    /// Checks whether the process has paused. After a pause the age of the membership data is unknown, so
+    /// it is discarded.
     pub(crate) fn check_for_pause(&self) {
         if let Some(pause) = self.pause.check() {
             warn!(self.log, "process was paused, asking for updates"; "paused_ms" => millis(pause),
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -123,8 +123,8 @@
         self.propagate(content, merged, "response");
     }
 
-    /// Records that a stage runner has answered a call; `complete` lists the requests whose pieces are all made
-    /// now.
+    /// Records that a stage runner has answered a call; `complete` lists the requests whose pieces are all
+    /// made now.
     pub(crate) fn record_batch_answer(self: &Arc<Self>, runner: &Runner, complete: Vec<ContentId>) {
         {
             let mut known = lock(&self.quarantine.known);
@@ -149,8 +149,8 @@
         read(&lock(&self.quarantine.known))
     }
 
-    /// Forwards new information on a suspect, so that it reaches all linked processes, and schedules an update
-    /// of the request's row.
+    /// Forwards new information on a suspect, so that it reaches all linked processes, and schedules an
+    /// update of the request's row.
     fn propagate(self: &Arc<Self>, content: ContentId, merged: Merge, origin: &str) {
         let Merge::New { was_held, is_held } = merged else {
             return;
@@ -243,8 +243,8 @@
     }
 }
 
-/// Remaining quarantine time of one of a request's contents, if it is quarantined. Marks the content as requested, so
-/// that it does not expire.
+/// Remaining quarantine time of one of a request's contents, if it is quarantined. Marks the content as
+/// requested, so that it does not expire.
 fn remaining_quarantine<D: Downstream>(job: &Job<D>, content: ContentId) -> Option<Duration> {
     let Admission::Held(remaining) = job.relay.admission(content) else {
         return None;
@@ -290,8 +290,8 @@
 
 /// Delays a suspect request until enough runners of its service are up to risk one of them.
 ///
-/// Each attempt may crash another runner. Without the delay, a single request can crash all runners of a small
-/// service, which then serves nobody until one has restarted.
+/// Each attempt may crash another runner. Without the delay, a single request can crash all runners of a
+/// small service, which then serves nobody until one has restarted.
 ///
 /// # Errors
 ///
@@ -359,8 +359,8 @@
     format!("{PREFIX}{}", content_name(content))
 }
 
-/// Applies a changed row of the membership table if it is that of a quarantined request, and returns whether it
-/// is.
+/// Applies a changed row of the membership table if it is that of a quarantined request, and returns
+/// whether it is.
 pub(crate) fn apply_row<D: Downstream>(relay: &Arc<Relay<D>>, change: &store::Change) -> bool {
     let Some(name) = change.key.strip_prefix(PREFIX) else {
         return false;
@@ -425,7 +425,8 @@
     }
 }
 
-/// The transaction that brings a request's row up to date; it deletes the row unless the request is quarantined.
+/// The transaction that brings a request's row up to date; it deletes the row unless the request is
+/// quarantined.
 fn row_update<D: Downstream>(relay: &Relay<D>, content: ContentId) -> Transaction {
     let report = lock(&relay.quarantine.known).report(content, relay.now());
     let quarantined = report.filter(Report::is_held);
--- a/crates/relay/src/quarantine/silence.rs
+++ b/crates/relay/src/quarantine/silence.rs
@@ -26,8 +26,8 @@
         lock(&self.quarantine.known).runner_observed(&instance(runner), at);
     }
 
-    /// Probes runners that seem unresponsive during a request. A runner may be slow for that request only, and
-    /// may have served no other request of this process.
+    /// Probes runners that seem unresponsive during a request. A runner may be slow for that request only,
+    /// and may have served no other request of this process.
     pub(super) fn check_silent(self: &Arc<Self>, report: &Suspicion) {
         let silent = report.silences.iter();
         let listed = silent.filter_map(|silence| self.runner(&silence.runner.0));
@@ -57,8 +57,9 @@
     /// Records that a request has waited so long for a runner, since it was sent, that the runner counts as
     /// unresponsive if it has sent nothing at all in that time.
     ///
-    /// The finding is announced to all processes once several runners are unresponsive. Before that it is sent to
-    /// the one process that counts them, since each attempt of a client may reach a different process.
+    /// The finding is announced to all processes once several runners are unresponsive. Before that it is
+    /// sent to the one process that counts them, since each attempt of a client may reach a different
+    /// process.
     pub(crate) fn record_overdue(
         self: &Arc<Self>,
         content: ContentId,
--- a/crates/relay/src/region.rs
+++ b/crates/relay/src/region.rs
@@ -12,8 +12,8 @@
         self.restrictions().next().is_some()
     }
 
-    /// Runners of the service outside the allowed regions. If both route and workspace restrict the regions, a
-    /// runner must satisfy both.
+    /// Runners of the service outside the allowed regions. If both route and workspace restrict the
+    /// regions, a runner must satisfy both.
     pub(crate) fn runners_outside_regions(&self) -> Vec<RunnerId> {
         if !self.is_region_restricted() {
             return Vec::new();
--- a/crates/relay/src/runner.rs
+++ b/crates/relay/src/runner.rs
@@ -99,8 +99,9 @@
         affected
     }
 
-    /// The runner that, according to a change, has exited without announcing it: its entry is gone, or shows a later
-    /// start. A runner that shuts down announces it first, or loses its entry while it still serves.
+    /// The runner that, according to a change, has exited without announcing it: its entry is gone, or
+    /// shows a later start. A runner that shuts down announces it first, or loses its entry while it still
+    /// serves.
     #[must_use]
     pub fn exited_runner(&self, change: &Change) -> Option<&Arc<Runner>> {
         match change {
--- a/crates/relay/src/warmup.rs
+++ b/crates/relay/src/warmup.rs
@@ -69,8 +69,8 @@
 
     /// Marks a runner as cold when the drain of its failure domain ends.
     ///
-    /// The runner may have been restarted during the drain, which its entry shows only after its next heartbeat.
-    /// Until then all processes would prefer it, since it is idle.
+    /// The runner may have been restarted during the drain, which its entry shows only after its next
+    /// heartbeat. Until then all processes would prefer it, since it is idle.
     pub(crate) fn mark_cold_after_drain(&self, runner: &Runner) {
         let Some(warmup) = self.warmup(&runner.service) else {
             return;
@@ -82,11 +82,11 @@
         self.configuration()?.services.get(service)?.warmup
     }
 
-    /// Cold runners of a service that this process must not send to now, since they are assigned to other processes
-    /// or it has sent them a request just before.
+    /// Cold runners of a service that this process must not send to now, since they are assigned to other
+    /// processes or it has sent them a request just before.
     ///
-    /// The other cold runners compete with the warm ones. If cold runners were used only when none is warm, they
-    /// would be idle beside a few overloaded ones while most of a service restarts.
+    /// The other cold runners compete with the warm ones. If cold runners were used only when none is warm,
+    /// they would be idle beside a few overloaded ones while most of a service restarts.
     pub(crate) fn throttled(&self, service: &ServiceId) -> Vec<RunnerId> {
         let naive = self.options.policy.warmup == Policy::Naive;
         let Some(warmup) = self.warmup(service).filter(|_| !naive) else {
@@ -119,7 +119,8 @@
         };
         let mut ids: Vec<RunnerId> = self.fleet(ids).unwrap_or_default();
         let now = Instant::now();
-        // The lock of the fleet is not held here. Where entries are applied, it is taken before that of the warm-ups.
+        // The lock of the fleet is not held here. Where entries are applied, it is taken before that of the
+        // warm-ups.
         let warmups = lock(&self.warmups);
         ids.retain(|id| warmups.is_cold(id, now));
         ids
--- a/crates/relay/tests/allowed_regions.rs
+++ b/crates/relay/tests/allowed_regions.rs
@@ -7,8 +7,8 @@
 use relay::runner::{Change, Runner};
 use relay::{Answer, Body};
 
-/// Serves a request at a relay with a runner in each of the regions `north` and `south` and one whose region is
-/// unknown. `route` and `workspace` list the regions that they allow.
+/// Serves a request at a relay with a runner in each of the regions `north` and `south` and one whose
+/// region is unknown. `route` and `workspace` list the regions that they allow.
 async fn serve(route: &[&str], workspace: &[&str]) -> (Fake, Answer) {
     let fake = Fake::default();
     let relay = with_regions(fake.clone(), &[("a", "north"), ("b", "south")]);
@@ -55,8 +55,8 @@
     fake.sent().into_iter().map(|sent| sent.runner).collect()
 }
 
-/// Guards against requests that run outside their allowed regions because runners are idle there: the workspace's
-/// owner may be legally bound to keep its data in the region.
+/// Guards against requests that run outside their allowed regions because runners are idle there: the
+/// workspace's owner may be legally bound to keep its data in the region.
 #[tokio::test]
 async fn runs_in_allowed_region() {
     for (route, workspace) in [
@@ -70,8 +70,8 @@
     }
 }
 
-/// Route and workspace have no allowed region in common, or none that has a runner. The client must be told so, and
-/// that the request has not run.
+/// Route and workspace have no allowed region in common, or none that has a runner. The client must be told
+/// so, and that the request has not run.
 #[tokio::test]
 async fn no_common_region() {
     for (route, workspace) in [(&["north"][..], &["south"][..]), (&["west"], &[])] {
--- a/crates/relay/tests/common/configurations.rs
+++ b/crates/relay/tests/common/configurations.rs
@@ -11,8 +11,8 @@
     configuration_of(version, more)
 }
 
-/// A configuration with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a stream that
-/// is not resumable), `/staged/` (one stage) and `/chained/` (two).
+/// A configuration with routes of each kind: `/unsafe/`, `/safe/`, `/stream/` (resumable), `/once/` (a
+/// stream that is not resumable), `/staged/` (one stage) and `/chained/` (two).
 pub(crate) fn configuration(version: u64) -> Configuration {
     configuration_of(version, [])
 }
--- a/crates/relay/tests/common/faults.rs
+++ b/crates/relay/tests/common/faults.rs
@@ -176,7 +176,8 @@
         (!self.has_exited(runner)).then_some(()).ok_or(refused)
     }
 
-    /// Waits until the work on a call stops, because the runner fails or the call's own fault `cause` takes effect.
+    /// Waits until the work on a call stops, because the runner fails or the call's own fault `cause` takes
+    /// effect.
     pub(crate) async fn wait_for_failure(&self, runner: &str, cause: Option<Cause>) -> Effect {
         if self.is_healthy(runner)
             && let Some((effect, request)) = cause
@@ -221,8 +222,8 @@
         }
     }
 
-    /// Wraps a response body so that it is cut off when the runner fails, or when the request's own fault `cause`
-    /// takes effect.
+    /// Wraps a response body so that it is cut off when the runner fails, or when the request's own fault
+    /// `cause` takes effect.
     pub(crate) fn guard(&self, runner: &str, parts: Parts, cause: Option<Cause>) -> Parts {
         let parts: Parts = match &cause {
             Some(_) => Box::pin(parts.chain(stream::pending())),
--- a/crates/relay/tests/common/poison.rs
+++ b/crates/relay/tests/common/poison.rs
@@ -107,8 +107,8 @@
     busy
 }
 
-/// Starts innocent attempts and then others while all runners are busy, so that their pieces share a call. Returns
-/// the replies to the innocent attempts and the tasks of the others.
+/// Starts innocent attempts and then others while all runners are busy, so that their pieces share a call.
+/// Returns the replies to the innocent attempts and the tasks of the others.
 pub(crate) async fn share_call(
     relay: &Arc<Relay<Fake>>,
     round: usize,
@@ -174,8 +174,8 @@
     relay.is_quarantined(attempt("x", text).content(Some(WORKSPACE)))
 }
 
-/// A relay with `stage` runners of the stage and `plain` runners of the model that serve each request, but at least
-/// two of each.
+/// A relay with `stage` runners of the stage and `plain` runners of the model that serve each request, but
+/// at least two of each.
 pub(crate) fn relay(stage: usize, plain: usize) -> Arc<Relay<Fake>> {
     let relay = ready(fake());
     add_runners(&relay, stage, plain);
@@ -189,8 +189,8 @@
     fake
 }
 
-/// Adds runners to the two of each service. Addresses are derived from names, which are chosen so that those of the
-/// stage differ from all others.
+/// Adds runners to the two of each service. Addresses are derived from names, which are chosen so that
+/// those of the stage differ from all others.
 pub(crate) fn add_runners(relay: &Relay<Fake>, stage: usize, plain: usize) {
     let stages = (3..=stage).map(|number| runner(&format!("s-{number}"), "stage"));
     let plains = (3..=plain).map(|number| runner(&format!("a-{number}"), "plain"));
--- a/crates/relay/tests/configuration_rules.rs
+++ b/crates/relay/tests/configuration_rules.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// An older configuration arrives late, from a slow store or a peer. It must not replace the newer one: revoked keys
-/// would work again.
+/// An older configuration arrives late, from a slow store or a peer. It must not replace the newer one:
+/// revoked keys would work again.
 #[tokio::test(start_paused = true)]
 async fn older_version_ignored() {
     let replies = vec![
@@ -36,8 +36,8 @@
     );
 }
 
-/// A process that has just started has no configuration. It must not respond that a route or key does not exist, since
-/// clients would not retry.
+/// A process that has just started has no configuration. It must not respond that a route or key does not
+/// exist, since clients would not retry.
 #[tokio::test(start_paused = true)]
 async fn not_ready() {
     let relay = unconfigured(Fake::default());
@@ -86,8 +86,8 @@
     );
 }
 
-/// A request whose pieces cannot be made before its deadline is refused at once rather than at its timeout, so that the
-/// client can go elsewhere.
+/// A request whose pieces cannot be made before its deadline is refused at once rather than at its timeout,
+/// so that the client can go elsewhere.
 #[tokio::test(start_paused = true)]
 async fn refused_at_once() {
     let relay = ready(Fake::default());
@@ -112,8 +112,8 @@
     assert!(configuration.route("host", "/safe").is_none());
 }
 
-/// A client that retries after a refusal has a shorter timeout than others of its route. Its request is already late, so
-/// its pieces come after those of requests that can still be on time.
+/// A client that retries after a refusal has a shorter timeout than others of its route. Its request is
+/// already late, so its pieces come after those of requests that can still be on time.
 #[tokio::test(start_paused = true)]
 async fn retry_detected() {
     let relay = ready(Fake::default());
@@ -124,9 +124,9 @@
     assert_eq!(relay.waited_before("other", left), Duration::ZERO);
 }
 
-/// Clients state their remaining time in milliseconds, and one that has just connected has a few less than one with an
-/// open connection. It must not count as a retry: nearly all first attempts would come after the few with the
-/// longest timeout.
+/// Clients state their remaining time in milliseconds, and one that has just connected has a few less than
+/// one with an open connection. It must not count as a retry: nearly all first attempts would come after
+/// the few with the longest timeout.
 #[tokio::test(start_paused = true)]
 async fn first_attempts_differ() {
     let relay = ready(Fake::default());
@@ -136,8 +136,8 @@
     assert_eq!(relay.waited_before("staged", connected), Duration::ZERO);
 }
 
-/// Timeouts of clients on one route differ by a seventh. If the difference counted as time already waited, every second
-/// request would be late on arrival, and refused in a burst although there is capacity for it.
+/// Timeouts of clients on one route differ by a seventh. If the difference counted as time already waited,
+/// every second request would be late on arrival, and refused in a burst although there is capacity for it.
 #[tokio::test(start_paused = true)]
 async fn timeouts_differ() {
     let relay = ready(Fake::default());
@@ -151,9 +151,9 @@
     assert_eq!(waited, Duration::from_secs(2));
 }
 
-/// Two workspaces send requests on routes of different ranks. Without the route's rank, all requests of workspaces of
-/// one rank would be equally urgent. If the workspace's rank did not come first, an urgent workspace would wait
-/// behind the urgent routes of others.
+/// Two workspaces send requests on routes of different ranks. Without the route's rank, all requests of
+/// workspaces of one rank would be equally urgent. If the workspace's rank did not come first, an urgent
+/// workspace would wait behind the urgent routes of others.
 #[test]
 fn ranks_combine() {
     let route = |name: &str, rank| Route {
@@ -184,8 +184,8 @@
     assert_eq!(ranks, [0, 1, 2, 3]);
 }
 
-/// A configuration has more pairs of ranks than there are ranks. Their order must be preserved, and no rank may exceed
-/// the last one, since runners would not understand it.
+/// A configuration has more pairs of ranks than there are ranks. Their order must be preserved, and no rank
+/// may exceed the last one, since runners would not understand it.
 #[test]
 fn many_ranks() {
     let shape = configuration(1);
@@ -211,8 +211,8 @@
     assert_eq!((ranks.first(), ranks.last()), (Some(&0), Some(&LAST_RANK)));
 }
 
-/// The process is about to exit while a request still waits for its stages. The client must be replies that the request
-/// has not run, which a closed connection would not tell.
+/// The process is about to exit while a request still waits for its stages. The client must be replies that
+/// the request has not run, which a closed connection would not tell.
 #[tokio::test(start_paused = true)]
 async fn process_exits() {
     let fake = Fake::default();
--- a/crates/relay/tests/exited_runner.rs
+++ b/crates/relay/tests/exited_runner.rs
@@ -1,4 +1,5 @@
-//! Runners that have exited but are still listed by the platform, and poison requests in services of few runners.
+//! Runners that have exited but are still listed by the platform, and poison requests in services of few
+//! runners.
 
 mod common;
 
@@ -62,8 +63,8 @@
     sent.iter().filter(|call| call.runner == id).count()
 }
 
-/// Guards against requests that use up their attempts because each of them is first sent to runners that have exited;
-/// the platform lists these for three more seconds.
+/// Guards against requests that use up their attempts because each of them is first sent to runners that
+/// have exited; the platform lists these for three more seconds.
 #[tokio::test(start_paused = true)]
 async fn detected_once() {
     let relay = relay(4);
@@ -95,7 +96,8 @@
     assert!(sent_to(&relay, "p-1") > before);
 }
 
-/// Guards against clients that wait, or are told to retry at once, although all runners are known to have exited.
+/// Guards against clients that wait, or are told to retry at once, although all runners are known to have
+/// exited.
 #[tokio::test(start_paused = true)]
 async fn none_left() {
     let relay = relay(2);
@@ -125,8 +127,9 @@
     })]);
 }
 
-/// Retries a poison request as soon as possible, while runners restart some seconds after they crash. Returns the
-/// smallest number of runners that were up, and the number of other requests that were not served.
+/// Retries a poison request as soon as possible, while runners restart some seconds after they crash.
+/// Returns the smallest number of runners that were up, and the number of other requests that were not
+/// served.
 async fn beside_poison(runners: usize) -> (usize, usize) {
     let relay = relay(runners);
     *relay.downstream.crash_body.lock().expect("free") = Some(POISON.into());
--- a/crates/relay/tests/poison_multiple_sites.rs
+++ b/crates/relay/tests/poison_multiple_sites.rs
@@ -37,8 +37,8 @@
     attempt_on(route, &format!("{prefix}-{number}"), POISON)
 }
 
-/// Retries the poison request next to innocent ones. Asserts that all innocent ones are served, and that no place
-/// loses more runners than it takes to quarantine the request.
+/// Retries the poison request next to innocent ones. Asserts that all innocent ones are served, and that no
+/// place loses more runners than it takes to quarantine the request.
 async fn assert_bounded(relay: &Arc<Relay<Fake>>, route: &str) {
     let innocent = async {
         retry_for(relay, RETRY_PERIOD, |number| {
@@ -61,7 +61,8 @@
     assert!(!failures.is_empty());
 }
 
-/// Guards against a successful first stage that clears a request which crashes the runners of its second stage.
+/// Guards against a successful first stage that clears a request which crashes the runners of its second
+/// stage.
 #[tokio::test(start_paused = true)]
 async fn second_stage() {
     let relay = relay_with_faults([FaultSite::Stage(1), FaultSite::Stage(1)]);
@@ -75,8 +76,8 @@
     assert_bounded(&relay, "chained").await;
 }
 
-/// Guards against separate crash counts for a request's stage and its model, and against pieces that are made for a
-/// request that crashes the runners of the model.
+/// Guards against separate crash counts for a request's stage and its model, and against pieces that are
+/// made for a request that crashes the runners of the model.
 #[tokio::test(start_paused = true)]
 async fn stage_and_model() {
     let relay = relay_with_faults([FaultSite::Stage(0), FaultSite::Model]);
--- a/crates/relay/tests/poison_pieces.rs
+++ b/crates/relay/tests/poison_pieces.rs
@@ -90,8 +90,8 @@
     assert!(INNOCENT.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
-/// Guards against innocent pieces that are not sent again soon after the crash of their runner, or only once the
-/// poison request is no longer retried.
+/// Guards against innocent pieces that are not sent again soon after the crash of their runner, or only
+/// once the poison request is no longer retried.
 #[tokio::test(start_paused = true)]
 async fn innocent_pieces_resent() {
     let relay = relay(STAGE_RUNNERS, 2);
@@ -118,7 +118,8 @@
     assert!(longest <= MAX_RESEND_TIME, "{longest:?}");
 }
 
-/// Guards against requests that are quarantined because runners crashed by chance while serving full calls of them.
+/// Guards against requests that are quarantined because runners crashed by chance while serving full calls
+/// of them.
 #[tokio::test(start_paused = true)]
 async fn chance_crashes() {
     const ROUNDS: usize = 6;
@@ -147,8 +148,8 @@
     assert!(TEXTS.iter().all(|text| !is_quarantined(&relay, text)));
 }
 
-/// Guards against a single request that crashes all three runners of a stage, and against clients that wait for
-/// their whole timeout because no runner may be risked for their request.
+/// Guards against a single request that crashes all three runners of a stage, and against clients that wait
+/// for their whole timeout because no runner may be risked for their request.
 #[tokio::test(start_paused = true)]
 async fn last_runner_spared() {
     let relay = relay(3, 2);
@@ -222,8 +223,8 @@
     assert_served(&[serve(&relay, attempt("one-last", "one")).await]);
 }
 
-/// Guards against a request of several calls of which only one crashes runners: the successful calls must not clear
-/// the request.
+/// Guards against a request of several calls of which only one crashes runners: the successful calls must
+/// not clear the request.
 #[tokio::test(start_paused = true)]
 async fn one_poison_piece() {
     let relay = relay(STAGE_RUNNERS, 2);
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -45,8 +45,8 @@
     relay
 }
 
-/// Serves an attempt whose stream is cut off by its runner. Returns the status and the runner, if one was sent the
-/// request.
+/// Serves an attempt whose stream is cut off by its runner. Returns the status and the runner, if one was
+/// sent the request.
 async fn serve_cut_off(relay: &Arc<Relay<Fake>>, request: Request) -> (u16, Option<String>) {
     let crash = Behavior::Stream {
         parts: vec!["id: 1\ndata: x\n\n"],
@@ -70,8 +70,8 @@
     (status, runner)
 }
 
-/// A client retries a poison request, each time under a new name. A relay that took each attempt for a new request would
-/// crash one runner after the other, and interrupt all other requests there.
+/// A client retries a poison request, each time under a new name. A relay that took each attempt for a new
+/// request would crash one runner after the other, and interrupt all other requests there.
 #[tokio::test(start_paused = true)]
 async fn quarantined_after_crashes() {
     let relay = relay();
@@ -119,8 +119,8 @@
     relay
 }
 
-/// The platform lists a runner for three seconds after its exit. A relay that waited for the list would let the request
-/// crash four more runners.
+/// The platform lists a runner for three seconds after its exit. A relay that waited for the list would let
+/// the request crash four more runners.
 #[tokio::test(start_paused = true)]
 async fn quarantined_while_listed() {
     let relay = relay();
@@ -141,8 +141,8 @@
     assert_eq!(serve_innocent(&relay).await, 200);
 }
 
-/// Runners cut off responses but keep running. A popular request must not be refused for a minute for this, since
-/// nothing is wrong with it.
+/// Runners cut off responses but keep running. A popular request must not be refused for a minute for this,
+/// since nothing is wrong with it.
 #[tokio::test(start_paused = true)]
 async fn runners_survive() {
     let relay = relay();
@@ -181,8 +181,8 @@
     assert!(!is_quarantined(&relay).await);
 }
 
-/// A runner shuts down as planned and cuts off its remaining streams when it exits. It has announced its shutdown and
-/// lost its entry before.
+/// A runner shuts down as planned and cuts off its remaining streams when it exits. It has announced its
+/// shutdown and lost its entry before.
 #[tokio::test(start_paused = true)]
 async fn left_before() {
     let relay = relay();
@@ -222,8 +222,8 @@
     assert!(is_quarantined(&relay).await);
 }
 
-/// Two runners have crashed during a request, and a third one crashes while the next attempt waits for its stages. The
-/// attempt must not be sent to a runner when they are made.
+/// Two runners have crashed during a request, and a third one crashes while the next attempt waits for its
+/// stages. The attempt must not be sent to a runner when they are made.
 #[tokio::test(start_paused = true)]
 async fn quarantined_after_stages() {
     let relay = relay();
@@ -250,8 +250,8 @@
     assert!(relay.downstream.sent().is_empty());
 }
 
-/// A request is quarantined although it was not the cause, or the fault has been fixed. One trial is let through after a
-/// while, and its success clears the request.
+/// A request is quarantined although it was not the cause, or the fault has been fixed. One trial is let
+/// through after a while, and its success clears the request.
 #[tokio::test(start_paused = true)]
 async fn cleared_by_trial() {
     let relay = relay_with_quarantine().await;
@@ -275,8 +275,8 @@
     assert!((1..=3).contains(&exited), "{exited}");
 }
 
-/// A poison request crashes all runners of a small service one after the other while a popular request runs at each of
-/// them. The popular request must be served again within seconds.
+/// A poison request crashes all runners of a small service one after the other while a popular request runs
+/// at each of them. The popular request must be served again within seconds.
 #[tokio::test(start_paused = true)]
 async fn popular_next_to_poison() {
     let relay = relay_with_quarantine().await;
@@ -303,8 +303,8 @@
     vec![(name.leak(), value)]
 }
 
-/// All processes were killed. A process that has just started cannot learn of the quarantine from others, but does so
-/// from the table.
+/// All processes were killed. A process that has just started cannot learn of the quarantine from others,
+/// but does so from the table.
 #[tokio::test(start_paused = true)]
 async fn known_after_start() {
     let relay = relay();
@@ -346,8 +346,8 @@
     keeping.abort();
 }
 
-/// Each attempt reaches a different process, which sees one runner crash. None of them alone would quarantine the
-/// request.
+/// Each attempt reaches a different process, which sees one runner crash. None of them alone would
+/// quarantine the request.
 #[tokio::test]
 async fn announced_by_peers() {
     let relay = relay();
--- a/crates/relay/tests/poison_silence.rs
+++ b/crates/relay/tests/poison_silence.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Asserts that no innocent attempt was refused, and that all were served except those that met an unresponsive
-/// runner of the model.
+/// Asserts that no innocent attempt was refused, and that all were served except those that met an
+/// unresponsive runner of the model.
 fn assert_innocent_unaffected(relay: &Relay<Fake>, replies: &[Reply]) {
     let silent: Vec<String> = failures(relay)
         .into_iter()
@@ -95,21 +95,22 @@
     );
 }
 
-/// Guards against a request that makes one runner after the other unresponsive before the platform stops listing the
-/// first one.
+/// Guards against a request that makes one runner after the other unresponsive before the platform stops
+/// listing the first one.
 #[tokio::test(start_paused = true)]
 async fn short_timeout() {
     assert_bounded(FaultSite::Model, SHORT_TIMEOUT, RETRY_PERIOD).await;
 }
 
-/// Guards against unresponsive runners that are removed from the list while their clients still wait, so that the
-/// responses are recorded as lost only afterwards.
+/// Guards against unresponsive runners that are removed from the list while their clients still wait, so
+/// that the responses are recorded as lost only afterwards.
 #[tokio::test(start_paused = true)]
 async fn unlisted_before_timeout() {
     assert_bounded(FaultSite::Model, LONG_TIMEOUT, SLOW_RETRY_PERIOD).await;
 }
 
-/// Guards against runners that become unresponsive in the middle of a stream, which is recorded as lost equally late.
+/// Guards against runners that become unresponsive in the middle of a stream, which is recorded as lost
+/// equally late.
 #[tokio::test(start_paused = true)]
 async fn silent_stream() {
     assert_bounded(FaultSite::Answer, SHORT_TIMEOUT, RETRY_PERIOD).await;
@@ -145,8 +146,8 @@
     assert_few_failures(&relay);
 }
 
-/// Guards against a popular request that is quarantined because it times out at many runners, which are merely slow
-/// for it and still respond to others.
+/// Guards against a popular request that is quarantined because it times out at many runners, which are
+/// merely slow for it and still respond to others.
 #[tokio::test(start_paused = true)]
 async fn slow_runners() {
     let relay = relay(STAGE_RUNNERS, FEW_MODEL_RUNNERS);
@@ -180,8 +181,8 @@
     panic!("{runner} gets no work");
 }
 
-/// Guards against a popular request that is quarantined because runners exited by chance soon after its clients had
-/// timed out there, although they had responded to other requests in between.
+/// Guards against a popular request that is quarantined because runners exited by chance soon after its
+/// clients had timed out there, although they had responded to other requests in between.
 #[tokio::test(start_paused = true)]
 async fn slow_then_exited() {
     let relay = relay(STAGE_RUNNERS, FEW_MODEL_RUNNERS);
--- a/crates/relay/tests/poison_two_relays.rs
+++ b/crates/relay/tests/poison_two_relays.rs
@@ -18,8 +18,8 @@
 const SHORT_TIMEOUT: Duration = Duration::from_millis(450);
 /// Time for which such a request is retried; too short for a trial to become due.
 const SILENT_RETRY_PERIOD: Duration = Duration::from_secs(5);
-/// Time for which a request is retried at a relay that has just become the owner of the cell. It is long enough for
-/// the runners to restart and too short for a trial to become due.
+/// Time for which a request is retried at a relay that has just become the owner of the cell. It is long
+/// enough for the runners to restart and too short for a trial to become due.
 const NEW_OWNER_RETRY_PERIOD: Duration = Duration::from_secs(4);
 /// Time after which all runners are busy and the innocent requests wait.
 const BUSY_AFTER: Duration = Duration::from_millis(100);
@@ -46,8 +46,8 @@
     attempt(&format!("{POISON}-{number}"), POISON)
 }
 
-/// Guards against a relay that admits a request although the relay that forms its calls knows it to have crashed
-/// three runners.
+/// Guards against a relay that admits a request although the relay that forms its calls knows it to have
+/// crashed three runners.
 #[tokio::test(start_paused = true)]
 async fn announced_to_admitting_relay() {
     let (admitting, owner) =
@@ -67,7 +67,8 @@
     assert_refused(&owner.relay, poison(101)).await;
 }
 
-/// Guards against a request that crashes further runners after the ownership of the cell has moved to another relay.
+/// Guards against a request that crashes further runners after the ownership of the cell has moved to
+/// another relay.
 #[tokio::test(start_paused = true)]
 async fn owner_changes() {
     // The request may crash at max_failures two of four runners before some have restarted.
@@ -113,8 +114,8 @@
     assert_refused(&other.relay, poison(101)).await;
 }
 
-/// Guards against relays that do not announce unresponsive runners, so that a request makes runners unresponsive at
-/// each of them separately.
+/// Guards against relays that do not announce unresponsive runners, so that a request makes runners
+/// unresponsive at each of them separately.
 #[tokio::test(start_paused = true)]
 async fn silenced_via_alternating_relays() {
     let (one, other) = pair_with_fault(FaultSite::Model, Effect::Silent, STAGE_RUNNERS, None).await;
@@ -135,8 +136,8 @@
     assert!((1..=max_failures).contains(&failures.len()), "{failures:?}");
 }
 
-/// Guards against the loss of innocent pieces that the owner of the cell has put into a call with a poison request:
-/// the relay that admitted them must still get their results.
+/// Guards against the loss of innocent pieces that the owner of the cell has put into a call with a poison
+/// request: the relay that admitted them must still get their results.
 #[tokio::test(start_paused = true)]
 async fn shared_call_of_admitting_relay() {
     let (admitting, owner) = pair_with_fault(
--- a/crates/relay/tests/poison_unattributed.rs
+++ b/crates/relay/tests/poison_unattributed.rs
@@ -67,8 +67,8 @@
     );
 }
 
-/// Guards against a piece that crashes each runner of its stage. Calls contain pieces of several requests, so a crash
-/// does not show which of them caused it.
+/// Guards against a piece that crashes each runner of its stage. Calls contain pieces of several requests,
+/// so a crash does not show which of them caused it.
 #[tokio::test(start_paused = true)]
 async fn poison_piece() {
     let relay = relay();
--- a/crates/relay/tests/runner_limit.rs
+++ b/crates/relay/tests/runner_limit.rs
@@ -24,7 +24,8 @@
     relay.downstream.sent().len() - before
 }
 
-/// Both runners ask for a limit of one request per second. Neither gets more than that on average, whatever the load.
+/// Both runners ask for a limit of one request per second. Neither gets more than that on average, whatever
+/// the load.
 #[tokio::test(start_paused = true)]
 async fn limit_kept() {
     let relay = limited().await;
@@ -81,8 +82,8 @@
     assert!(load(&relay, Duration::from_secs(1)).await >= 20);
 }
 
-/// In a large fleet only a few processes send to a limited runner. The others learn from these that the limit has
-/// ended, since they get no responses from the runner.
+/// In a large fleet only a few processes send to a limited runner. The others learn from these that the
+/// limit has ended, since they get no responses from the runner.
 #[tokio::test]
 async fn announced_by_peers() {
     let relay = ready(Fake::default());
--- a/crates/relay/tests/staleness_budget.rs
+++ b/crates/relay/tests/staleness_budget.rs
@@ -6,8 +6,8 @@
 /// Time between two confirmations that nothing has changed, in normal operation.
 const CONFIRMATION_PERIOD: Duration = Duration::from_secs(1);
 
-/// Guards against delays that are increased or added and whose sum then exceeds the bound. The tested levels are those
-/// of fleets of up to 1,000 processes.
+/// Guards against delays that are increased or added and whose sum then exceeds the bound. The tested
+/// levels are those of fleets of up to 1,000 processes.
 #[test]
 fn bound_kept() {
     for bound in [3, 4, 5, 10].map(Duration::from_secs) {
@@ -18,8 +18,8 @@
     }
 }
 
-/// Guards against processes that read the tables themselves in normal operation, because they trust others for less
-/// time than lies between two confirmations.
+/// Guards against processes that read the tables themselves in normal operation, because they trust others
+/// for less time than lies between two confirmations.
 #[test]
 fn confirmations_suffice() {
     for bound in [3, 4, 5, 10].map(Duration::from_secs) {
