--- a/crates/agent/src/models.rs
+++ b/crates/agent/src/models.rs
@@ -3,7 +3,7 @@
 use crate::answer;
 use crate::runner::Runner;
 use hyper::StatusCode;
-use protocol::fence::{Fence, Verdict};
+use protocol::fence::{Decision, Fence};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -61,10 +61,10 @@
 
     /// Checks a fencing token. An order that passes is in progress from then on; without an order,
     /// only the token is raised.
-    pub(crate) fn admit(&self, token: protocol::FencingToken, order: Option<&[u8]>) -> Verdict {
+    pub(crate) fn admit(&self, token: protocol::FencingToken, order: Option<&[u8]>) -> Decision {
         let mut state = self.lock();
         let decision = state.fence.admit(token);
-        if decision == Verdict::Pass
+        if decision == Decision::Pass
             && let Some(order) = order
         {
             state.order = serde_json::from_slice(order).ok();
