--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,17 +1,17 @@
 //! Claims on idempotency keys.
 
 use crate::config::rows;
-use crate::writes::{Fate, Place, Writes};
+use crate::writes::{RowKey, WriteOutcome, Writes};
 use protocol::RequestId;
 use protocol::claim::{self, Action, Claim, Decision, Event, StoredRow};
 use std::time::Duration;
 use store::table::RowRevision;
 use store::{Objects, Row, Table};
 
-/// Table of claims.
+/// Table that stores claims.
 pub const CLAIMS: &str = "claim";
-/// Pause before a release or answer that could not be written is tried again.
-const LATER: Duration = Duration::from_millis(500);
+/// Delay before a failed write of a release or answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Claims of one entry.
 #[derive(Clone, Debug)]
@@ -20,30 +20,30 @@
     writes: Writes,
 }
 
-/// A request's claim that was settled for its caller.
+/// The claim of a request whose verdict is known.
 #[derive(Debug)]
-pub struct Settled {
+pub struct SettledClaim {
     claim: Claim,
     key: String,
-    /// What the caller is told, or whether the request may run.
+    /// Whether the request may run, or what its caller is told instead.
     pub decision: Decision,
 }
 
-impl Settled {
-    /// Whether the row needs no more writes.
+impl SettledClaim {
+    /// Whether the row needs no further writes.
     pub fn is_settled(&self) -> bool {
         self.claim.is_settled()
     }
 }
 
-/// Key of a claim's row. Workspaces are kept apart by a length, so that no name can be made to
-/// meet another workspace's keys.
+/// Returns the key of a claim's row. The length prefix keeps workspaces apart: no workspace name
+/// can be chosen so that its keys collide with those of another one.
 fn row_key(workspace: &str, key: &str) -> String {
     format!("{}:{workspace}:{key}", workspace.len())
 }
 
 impl<P: Table + Objects> Claims<P> {
-    /// Claims that are written through this queue.
+    /// Creates claims that are written through this queue.
     pub fn new(platform: P, writes: Writes) -> Self {
         Self { platform, writes }
     }
@@ -55,40 +55,40 @@
         key: &str,
         request: RequestId,
         digest: u64,
-    ) -> Settled {
+    ) -> SettledClaim {
         let key = row_key(workspace, key);
         let (mut claim, mut action) = Claim::open(rand::random(), request, digest);
         loop {
             match action {
                 Action::Resolve(decision) => {
-                    return Settled {
+                    return SettledClaim {
                         claim,
                         key,
                         decision,
                     };
                 }
                 action_now => {
-                    let event = self.carry_out(&key, action_now).await;
+                    let event = self.execute(&key, action_now).await;
                     action = claim.on(event);
                 }
             }
         }
     }
 
-    /// Brings the row to its last state, for as long as it takes: the key would otherwise stay
-    /// claimed by a request that has ended, and its next caller would be told *unknown*.
-    pub async fn close(&self, mut settled: Settled, event: Event) {
+    /// Writes the final state of the row, retrying for as long as it takes. Otherwise, the key
+    /// would stay claimed by a request that has ended, and its next caller would be told *unknown*.
+    pub async fn close(&self, mut settled: SettledClaim, event: Event) {
         let mut action = settled.claim.on(event);
         while !settled.claim.is_settled() {
             if action == Action::RetryLater {
-                tokio::time::sleep(LATER).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            let event = self.carry_out(&settled.key, action).await;
+            let event = self.execute(&settled.key, action).await;
             action = settled.claim.on(event);
         }
     }
 
-    async fn carry_out(&self, key: &str, action: Action) -> Event {
+    async fn execute(&self, key: &str, action: Action) -> Event {
         match action {
             Action::Write { check, row } => self.write(key, check, row).await,
             Action::Read => self.read(key).await,
@@ -97,27 +97,27 @@
     }
 
     async fn write(&self, key: &str, check: Option<RowRevision>, row: claim::Row) -> Event {
-        let place = Place {
+        let place = RowKey {
             table: CLAIMS,
             key: key.to_owned(),
         };
         match self.writes.write(place, check, Some(&row)).await {
-            Fate::Written(revision) => Event::Written(revision),
-            Fate::Conflict(row) => found(row),
-            Fate::Unavailable => Event::Unavailable,
-            Fate::Unsure => Event::Unsure,
+            WriteOutcome::Written(revision) => Event::Written(revision),
+            WriteOutcome::Conflict(row) => found_event(row),
+            WriteOutcome::Unavailable => Event::Unavailable,
+            WriteOutcome::Unsure => Event::Unsure,
         }
     }
 
     async fn read(&self, key: &str) -> Event {
         match self.platform.read(CLAIMS, key).await {
-            Ok(row) => found(row),
+            Ok(row) => found_event(row),
             Err(_) => Event::Unavailable,
         }
     }
 }
 
-fn found(row: Option<Row>) -> Event {
+fn found_event(row: Option<Row>) -> Event {
     let Some(row) = row else {
         return Event::Found(None);
     };
--- a/crates/entry/src/journal/row.rs
+++ b/crates/entry/src/journal/row.rs
@@ -11,22 +11,22 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Numbers of attempts that each entry which runs a request has to itself; a stage is given up long
-/// before it has had so many.
-const ATTEMPTS: Attempt = 1 << 10;
+/// Size of the range of attempt numbers that each entry uses for a request; a stage is given up
+/// long before it has made as many attempts.
+const ATTEMPTS_PER_ENTRY: Attempt = 1 << 10;
 
-/// All that another entry needs to run the request.
+/// All data that another entry needs to run the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Life of the entry that runs the request.
+pub struct JournalEntry {
+    /// Incarnation of the entry that runs the request.
     pub owner: String,
     /// Number of times that the row was rewritten.
     pub beat: u64,
     /// Number of entries that ran the request before.
     pub takeovers: u16,
-    /// Pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Its version.
+    /// Version of the pipeline.
     pub version: Version,
     /// Workspace of the caller.
     pub workspace: String,
@@ -36,26 +36,26 @@
     pub input: String,
     /// Whether the caller wants a stream.
     pub streamed: bool,
-    /// When the answer is due, in milliseconds since 1970 by the clock of the entry that accepted
-    /// it; it only decides what counts as late.
+    /// Due time of the answer in milliseconds since the Unix epoch, by the clock of the entry that
+    /// accepted the request; it only decides whether the answer counts as late.
     pub due_ms: u64,
 }
 
-/// Key of a request's row.
+/// Returns the key of a request's row.
 #[must_use]
 pub fn key(request: RequestId) -> String {
     format_id(request)
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     })
 }
 
-impl Entry {
-    /// The row of a job that this owner runs.
+impl JournalEntry {
+    /// Creates the row of a job that `owner` runs.
     #[must_use]
     pub fn new(job: &Job, owner: &str) -> Self {
         let remaining = u64::try_from(job.remaining().as_millis()).unwrap_or(u64::MAX);
@@ -69,11 +69,11 @@
             class: job.class.clone(),
             input: String::from_utf8_lossy(&job.input).into_owned(),
             streamed: job.answer.is_streamed(),
-            due_ms: wall_ms().saturating_add(remaining),
+            due_ms: unix_time_ms().saturating_add(remaining),
         }
     }
 
-    /// The row of the same request at another owner.
+    /// Returns the row of the same request after another owner has taken it over.
     #[must_use]
     pub fn taken_over(self, owner: &str) -> Self {
         Self {
@@ -84,11 +84,11 @@
         }
     }
 
-    /// The job that the row describes, if its pipeline is still in force.
+    /// Returns the job that the row describes, if its pipeline is still in force.
     #[must_use]
     pub fn job(&self, request: RequestId, set: &Arc<RecordSet>) -> Option<Job> {
         let pipeline = set.pipeline(&self.pipeline, self.version)?.clone();
-        let remaining = Duration::from_millis(self.due_ms.saturating_sub(wall_ms()));
+        let remaining = Duration::from_millis(self.due_ms.saturating_sub(unix_time_ms()));
         let now = Instant::now();
         Some(Job {
             id: request,
@@ -99,7 +99,7 @@
             set: set.clone(),
             accepted: now,
             deadline: now + remaining,
-            first_attempt: self.takeovers.wrapping_mul(ATTEMPTS),
+            first_attempt: self.takeovers.wrapping_mul(ATTEMPTS_PER_ENTRY),
             input: Bytes::from(self.input.clone()),
             answer: Arc::new(Answer::new(request, self.streamed)),
         })
--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/stored_answer.rs
@@ -1,6 +1,6 @@
-//! Answers kept in the object store, where every entry finds them.
+//! Answers in the object store, where every entry can read them.
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::caller::format_id;
 use crate::core::{Core, Platform};
 use crate::job::Job;
@@ -11,17 +11,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before an answer that could not be kept is tried again.
-const PAUSE: Duration = Duration::from_millis(500);
-/// How long a stopping entry goes on trying; its callers have their answers.
-const STOPPING: Duration = Duration::from_secs(10);
+/// Delay before a failed write of an answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum time for which a stopping entry retries; its callers already have their answers.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer as it is kept.
+/// The stored form of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// Whether it came after its deadline.
+pub struct StoredAnswer {
+    /// Whether the answer came after its deadline.
     pub late: bool,
-    /// Whether the caller wanted a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
     /// Stage and HTTP status of a failure.
     pub failure: Option<(String, u16)>,
@@ -29,12 +29,12 @@
     pub chunks: Vec<String>,
 }
 
-impl Kept {
-    fn new(job: &Job, end: &End) -> Option<Self> {
+impl StoredAnswer {
+    fn new(job: &Job, outcome: &RequestOutcome) -> Option<Self> {
         let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
-        let (late, failure, chunks) = match end {
-            End::Whole { late } => (*late, None, job.answer.chunks()),
-            End::Failed {
+        let (late, failure, chunks) = match outcome {
+            RequestOutcome::Complete { late } => (*late, None, job.answer.chunks()),
+            RequestOutcome::Failed {
                 stage,
                 status,
                 body,
@@ -49,12 +49,12 @@
         })
     }
 
-    /// How the request ended.
+    /// Returns the outcome of the request.
     #[must_use]
-    pub fn end(&self) -> End {
+    pub fn outcome(&self) -> RequestOutcome {
         match &self.failure {
-            None => End::Whole { late: self.late },
-            Some((stage, status)) => End::Failed {
+            None => RequestOutcome::Complete { late: self.late },
+            Some((stage, status)) => RequestOutcome::Failed {
                 stage: stage.clone(),
                 status: *status,
                 body: Bytes::from(self.chunks.concat()),
@@ -63,11 +63,11 @@
     }
 }
 
-fn name(request: RequestId) -> String {
+fn object_name(request: RequestId) -> String {
     format!("answer-{}", format_id(request))
 }
 
-/// Hash of what a job asks for; the same in every process and build.
+/// Returns a hash of the content of a request, which is the same in every process and build.
 #[must_use]
 pub fn digest(job: &Job) -> u64 {
     let mut hasher = Sha256::new();
@@ -80,29 +80,33 @@
         .fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
 }
 
-/// Keeps a job's answer, for as many attempts as it takes.
-pub async fn store<P: Platform>(core: &Core<P>, job: &Job, end: &End) {
-    let Some(kept) = Kept::new(job, end) else {
+/// Stores a job's answer, retrying until it succeeds.
+pub async fn store<P: Platform>(core: &Core<P>, job: &Job, outcome: &RequestOutcome) {
+    let Some(stored_answer) = StoredAnswer::new(job, outcome) else {
         return;
     };
-    let content = Bytes::from(serde_json::to_vec(&kept).unwrap_or_default());
-    let name = name(job.id);
+    let content = Bytes::from(serde_json::to_vec(&stored_answer).unwrap_or_default());
+    let object_name = object_name(job.id);
     let since = Instant::now();
     while core
         .platform
-        .put_object(&name, content.clone())
+        .put_object(&object_name, content.clone())
         .await
         .is_err()
     {
-        if core.is_draining() && since.elapsed() > STOPPING {
+        if core.is_draining() && since.elapsed() > STOP_TIMEOUT {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Reads a kept answer.
-pub async fn load<P: Platform>(core: &Core<P>, request: RequestId) -> Option<Kept> {
-    let content = core.platform.get_object(&name(request)).await.ok()??;
+/// Reads a stored answer.
+pub async fn load<P: Platform>(core: &Core<P>, request: RequestId) -> Option<StoredAnswer> {
+    let content = core
+        .platform
+        .get_object(&object_name(request))
+        .await
+        .ok()??;
     serde_json::from_slice(&content).ok()
 }
