--- a/crates/ctl/src/torture/relays/fault.rs
+++ b/crates/ctl/src/torture/relays/fault.rs
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if a runner cannot be started again.
+    /// [`Error::Failed`] if a runner cannot be restarted.
     pub async fn wait(&mut self, time: Duration) -> Result<(), Error> {
         let end = Instant::now() + time;
         while Instant::now() < end {
@@ -185,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if a runner cannot be started again.
+    /// [`Error::Failed`] if a runner cannot be restarted.
     pub async fn restore(&mut self, time: Duration) -> Result<(), Error> {
         self.wait(time / 4).await?;
         let mut order: Vec<usize> = (0..self.cluster.targets.len()).collect();
@@ -241,7 +241,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if one cannot be started again.
+    /// [`Error::Failed`] if one cannot be restarted.
     pub async fn wait_for_runners(&mut self) -> Result<(), Error> {
         while self
             .cluster
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -171,8 +171,8 @@
     matches!(&word.told, Told::Whole { text, .. } if text.contains(QUARANTINE_TEXT))
 }
 
-/// Counts the failures of runners that one request caused, given in their order. Failures after the
-/// first three count only if the relay that got the request had no fault.
+/// Counts the failures of runners that one request caused, which are given in order of time. Failures
+/// after the first three count as `beyond` or `late` only if the relay that got the request had no fault.
 fn count_failures(falls: &[(&Fall, &Word)], state: &SoakState) -> HarmfulRequestStats {
     let mut harm = HarmfulRequestStats {
         falls: falls.len() as u64,
--- a/crates/ctl/src/torture/state.rs
+++ b/crates/ctl/src/torture/state.rs
@@ -15,7 +15,7 @@
     pub id: String,
     /// Address at which it serves.
     pub address: SocketAddr,
-    /// When the last fault that hit it ended; none during a fault.
+    /// Since when no fault has hit it; none during a fault.
     pub healthy_since: Option<Instant>,
     /// Whether it was killed, which breaks its connections.
     pub killed: bool,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// When the last fault of the table service ended; none during a fault.
+    /// Since when the table service has had no fault; none during a fault.
     #[must_use]
     pub fn table_healthy_since(&self) -> Option<Instant> {
         self.lock().table_healthy_since
