--- a/crates/ctl/src/torture/relays/demand.rs
+++ b/crates/ctl/src/torture/relays/demand.rs
@@ -70,7 +70,7 @@
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        let ask = Ask {
+        let request = Ask {
             id: format!("poison{number}"),
             kind: Kind::Once,
             key: PERMANENT_KEY.to_owned(),
@@ -78,7 +78,7 @@
             body: POISON,
         };
         if let Some(entry) = state.entries().choose(&mut rng).copied() {
-            callers.spawn(send_one(entry, ask));
+            callers.spawn(send_one(entry, request));
         }
         sleep(Duration::from_millis(rng.random_range(POISON_INTERVAL_MS))).await;
     }
@@ -99,7 +99,7 @@
     let mut turn = 0;
     while Instant::now() < end {
         let entries = state.entries();
-        let ask = |name: &str, kind, body| Ask {
+        let make_request = |name: &str, kind, body| Ask {
             id: format!("{name}{turn}"),
             kind,
             key: PERMANENT_KEY.to_owned(),
@@ -109,14 +109,14 @@
         if turn % REQUESTS_PER_POISON == 0
             && let Some(entry) = entries.get(turn / REQUESTS_PER_POISON % entries.len().max(1))
         {
-            callers.spawn(send_one(*entry, ask("poison", kind, POISON)));
+            callers.spawn(send_one(*entry, make_request("poison", kind, POISON)));
         }
         let beside = if turn % 2 == 0 {
             let body = OTHER_BODIES.choose(&mut rng).copied();
-            ask("beside", kind, body.unwrap_or(USUAL))
+            make_request("beside", kind, body.unwrap_or(USUAL))
         } else {
             let kind = PLAIN_KINDS.choose(&mut rng).copied();
-            ask("other", kind.unwrap_or(Kind::Safe), USUAL)
+            make_request("other", kind.unwrap_or(Kind::Safe), USUAL)
         };
         if let Some(entry) = entries.choose(&mut rng) {
             callers.spawn(send_one(*entry, beside));
@@ -132,7 +132,7 @@
     state: Arc<SoakState>,
     first: Duration,
     time: Duration,
-    ask: impl Fn(usize) -> Ask,
+    make_request: impl Fn(usize) -> Ask,
 ) -> Vec<Word> {
     let end = Instant::now() + time;
     sleep(first).await;
@@ -141,7 +141,7 @@
     while Instant::now() < end {
         let entries = state.entries();
         if let Some(entry) = entries.get(turn % entries.len().max(1)) {
-            callers.spawn(send_one(*entry, ask(turn)));
+            callers.spawn(send_one(*entry, make_request(turn)));
         }
         turn += 1;
         sleep(RETRY_INTERVAL).await;
@@ -157,18 +157,19 @@
     time: Duration,
 ) -> Vec<Word> {
     let mut callers = JoinSet::new();
-    for (request, body) in DEADLY.into_iter().enumerate().take(requests) {
-        let first = DEADLY_DELAY + RETRY_INTERVAL * request as u32 / requests as u32;
-        let ask = move |turn| default_request(deadly(request, stage, turn), Kind::Staged, body);
-        callers.spawn(repeat(state.clone(), first, time, ask));
+    for (number, body) in DEADLY.into_iter().enumerate().take(requests) {
+        let first = DEADLY_DELAY + RETRY_INTERVAL * number as u32 / requests as u32;
+        let make_request =
+            move |turn| default_request(deadly(number, stage, turn), Kind::Staged, body);
+        callers.spawn(repeat(state.clone(), first, time, make_request));
     }
     callers.join_all().await.into_iter().flatten().collect()
 }
 
 /// Repeats a request that makes runners unresponsive.
 pub async fn silencing_requests(state: Arc<SoakState>, kind: Kind, time: Duration) -> Vec<Word> {
-    let ask = move |turn| default_request(format!("silencer{turn}"), kind, SILENCER);
-    repeat(state, Duration::ZERO, time, ask).await
+    let make_request = move |turn| default_request(format!("silencer{turn}"), kind, SILENCER);
+    repeat(state, Duration::ZERO, time, make_request).await
 }
 
 /// Sends requests of other clients: in each round one per group, of a kind drawn from the group.
@@ -210,32 +211,32 @@
     }
 }
 
-async fn send_one(entry: SocketAddr, ask: Ask) -> Word {
+async fn send_one(entry: SocketAddr, request: Ask) -> Word {
     match Connection::open(entry).await {
-        Some(mut connection) => connection.ask(ask).await,
-        None => unsent(ask, entry),
+        Some(mut connection) => connection.ask(request).await,
+        None => unsent(request, entry),
     }
 }
 
 /// Sends some requests on one connection for as long as it stays open.
 async fn run_connection(entry: SocketAddr, keys: Keys, number: u64, mut rng: StdRng) -> Vec<Word> {
-    let mut words = Vec::new();
-    let mut asks = (0..rng.random_range(1..=MAX_REQUESTS))
+    let mut records = Vec::new();
+    let mut requests = (0..rng.random_range(1..=MAX_REQUESTS))
         .map(|turn| draw_request(&keys, format!("r{number}x{turn}"), &mut rng))
         .collect::<Vec<_>>()
         .into_iter();
     let Some(mut connection) = Connection::open(entry).await else {
-        words.extend(asks.next().map(|ask| unsent(ask, entry)));
-        return words;
+        records.extend(requests.next().map(|request| unsent(request, entry)));
+        return records;
     };
-    for ask in asks {
+    for request in requests {
         if !connection.is_open().await {
             break;
         }
-        words.push(connection.ask(ask).await);
+        records.push(connection.ask(request).await);
         sleep(MAX_PAUSE.mul_f64(rng.random())).await;
     }
-    words
+    records
 }
 
 fn draw_request(keys: &Keys, id: String, rng: &mut StdRng) -> Ask {
@@ -268,28 +269,28 @@
     let end = Instant::now() + RECOVERY_TIMEOUT;
     let mut round = 0;
     loop {
-        let mut words = Vec::new();
+        let mut records = Vec::new();
         for name in cluster.relays.iter().map(|(settings, _)| &settings.id) {
             let Some(entry) = cluster.fleet.ready(name).map(|ready| ready.listen) else {
                 continue;
             };
             for kind in Kind::ALL {
-                let ask = Ask {
+                let request = Ask {
                     id: format!("{name}r{round}{kind:?}"),
                     kind,
                     key: PERMANENT_KEY.to_owned(),
                     patience: Duration::from_secs(2),
                     body: USUAL,
                 };
-                words.push(match Connection::open(entry).await {
-                    Some(mut connection) => connection.ask(ask).await,
-                    None => unsent(ask, entry),
+                records.push(match Connection::open(entry).await {
+                    Some(mut connection) => connection.ask(request).await,
+                    None => unsent(request, entry),
                 });
             }
         }
-        let all = words.iter().all(|word| is_good(word, true));
+        let all = records.iter().all(|record| is_good(record, true));
         if all || Instant::now() > end {
-            return words;
+            return records;
         }
         round += 1;
     }
--- a/crates/ctl/src/torture/relays/mod.rs
+++ b/crates/ctl/src/torture/relays/mod.rs
@@ -146,16 +146,16 @@
         Scenario::Restore => faults.restore(time).await?,
         _ => faults.wait(time).await?,
     }
-    let mut words = callers.await.map_err(|error| task_error(&error))?;
-    words.extend(harmful.await.map_err(|error| task_error(&error))?);
+    let mut records = callers.await.map_err(|error| task_error(&error))?;
+    records.extend(harmful.await.map_err(|error| task_error(&error))?);
     faults.wait_for_runners().await?;
     let (counts, stuck) = (faults.counts, faults.stuck);
     let last = demand::check_recovery(&cluster).await;
-    let recovered = last.iter().all(|word| verdict::is_good(word, true));
-    words.extend(last);
+    let recovered = last.iter().all(|record| verdict::is_good(record, true));
+    records.extend(last);
     write_lines(&logs.join("falls"), &cluster.log.falls())?;
-    write_lines(&logs.join("words"), &words)?;
-    let mut verdict = verdict::check(&words, &cluster.log, &cluster.keys, &state);
+    write_lines(&logs.join("words"), &records)?;
+    let mut verdict = verdict::check(&records, &cluster.log, &cluster.keys, &state);
     verdict.counts.faults = counts;
     if !recovered {
         verdict.record_violation(
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -139,9 +139,9 @@
 
 /// Whether a response is correct as far as it goes, and complete if it must be.
 #[must_use]
-pub fn is_good(word: &Word, must_be_whole: bool) -> bool {
-    let expected = expected(word);
-    match &word.told {
+pub fn is_good(record: &Word, must_be_whole: bool) -> bool {
+    let expected = expected(record);
+    match &record.told {
         Told::Whole {
             status: 200,
             proven: true,
@@ -149,56 +149,58 @@
             ..
         } => *text == expected,
         Told::Broken { status: 200, text } => {
-            !must_be_whole && word.ask.kind.streams() && expected.starts_with(text.as_str())
+            !must_be_whole && record.ask.kind.streams() && expected.starts_with(text.as_str())
         }
         _ => false,
     }
 }
 
-fn expected(word: &Word) -> String {
-    let id = &word.ask.id;
-    if word.ask.kind.streams() {
+fn expected(record: &Word) -> String {
+    let id = &record.ask.id;
+    if record.ask.kind.streams() {
         return (1..=EVENTS).map(|number| event(id, number)).collect();
     }
     answer(id)
 }
 
-fn is_not_run(word: &Word) -> bool {
-    matches!(word.told, Told::Whole { status, .. } if NOT_RUN.contains(&status))
+fn is_not_run(record: &Word) -> bool {
+    matches!(record.told, Told::Whole { status, .. } if NOT_RUN.contains(&status))
 }
 
-fn is_quarantined(word: &Word) -> bool {
-    matches!(&word.told, Told::Whole { text, .. } if text.contains(QUARANTINE_TEXT))
+fn is_quarantined(record: &Word) -> bool {
+    matches!(&record.told, Told::Whole { text, .. } if text.contains(QUARANTINE_TEXT))
 }
 
 /// Counts the failures of runners that one request caused, which are given in order of time. Failures
 /// after the first three count as `beyond` or `late` only if the relay that got the request had no fault.
-fn count_failures(falls: &[(&Fall, &Word)], state: &SoakState) -> HarmfulRequestStats {
+fn count_failures(failures: &[(&Fall, &Word)], state: &SoakState) -> HarmfulRequestStats {
     let mut harm = HarmfulRequestStats {
-        falls: falls.len() as u64,
+        falls: failures.len() as u64,
         ..HarmfulRequestStats::default()
     };
-    let Some((third, _)) = falls.get(MAX_CRASHES - 1) else {
+    let Some((third, _)) = failures.get(MAX_CRASHES - 1) else {
         return harm;
     };
-    for (fall, word) in falls.iter().skip(MAX_CRASHES) {
-        let window_start = fall.started.saturating_sub(SETTLE_TIME);
-        let disturbed = state.may_have_missed_updates(word.entry, window_start, fall.started);
-        let is_silent = word.ask.body == SILENCER;
+    for (failure, record) in failures.iter().skip(MAX_CRASHES) {
+        let window_start = failure.started.saturating_sub(SETTLE_TIME);
+        let disturbed = state.may_have_missed_updates(record.entry, window_start, failure.started);
+        let is_silent = record.ask.body == SILENCER;
         let grace = if is_silent {
             UNRESPONSIVE_GRACE
         } else {
             SETTLE_TIME
         };
-        let is_late = fall.started > third.started + grace;
+        let is_late = failure.started > third.started + grace;
         harm.beyond += u64::from(!disturbed);
         harm.late += u64::from(!disturbed && is_late);
     }
     harm
 }
 
-fn by_id(words: &[Word]) -> HashMap<&str, &Word, RandomState> {
-    let named = words.iter().map(|word| (word.ask.id.as_str(), word));
+fn by_id(records: &[Word]) -> HashMap<&str, &Word, RandomState> {
+    let named = records
+        .iter()
+        .map(|record| (record.ask.id.as_str(), record));
     named.collect()
 }
 
@@ -207,8 +209,8 @@
 
 /// Checks all records and runs.
 #[must_use]
-pub fn check(words: &[Word], log: &Log, keys: &Keys, state: &SoakState) -> Verdict {
-    let (runs, falls) = (log.runs(), log.falls());
+pub fn check(records: &[Word], log: &Log, keys: &Keys, state: &SoakState) -> Verdict {
+    let (runs, failures) = (log.runs(), log.falls());
     let mut by_id = Runs::default();
     for run in &runs {
         by_id.entry(run.id.as_str()).or_default().push(run);
@@ -218,31 +220,31 @@
         verdict.record_violation("results of another request", run);
     }
     let keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
-    for word in words {
+    for record in records {
         let runs = by_id
-            .get(word.ask.id.as_str())
+            .get(record.ask.id.as_str())
             .map_or(&[][..], Vec::as_slice);
-        verdict.check_request(word, runs, state);
-        verdict.check_key(word, &keys, state);
+        verdict.check_request(record, runs, state);
+        verdict.check_key(record, &keys, state);
     }
-    verdict.check_leaving(words, &by_id, state);
-    verdict.check_harmful_requests(words, &falls, state);
-    verdict.check_others(words, &runs, &falls);
-    verdict.check_rate_limits(words, &runs, state);
+    verdict.check_leaving(records, &by_id, state);
+    verdict.check_harmful_requests(records, &failures, state);
+    verdict.check_others(records, &runs, &failures);
+    verdict.check_rate_limits(records, &runs, state);
     verdict
 }
 
 impl Verdict {
-    fn check_request(&mut self, word: &Word, runs: &[&Run], state: &SoakState) {
+    fn check_request(&mut self, record: &Word, runs: &[&Run], state: &SoakState) {
         self.counts.sent += 1;
-        let found = (word, runs);
-        if !word.ask.kind.repeatable() && runs.len() > 1 {
+        let found = (record, runs);
+        if !record.ask.kind.repeatable() && runs.len() > 1 {
             self.record_violation("run twice", &found);
         }
-        match &word.told {
+        match &record.told {
             Told::Whole { status: 200, .. } => {
                 self.counts.answered += 1;
-                if !is_good(word, true) {
+                if !is_good(record, true) {
                     self.record_violation("wrong answer", &found);
                 }
             }
@@ -260,19 +262,19 @@
             Told::Whole { .. } => self.counts.unsure += 1,
             Told::Broken { .. } => {
                 self.counts.broken += 1;
-                if !is_good(word, false) && !state.was_killed(word.entry) {
+                if !is_good(record, false) && !state.was_killed(record.entry) {
                     self.record_violation("wrong beginning", &found);
                 }
             }
             Told::Closed => {
                 self.counts.closed += 1;
-                if !runs.is_empty() && !state.was_killed(word.entry) {
+                if !runs.is_empty() && !state.was_killed(record.entry) {
                     self.record_violation("answer cut off", &found);
                 }
             }
             Told::Unreachable => self.counts.closed += 1,
             Told::Silent => {
-                if !state.had_fault_at(word.entry, word.sent, word.done) {
+                if !state.had_fault_at(record.entry, record.sent, record.done) {
                     self.record_violation("no answer", &found);
                 }
             }
@@ -281,22 +283,22 @@
 
     /// Checks that a request that has crashed three runners or made them unresponsive reaches few more of
     /// them, whichever relay its client sends it to.
-    fn check_harmful_requests(&mut self, words: &[Word], falls: &[Fall], state: &SoakState) {
-        let by_id = by_id(words);
-        let bodies = words.iter().map(|word| word.ask.body);
+    fn check_harmful_requests(&mut self, records: &[Word], failures: &[Fall], state: &SoakState) {
+        let by_id = by_id(records);
+        let bodies = records.iter().map(|record| record.ask.body);
         let bodies: BTreeSet<&str> = bodies.filter(|body| is_harmful(body)).collect();
         for body in bodies {
-            let mut found: Vec<(&Fall, &Word)> = falls
+            let mut found: Vec<(&Fall, &Word)> = failures
                 .iter()
-                .filter_map(|fall| Some((fall, *by_id.get(fall.id.as_str())?)))
-                .filter(|(_, word)| word.ask.body == body)
+                .filter_map(|failure| Some((failure, *by_id.get(failure.id.as_str())?)))
+                .filter(|(_, record)| record.ask.body == body)
                 .collect();
-            found.sort_by_key(|(fall, _)| fall.started);
+            found.sort_by_key(|(failure, _)| failure.started);
             let mut harm = count_failures(&found, state);
-            for word in words.iter().filter(|word| word.ask.body == body) {
+            for record in records.iter().filter(|record| record.ask.body == body) {
                 harm.sent += 1;
-                harm.not_run += u64::from(is_not_run(word));
-                harm.held += u64::from(is_quarantined(word));
+                harm.not_run += u64::from(is_not_run(record));
+                harm.held += u64::from(is_quarantined(record));
             }
             self.counts.harm.insert(body.to_owned(), harm);
             let counted = if body == SILENCER {
@@ -314,75 +316,78 @@
 
     /// Checks that requests that crash no runners are quarantined for a short time at most, even if they
     /// were running on a runner that another request crashed.
-    fn check_others(&mut self, words: &[Word], runs: &[Run], crashes: &[Fall]) {
+    fn check_others(&mut self, records: &[Word], runs: &[Run], crashes: &[Fall]) {
         let mut ended: HashMap<&str, Vec<Micros>, RandomState> = HashMap::default();
-        let by_id = by_id(words);
+        let by_id = by_id(records);
         for crash in crashes {
             let beside = crash.beside.iter();
-            for word in beside.filter_map(|id| by_id.get(id.as_str())) {
-                ended.entry(word.ask.body).or_default().push(crash.started);
+            for record in beside.filter_map(|id| by_id.get(id.as_str())) {
+                ended
+                    .entry(record.ask.body)
+                    .or_default()
+                    .push(crash.started);
             }
         }
         for run in runs {
-            let Some(word) = by_id.get(run.id.as_str()) else {
+            let Some(record) = by_id.get(run.id.as_str()) else {
                 continue;
             };
             let under = crashes.iter().filter(|crash| {
                 let fell = crash.started + WORK.as_micros() as Micros;
-                crash.runner == run.runner && run.started <= fell && crash.started < word.done
+                crash.runner == run.runner && run.started <= fell && crash.started < record.done
             });
             let times = under.map(|crash| crash.started);
-            ended.entry(word.ask.body).or_default().extend(times);
+            ended.entry(record.ask.body).or_default().extend(times);
         }
-        let others = words
+        let others = records
             .iter()
-            .filter(|word| OTHER_BODIES.contains(&word.ask.body));
-        for word in others {
-            let kind = format!("{:?}", word.ask.kind);
+            .filter(|record| OTHER_BODIES.contains(&record.ask.body));
+        for record in others {
+            let kind = format!("{:?}", record.ask.kind);
             let share = self.counts.others.entry(kind).or_default();
             share.sent += 1;
-            share.answered += u64::from(is_good(word, true));
-            share.held += u64::from(is_quarantined(word));
+            share.answered += u64::from(is_good(record, true));
+            share.held += u64::from(is_quarantined(record));
         }
         if crashes.is_empty() {
             return;
         }
-        for word in words.iter().filter(|word| !is_harmful(word.ask.body)) {
+        for record in records.iter().filter(|record| !is_harmful(record.ask.body)) {
             self.counts.beside += 1;
-            self.counts.beside_answered += u64::from(is_good(word, true));
-            let last = ended.get(word.ask.body).into_iter().flatten();
-            let last = last.filter(|at| **at < word.sent).max();
-            let over = last.is_none_or(|last| last + MAX_QUARANTINE < word.sent);
-            if over && is_quarantined(word) {
-                self.record_violation("held back beside a request that ends runners", word);
+            self.counts.beside_answered += u64::from(is_good(record, true));
+            let last = ended.get(record.ask.body).into_iter().flatten();
+            let last = last.filter(|at| **at < record.sent).max();
+            let over = last.is_none_or(|last| last + MAX_QUARANTINE < record.sent);
+            if over && is_quarantined(record) {
+                self.record_violation("held back beside a request that ends runners", record);
             }
         }
     }
 
     /// Checks that all relays together keep to the limit that a runner announced in responses that they
     /// passed on.
-    fn check_rate_limits(&mut self, words: &[Word], runs: &[Run], state: &SoakState) {
-        let by_id = by_id(words);
+    fn check_rate_limits(&mut self, records: &[Word], runs: &[Run], state: &SoakState) {
+        let by_id = by_id(records);
         let mut told: HashMap<(&str, SocketAddr), Micros, RandomState> = HashMap::default();
         let limited = || runs.iter().filter(|run| run.limit.is_some());
         for run in limited() {
-            if let Some(word) = by_id.get(run.id.as_str())
-                && matches!(word.told, Told::Whole { proven: true, .. })
+            if let Some(record) = by_id.get(run.id.as_str())
+                && matches!(record.told, Told::Whole { proven: true, .. })
             {
                 let first = told
-                    .entry((run.runner.as_str(), word.entry))
-                    .or_insert(word.done);
-                *first = word.done.min(*first);
+                    .entry((run.runner.as_str(), record.entry))
+                    .or_insert(record.done);
+                *first = record.done.min(*first);
             }
         }
         let mut arrivals: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
         for run in limited() {
-            let Some(word) = by_id.get(run.id.as_str()) else {
+            let Some(record) = by_id.get(run.id.as_str()) else {
                 continue;
             };
-            let reported_at = told.get(&(run.runner.as_str(), word.entry));
+            let reported_at = told.get(&(run.runner.as_str(), record.entry));
             let undisturbed = !state.had_fault_at(
-                word.entry,
+                record.entry,
                 run.started - LIMIT_WINDOW - SETTLE_TIME,
                 run.started,
             );
@@ -410,34 +415,34 @@
     }
 
     /// Checks that keys in force are accepted and others rejected.
-    fn check_key(&mut self, word: &Word, keys: &[Key], state: &SoakState) {
-        let Some(key) = keys.iter().find(|key| key.text == word.ask.key) else {
+    fn check_key(&mut self, record: &Word, keys: &[Key], state: &SoakState) {
+        let Some(key) = keys.iter().find(|key| key.text == record.ask.key) else {
             return;
         };
-        let Told::Whole { status, .. } = word.told else {
+        let Told::Whole { status, .. } = record.told else {
             return;
         };
         let is_undisturbed = |since: Micros| {
-            let window_start = word.sent - PROPAGATION;
+            let window_start = record.sent - PROPAGATION;
             since < window_start
-                && !state.may_have_missed_updates(word.entry, window_start, word.sent)
+                && !state.may_have_missed_updates(record.entry, window_start, record.sent)
         };
         if status == 401 && key.until.is_none() && is_undisturbed(key.from) {
-            self.record_violation("key refused", word);
+            self.record_violation("key refused", record);
         }
         if status == 200 && key.until.is_some_and(is_undisturbed) {
-            self.record_violation("key over, but served", word);
+            self.record_violation("key over, but served", record);
         }
         if status == 404 {
-            self.record_violation("route refused", word);
+            self.record_violation("route refused", record);
         }
     }
 
     /// Checks that a relay without faults that knows that a runner is leaving gives it no new work.
-    fn check_leaving(&mut self, words: &[Word], runs: &Runs<'_>, state: &SoakState) {
+    fn check_leaving(&mut self, records: &[Word], runs: &Runs<'_>, state: &SoakState) {
         let leaving = state.leaving_intervals();
-        for word in words {
-            let runs = runs.get(word.ask.id.as_str()).into_iter().flatten();
+        for record in records {
+            let runs = runs.get(record.ask.id.as_str()).into_iter().flatten();
             for run in runs {
                 let late = |interval: &Interval| {
                     let over = interval.until.is_some_and(|until| run.started >= until);
@@ -446,10 +451,10 @@
                 };
                 let window_start = run.started - PROPAGATION;
                 let undisturbed =
-                    !state.may_have_missed_updates(word.entry, window_start, run.started)
+                    !state.may_have_missed_updates(record.entry, window_start, run.started)
                         && !state.had_fault(&run.runner, window_start, run.started);
                 if undisturbed && leaving.iter().any(late) {
-                    self.record_violation("new work at a leaving runner", &(word, run));
+                    self.record_violation("new work at a leaving runner", &(record, run));
                 }
             }
         }
