--- a/crates/ctl/src/demo/scenario.rs
+++ b/crates/ctl/src/demo/scenario.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use hyper::header::HeaderMap;
 use serde_json::Value;
-use standin::log::{Ended, Page};
+use standin::log::{ExecutionStatus, Page};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -158,7 +158,7 @@
         let runs = log.executions.len();
         output::line(format_args!("  {:<14} ran {runs}", runner.vm))?;
         let answered = log.executions.into_iter();
-        let answered = answered.filter(|execution| execution.ended == Ended::Answered);
+        let answered = answered.filter(|execution| execution.ended == ExecutionStatus::Answered);
         let requests = answered.map(|execution| execution.request);
         match services
             .iter_mut()
--- a/crates/ctl/src/experiment/ground.rs
+++ b/crates/ctl/src/experiment/ground.rs
@@ -4,7 +4,7 @@
 use crate::Error;
 use crate::load::tally::Counts;
 use serde::{Deserialize, Serialize};
-use standin::log::{Ended, Page};
+use standin::log::{ExecutionStatus, Page};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -63,7 +63,7 @@
                 *self.runs.entry(runner.id.clone()).or_default() += 1;
                 self.prefix.blocks += execution.prefix_blocks;
                 self.prefix.hits += execution.prefix_hits;
-                let wasted = execution.ended != Ended::Answered;
+                let wasted = execution.ended != ExecutionStatus::Answered;
                 *self.wasted.entry(stage).or_default() += u64::from(wasted);
             }
         }
--- a/crates/ctl/src/experiment/system.rs
+++ b/crates/ctl/src/experiment/system.rs
@@ -158,7 +158,7 @@
     /// [`Error`] if it cannot be reached.
     pub async fn store_down(&self) -> Result<(), Error> {
         let faults = Faults {
-            down: standin::fault::Share::All(true),
+            down: standin::fault::Fraction::All(true),
             ..Faults::default()
         };
         post(self.shared.platform.table, "/standin/faults", &faults).await
--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderMap;
 use serde_json::{Value, json};
 use setting::{Operator, Placement, Platform, Policy};
-use standin::log::{Ended, Execution};
+use standin::log::{Execution, ExecutionStatus};
 use standin::{Kind, Options, Server};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -168,8 +168,10 @@
         let index = self.index(id)?;
         let mut log = self.runners[index].log().await;
         // What was under way ends with the runner.
-        let running = log.iter_mut().filter(|one| one.ended == Ended::Running);
-        running.for_each(|one| one.ended = Ended::Cut);
+        let running = log
+            .iter_mut()
+            .filter(|one| one.ended == ExecutionStatus::Running);
+        running.for_each(|one| one.ended = ExecutionStatus::Cut);
         let runner = &mut self.runners[index];
         runner.past = log;
         runner.server.take();
--- a/crates/ctl/src/torture/command.rs
+++ b/crates/ctl/src/torture/command.rs
@@ -16,7 +16,7 @@
 use getopts::{Matches, Options};
 use serde::Serialize;
 use serde_json::json;
-use standin::log::Ended;
+use standin::log::ExecutionStatus;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
@@ -324,7 +324,7 @@
     until("nothing runs any more", || async {
         let log = log(bench).await;
         log.iter()
-            .all(|(_, execution)| execution.ended != Ended::Running)
+            .all(|(_, execution)| execution.ended != ExecutionStatus::Running)
     })
     .await?;
     Ok(log(bench).await)
--- a/crates/ctl/src/torture/engines.rs
+++ b/crates/ctl/src/torture/engines.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use setting::Placement;
 use standin::answer::input_hash;
-use standin::log::Ended;
+use standin::log::ExecutionStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -375,7 +375,7 @@
 
 /// Compares what callers were told with what ran.
 async fn judge(bench: &Bench, calls: &[Call], verdict: &mut Verdict) {
-    let mut runs: HashMap<String, Vec<Ended>, RandomState> = HashMap::default();
+    let mut runs: HashMap<String, Vec<ExecutionStatus>, RandomState> = HashMap::default();
     for execution in bench.executions(ASSISTANT).await {
         let ended = runs.entry(execution.input_hash).or_default();
         ended.push(execution.ended);
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{Ask, Told, Word};
 use ctl::rig::probe::until;
-use standin::log::Ended;
+use standin::log::ExecutionStatus;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -46,7 +46,9 @@
 pub(crate) async fn until_idle(bench: &Bench, service: &str) {
     until("the service is idle", || async {
         let executions = bench.executions(service).await;
-        executions.iter().all(|one| one.ended != Ended::Running)
+        executions
+            .iter()
+            .all(|one| one.ended != ExecutionStatus::Running)
     })
     .await
     .unwrap();
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -4,7 +4,7 @@
 use super::batch::Progress;
 use crate::answer;
 use crate::fault::Draw;
-use crate::log::{Ended, Entry};
+use crate::log::{Entry, ExecutionStatus};
 use crate::reply::Broken;
 use crate::runner::Cancel;
 use bytes::Bytes;
@@ -47,16 +47,16 @@
         };
         Poll::Ready(match progress {
             Progress::Token(k) if self.draw.cut && k >= self.middle => {
-                self.entry.end(Ended::Cut, 0);
+                self.entry.end(ExecutionStatus::Cut, 0);
                 Some(Err(Broken))
             }
             Progress::Token(k) => Some(Ok(self.frame(&self.token(k)))),
             Progress::Done { busy_us } if self.draw.truncate => {
-                self.entry.end(Ended::Cut, busy_us);
+                self.entry.end(ExecutionStatus::Cut, busy_us);
                 None
             }
             Progress::Done { busy_us } => {
-                self.entry.end(Ended::Answered, busy_us);
+                self.entry.end(ExecutionStatus::Answered, busy_us);
                 Some(Ok(self.frame(&self.done())))
             }
             // The start has been taken before the stream was made.
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -8,10 +8,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Share of calls, from 0 to 1; `true` stands for all and `false` for none.
+/// Fraction of calls, from 0 to 1; `true` stands for all and `false` for none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Share {
+pub enum Fraction {
     /// All or none.
     All(bool),
     /// This share.
@@ -25,7 +25,7 @@
     /// Those of the next calls, this many.
     Next(u64),
     /// Those of a share of the calls.
-    Share(Share),
+    Share(Fraction),
 }
 
 /// What goes wrong, as `POST /standin/faults` sets it.
@@ -34,15 +34,15 @@
 ///
 /// ```
 /// let faults: standin::Faults = serde_json::from_str(r#"{"down": true, "cut": 0.1}"#).unwrap();
-/// assert_eq!(faults.down, standin::fault::Share::All(true));
+/// assert_eq!(faults.down, standin::fault::Fraction::All(true));
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Answered with `503` before anything is done.
-    pub down: Share,
+    pub down: Fraction,
     /// Connection closed before anything is done.
-    pub reset: Share,
+    pub reset: Fraction,
     /// Time before each call is looked at, in milliseconds.
     pub slow_ms: f64,
     /// Carried out, but the connection is closed without an answer; counts only calls that write
@@ -51,22 +51,22 @@
     /// Times at work are multiplied by this.
     pub factor: f64,
     /// Carried out, but answered with `500`.
-    pub fail: Share,
+    pub fail: Fraction,
     /// Answer broken off in the middle.
-    pub cut: Share,
+    pub cut: Fraction,
     /// Stream ended cleanly without its end mark; a JSON answer shorter than its declared length.
-    pub truncate: Share,
+    pub truncate: Fraction,
     /// Answer that bears identity and content of another call.
-    pub cross: Share,
+    pub cross: Fraction,
     /// Time before each finished answer is sent, in milliseconds.
     pub late_ms: f64,
     /// Runners: answered with `503` and `X-Not-Run: 1`.
-    pub refuse: Share,
+    pub refuse: Fraction,
     /// Stream with each event sent twice.
-    pub double: Share,
+    pub double: Fraction,
 }
 
-const NONE: Share = Share::All(false);
+const NONE: Fraction = Fraction::All(false);
 
 impl Default for Faults {
     fn default() -> Self {
@@ -164,7 +164,7 @@
     }
 }
 
-impl Share {
+impl Fraction {
     fn draw(self, rng: &mut SmallRng) -> bool {
         match self {
             Self::All(all) => all,
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -11,7 +11,7 @@
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ended {
+pub enum ExecutionStatus {
     /// Still at work.
     Running,
     /// The whole answer was sent.
@@ -38,7 +38,7 @@
     /// Start in microseconds since the Unix epoch.
     pub started_us: u64,
     /// How it ended.
-    pub ended: Ended,
+    pub ended: ExecutionStatus,
     /// Hash of the input, as [`crate::answer::input_hash`] gives it.
     pub input_hash: String,
     /// Time at work in microseconds, once it has ended.
@@ -80,7 +80,7 @@
             workspace: call.workspace.clone(),
             resume: call.resume,
             started_us: now_us(),
-            ended: Ended::Running,
+            ended: ExecutionStatus::Running,
             input_hash: crate::answer::input_hash(&call.raw),
             busy_us: 0,
             prefix_blocks: call.prefix.len(),
@@ -144,10 +144,13 @@
             let execution = place.and_then(|place| state.executions.get(place));
             execution.map_or(0, |execution| execution.started_us)
         };
-        self.end(Ended::Cancelled, now_us().saturating_sub(started_us));
+        self.end(
+            ExecutionStatus::Cancelled,
+            now_us().saturating_sub(started_us),
+        );
     }
 
-    pub(crate) fn end(&mut self, ended: Ended, busy_us: u64) {
+    pub(crate) fn end(&mut self, ended: ExecutionStatus, busy_us: u64) {
         self.over = true;
         let mut state = self.log.state();
         let first = state.first;
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::call::Call;
 use crate::fault::Draw;
-use crate::log::{Ended, Entry, Log};
+use crate::log::{Entry, ExecutionStatus, Log};
 use crate::options::Options;
 use crate::reply::{self, Body, Broken, Reply};
 use foldhash::fast::RandomState;
@@ -132,18 +132,18 @@
     }
     insert(&mut response, "x-busy-us", &busy_us.to_string());
     if draw.lose {
-        entry.end(Ended::Cut, busy_us);
+        entry.end(ExecutionStatus::Cut, busy_us);
         return Err(Broken);
     }
     if draw.fail {
-        entry.end(Ended::Failed, busy_us);
+        entry.end(ExecutionStatus::Failed, busy_us);
         return Ok(failed(&response));
     }
     if draw.cut || draw.truncate {
-        entry.end(Ended::Cut, busy_us);
+        entry.end(ExecutionStatus::Cut, busy_us);
         return Ok(reply::cut(response));
     }
-    entry.end(Ended::Answered, busy_us);
+    entry.end(ExecutionStatus::Answered, busy_us);
     Ok(response)
 }
 
--- a/crates/store/tests/client_errors.rs
+++ b/crates/store/tests/client_errors.rs
@@ -1,7 +1,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use bytes::Bytes;
-use standin::fault::{Loss, Share};
+use standin::fault::{Fraction, Loss};
 use standin::{Faults, Kind, Options, Server};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     assert!(answer.starts_with("HTTP/1.1 204"), "{answer}");
 }
 
-const ALL: Share = Share::All(true);
+const ALL: Fraction = Fraction::All(true);
 
 #[tokio::test]
 async fn rows_and_conflicts() {
