--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Start of the FNV-1a hash.
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// Factor of the FNV-1a hash.
-const PRIME: u64 = 0x0000_0100_0000_01b3;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// What a runner reads of its input.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,8 +29,8 @@
 /// ```
 #[must_use]
 pub fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(OFFSET, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -1,7 +1,7 @@
 //! A call of `POST /v1/run` as it arrives.
 
 use crate::answer::Input;
-use crate::reply::Broken;
+use crate::reply::ConnectionClosed;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -9,7 +9,7 @@
 use hyper::{HeaderMap, Request};
 
 /// Priority of a call that names none.
-const PRIORITY: u8 = 128;
+const DEFAULT_PRIORITY: u8 = 128;
 
 /// A call with everything that its headers say.
 #[derive(Clone, Debug)]
@@ -27,22 +27,26 @@
 
 impl Call {
     /// Reads the whole call; fails if the caller goes away meanwhile.
-    pub(crate) async fn read(request: Request<Incoming>) -> Result<Self, Broken> {
+    pub(crate) async fn read(request: Request<Incoming>) -> Result<Self, ConnectionClosed> {
         let (parts, body) = request.into_parts();
-        let raw = body.collect().await.map_err(|_| Broken)?.to_bytes();
+        let raw = body
+            .collect()
+            .await
+            .map_err(|_| ConnectionClosed)?
+            .to_bytes();
         let headers = &parts.headers;
-        let number = |name| text(headers, name).parse::<u32>().ok();
+        let number = |name| header_text(headers, name).parse::<u32>().ok();
         let priority = number("x-priority").and_then(|priority| u8::try_from(priority).ok());
         Ok(Self {
-            id: text(headers, "x-call").to_owned(),
-            workspace: text(headers, "x-workspace").to_owned(),
-            priority: priority.unwrap_or(PRIORITY),
+            id: header_text(headers, "x-call").to_owned(),
+            workspace: header_text(headers, "x-workspace").to_owned(),
+            priority: priority.unwrap_or(DEFAULT_PRIORITY),
             resume: number("x-resume").unwrap_or(0),
-            prefix: blocks(text(headers, "x-prefix")),
+            prefix: parse_blocks(header_text(headers, "x-prefix")),
             model: headers
                 .get("x-model")
                 .and_then(|model| model.to_str().ok().map(str::to_owned)),
-            stream: text(headers, ACCEPT.as_str()).contains("text/event-stream"),
+            stream: header_text(headers, ACCEPT.as_str()).contains("text/event-stream"),
             raw,
         })
     }
@@ -52,21 +56,21 @@
     }
 
     /// The part of `REQUEST-STAGE-ATTEMPT` that names the request.
-    pub(crate) fn request(&self) -> &str {
+    pub(crate) fn request_id(&self) -> &str {
         self.id.split('-').next().unwrap_or_default()
     }
 }
 
 /// A hash of a prefix block in hex.
-pub(crate) fn block(text: &str) -> Option<u64> {
+pub(crate) fn parse_block(text: &str) -> Option<u64> {
     u64::from_str_radix(text.trim(), 16).ok()
 }
 
-fn blocks(list: &str) -> Vec<u64> {
-    list.split(',').filter_map(block).collect()
+fn parse_blocks(list: &str) -> Vec<u64> {
+    list.split(',').filter_map(parse_block).collect()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name);
     value
         .and_then(|value| value.to_str().ok())
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -2,9 +2,9 @@
 
 use super::cache::Cache;
 use crate::call::Call;
-use crate::fault::Switch;
-use crate::lag::Lag;
-use crate::log::Entry;
+use crate::fault::FaultInjector;
+use crate::lag::Delayed;
+use crate::log::LogEntry;
 use crate::options::{Options, millis};
 use crate::runner::Runner;
 use crate::slot::Load;
@@ -18,14 +18,14 @@
 use tokio_util::sync::CancellationToken;
 
 /// Lateness that later steps make up for; a longer stall shifts them.
-const CATCH_UP: Duration = Duration::from_millis(50);
+const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 
 /// What the batch says about a sequence.
 pub(super) enum Progress {
     /// It has a place in the batch.
     Start {
         /// Its execution.
-        entry: Entry,
+        entry: LogEntry,
         /// Leading prefix blocks that were in the cache.
         hits: usize,
         /// Time that its prefill takes, in microseconds.
@@ -49,23 +49,23 @@
 }
 
 /// Number of a request in order of arrival.
-type Ticket = u64;
+type ArrivalNumber = u64;
 
 /// A place in the queue, which is left when this is dropped.
 ///
 /// Without that, callers that have gone would be counted as waiting until the batch has room, and
 /// the load would look higher than it is.
-pub(super) struct Place {
+pub(super) struct QueueEntry {
     batch: Arc<Batch>,
-    ticket: Ticket,
+    arrival: ArrivalNumber,
 }
 
 /// The sequences and the times of their steps.
 pub(super) struct Batch {
     state: Mutex<State>,
     wake: Notify,
-    load: Lag<Load>,
-    switch: Arc<Switch>,
+    load: Delayed<Load>,
+    injector: Arc<FaultInjector>,
     runner: Arc<Runner>,
     cache: Arc<Mutex<Cache>>,
     limit: usize,
@@ -76,14 +76,14 @@
 
 #[derive(Default)]
 struct State {
-    arrivals: Ticket,
+    arrivals: ArrivalNumber,
     waiting: BinaryHeap<Waiting>,
     running: Vec<Running>,
 }
 
 struct Waiting {
     /// Higher priority first, then earlier arrival.
-    rank: (u8, Reverse<Ticket>),
+    rank: (u8, Reverse<ArrivalNumber>),
     request: Request,
     sink: UnboundedSender<Progress>,
 }
@@ -99,7 +99,7 @@
 impl Batch {
     pub(super) fn new(
         options: &Options,
-        switch: Arc<Switch>,
+        injector: Arc<FaultInjector>,
         runner: Arc<Runner>,
         cache: Arc<Mutex<Cache>>,
     ) -> Self {
@@ -111,8 +111,8 @@
         Self {
             state: Mutex::default(),
             wake: Notify::new(),
-            load: Lag::new(options.lag(), idle),
-            switch,
+            load: Delayed::new(options.lag(), idle),
+            injector,
             runner,
             cache,
             limit,
@@ -128,25 +128,25 @@
 
     /// Queues a request; its progress comes through the channel, which is closed without `Done`
     /// if it is cancelled.
-    pub(super) fn enter(
+    pub(super) fn enqueue(
         self: &Arc<Self>,
         request: Request,
-    ) -> (Place, UnboundedReceiver<Progress>) {
+    ) -> (QueueEntry, UnboundedReceiver<Progress>) {
         let (sink, progress) = unbounded_channel();
         let mut state = self.state();
         state.arrivals += 1;
-        let ticket = state.arrivals;
-        let rank = (request.call.priority, Reverse(ticket));
+        let arrival = state.arrivals;
+        let rank = (request.call.priority, Reverse(arrival));
         state.waiting.push(Waiting {
             rank,
             request,
             sink,
         });
-        self.report(&state);
+        self.publish_load(&state);
         drop(state);
         self.wake.notify_one();
         let batch = Arc::clone(self);
-        (Place { batch, ticket }, progress)
+        (QueueEntry { batch, arrival }, progress)
     }
 
     /// Steps the batch, and sleeps while it is empty.
@@ -161,7 +161,7 @@
             due += time;
             tokio::time::sleep_until(due).await;
             self.emit(time);
-            if due.elapsed() > CATCH_UP {
+            if due.elapsed() > MAX_CATCH_UP {
                 due = Instant::now();
             }
         }
@@ -170,7 +170,7 @@
     /// Fills the batch and gives the time of its next step; `None` if it is empty.
     fn admit(&self) -> Option<Duration> {
         let mut state = self.state();
-        state.running.retain(|running| !running.is_gone());
+        state.running.retain(|running| !running.is_abandoned());
         let mut prefill = Duration::ZERO;
         while state.running.len() < self.limit {
             let Some(waiting) = state.waiting.pop() else {
@@ -181,10 +181,10 @@
                 state.running.push(running);
             }
         }
-        self.report(&state);
+        self.publish_load(&state);
         let others = state.running.len().checked_sub(1)?;
         let step = self.step_ms * (1.0 + self.step_growth * others as f64);
-        Some(prefill + millis(self.runner.spread(step) * self.switch.factor()))
+        Some(prefill + millis(self.runner.sample_time(step) * self.injector.factor()))
     }
 
     /// Starts a sequence unless its caller has gone; gives the time of its prefill too.
@@ -198,9 +198,9 @@
         let hits = cache.touch(blocks);
         drop(cache);
         let misses = (blocks.len() - hits) as f64;
-        let prefill = millis(misses * self.prefill_ms * self.switch.factor());
+        let prefill = millis(misses * self.prefill_ms * self.injector.factor());
         let entry = self.runner.log.start(&request.call);
-        entry.hit(hits);
+        entry.set_prefix_hits(hits);
         let start = Progress::Start {
             entry,
             hits,
@@ -223,10 +223,10 @@
         let sequences = u32::try_from(state.running.len()).unwrap_or(u32::MAX);
         let share = time / sequences.max(1);
         state.running.retain_mut(|running| running.step(share));
-        self.report(&state);
+        self.publish_load(&state);
     }
 
-    fn report(&self, state: &State) {
+    fn publish_load(&self, state: &State) {
         self.load.set(Load {
             running: state.running.len(),
             queued: state.waiting.len(),
@@ -239,33 +239,33 @@
     }
 }
 
-impl Place {
+impl QueueEntry {
     /// Takes the request out of the queue; `false` if it is no longer there.
-    pub(super) fn leave(&self) -> bool {
+    pub(super) fn remove(&self) -> bool {
         let mut state = self.batch.state();
         let before = state.waiting.len();
         state
             .waiting
-            .retain(|waiting| waiting.rank.1 != Reverse(self.ticket));
-        self.batch.report(&state);
+            .retain(|waiting| waiting.rank.1 != Reverse(self.arrival));
+        self.batch.publish_load(&state);
         state.waiting.len() < before
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
-        self.leave();
+        self.remove();
     }
 }
 
 impl Running {
-    fn is_gone(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         self.sink.is_closed() || self.cancelled.is_cancelled()
     }
 
     /// Sends the next token; `false` once the sequence is over.
     fn step(&mut self, share: Duration) -> bool {
-        if self.is_gone() {
+        if self.is_abandoned() {
             return false;
         }
         self.busy += share;
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -10,14 +10,14 @@
 use tokio::time::Instant;
 
 /// Events that are kept; the oldest are dropped beyond it.
-const EVENTS: usize = 65_536;
+const MAX_EVENTS: usize = 65_536;
 
 /// The blocks in the cache, the least recently used first to go.
 pub(super) struct Cache {
     limit: usize,
     tick: u64,
-    used: HashMap<u64, u64, RandomState>,
-    by_use: BTreeMap<u64, u64>,
+    last_used: HashMap<u64, u64, RandomState>,
+    by_last_use: BTreeMap<u64, u64>,
     events: VecDeque<(Instant, Event)>,
     sequence: u64,
     lag: Duration,
@@ -28,7 +28,7 @@
 /// What became of a block.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
-enum Kind {
+enum EventKind {
     Stored,
     Evicted,
 }
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, Serialize)]
 struct Event {
     sequence: u64,
-    kind: Kind,
+    kind: EventKind,
     block: String,
 }
 
 /// Events that have been published by now.
 #[derive(Debug, Serialize)]
-pub(super) struct Page {
+pub(super) struct EventPage {
     events: Vec<Event>,
     next: u64,
 }
@@ -52,8 +52,8 @@
         Self {
             limit: options.cache_blocks,
             tick: 0,
-            used: HashMap::default(),
-            by_use: BTreeMap::new(),
+            last_used: HashMap::default(),
+            by_last_use: BTreeMap::new(),
             events: VecDeque::new(),
             sequence: 0,
             lag: options.lag(),
@@ -62,24 +62,27 @@
         }
     }
 
-    pub(super) fn has(&self, block: u64) -> bool {
-        self.used.contains_key(&block)
+    pub(super) fn contains(&self, block: u64) -> bool {
+        self.last_used.contains_key(&block)
     }
 
     /// Uses the blocks of a prompt and gives how many leading ones were there.
     pub(super) fn touch(&mut self, blocks: &[u64]) -> usize {
-        let hits = blocks.iter().take_while(|block| self.has(**block)).count();
+        let hits = blocks
+            .iter()
+            .take_while(|block| self.contains(**block))
+            .count();
         for block in blocks {
             self.use_block(*block);
         }
-        while self.used.len() > self.limit {
+        while self.last_used.len() > self.limit {
             self.evict();
         }
         hits
     }
 
     /// Events after number `after` that are old enough to be seen.
-    pub(super) fn events(&self, after: u64) -> Page {
+    pub(super) fn events(&self, after: u64) -> EventPage {
         let seen = self
             .events
             .iter()
@@ -90,29 +93,29 @@
             .cloned()
             .collect();
         let next = events.last().map_or(after, |event| event.sequence);
-        Page { events, next }
+        EventPage { events, next }
     }
 
     fn use_block(&mut self, block: u64) {
         self.tick += 1;
-        self.by_use.insert(self.tick, block);
-        match self.used.insert(block, self.tick) {
+        self.by_last_use.insert(self.tick, block);
+        match self.last_used.insert(block, self.tick) {
             Some(before) => {
-                self.by_use.remove(&before);
+                self.by_last_use.remove(&before);
             }
-            None => self.publish(Kind::Stored, block),
+            None => self.publish(EventKind::Stored, block),
         }
     }
 
     fn evict(&mut self) {
-        if let Some((_, block)) = self.by_use.pop_first() {
-            self.used.remove(&block);
-            self.publish(Kind::Evicted, block);
+        if let Some((_, block)) = self.by_last_use.pop_first() {
+            self.last_used.remove(&block);
+            self.publish(EventKind::Evicted, block);
         }
     }
 
     /// A lost event still takes a number, so that the gap shows.
-    fn publish(&mut self, kind: Kind, block: u64) {
+    fn publish(&mut self, kind: EventKind, block: u64) {
         self.sequence += 1;
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
@@ -123,7 +126,7 @@
             block: format!("{block:016x}"),
         };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/engine/fetch.rs
+++ b/crates/standin/src/engine/fetch.rs
@@ -11,18 +11,18 @@
 use std::time::Duration;
 
 /// Tries before a model is given up.
-const TRIES: u32 = 100;
+const MAX_ATTEMPTS: u32 = 100;
 /// Wait before another try where the store names none.
-const PAUSE: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Client of the weight store.
 #[derive(Clone, Debug)]
-pub(super) struct Fetch {
+pub(super) struct WeightClient {
     weights: SocketAddr,
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
-impl Fetch {
+impl WeightClient {
     pub(super) fn new(weights: SocketAddr) -> Self {
         Self {
             weights,
@@ -32,9 +32,9 @@
 
     /// Reads the weights of a model to the end, coming back when the store says so; `false` once
     /// all tries have failed.
-    pub(super) async fn get(&self, model: &str) -> bool {
-        for _ in 0..TRIES {
-            match self.read(model).await {
+    pub(super) async fn download(&self, model: &str) -> bool {
+        for _ in 0..MAX_ATTEMPTS {
+            match self.try_download(model).await {
                 Ok(()) => return true,
                 Err(wait) => tokio::time::sleep(wait).await,
             }
@@ -43,19 +43,23 @@
     }
 
     /// One try, or the time to wait before the next.
-    async fn read(&self, model: &str) -> Result<(), Duration> {
+    async fn try_download(&self, model: &str) -> Result<(), Duration> {
         let request = Request::get(format!("http://{}/v1/weights/{model}", self.weights))
             .body(Empty::new())
-            .map_err(|_| PAUSE)?;
-        let response = self.client.request(request).await.map_err(|_| PAUSE)?;
+            .map_err(|_| DEFAULT_RETRY_DELAY)?;
+        let response = self
+            .client
+            .request(request)
+            .await
+            .map_err(|_| DEFAULT_RETRY_DELAY)?;
         if response.status() != StatusCode::OK {
             let seconds = response.headers().get(RETRY_AFTER);
             let seconds = seconds.and_then(|seconds| seconds.to_str().ok()?.parse().ok());
-            return Err(seconds.map_or(PAUSE, Duration::from_secs));
+            return Err(seconds.map_or(DEFAULT_RETRY_DELAY, Duration::from_secs));
         }
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
-            frame.map_err(|_| PAUSE)?;
+            frame.map_err(|_| DEFAULT_RETRY_DELAY)?;
         }
         Ok(())
     }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -16,10 +16,10 @@
 
 use crate::answer;
 use crate::call::{self, Call};
-use crate::fault::{Draw, Switch};
+use crate::fault::{CallFaults, FaultInjector};
 use crate::options::Options;
-use crate::reply::{self, Body, Broken, Reply};
-use crate::runner::{self, Cancel, Runner};
+use crate::reply::{self, Body, ConnectionClosed, Reply};
+use crate::runner::{self, CancelGuard, Runner};
 use crate::slot::Load;
 use batch::{Batch, Progress, Request};
 use bytes::Bytes;
@@ -32,7 +32,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 /// Bytes of an exported block.
-const BLOCK: usize = 1024;
+const BLOCK_BYTES: usize = 1024;
 
 /// The engine; clones share it.
 #[derive(Clone)]
@@ -51,19 +51,19 @@
 }
 
 /// An execution that has begun.
-struct Begun {
-    entry: crate::log::Entry,
+struct Started {
+    entry: crate::log::LogEntry,
     hits: usize,
     busy_us: u64,
     receiver: UnboundedReceiver<Progress>,
-    cancel: Cancel,
+    cancel: CancelGuard,
 }
 
 impl Engine {
-    pub(crate) fn new(options: &Options, switch: Arc<Switch>) -> Self {
+    pub(crate) fn new(options: &Options, injector: Arc<FaultInjector>) -> Self {
         let runner = Arc::new(Runner::new(options));
         let cache = Arc::new(Mutex::new(Cache::new(options)));
-        let batch = Batch::new(options, switch, Arc::clone(&runner), Arc::clone(&cache));
+        let batch = Batch::new(options, injector, Arc::clone(&runner), Arc::clone(&cache));
         Self {
             runner,
             batch: Arc::new(batch),
@@ -82,42 +82,44 @@
         self.batch.load()
     }
 
-    pub(crate) async fn run(&self, call: Call, draw: Draw) -> Reply {
+    pub(crate) async fn run(&self, call: Call, faults: CallFaults) -> Reply {
         let input = match call.input() {
             Ok(input) => input,
             Err(error) => return Ok(reply::error(StatusCode::BAD_REQUEST, error)),
         };
         let mut models = input.model.iter().chain(&call.model);
-        if models.any(|model| !self.orders.has(model)) {
+        if models.any(|model| !self.orders.has_model(model)) {
             return Ok(reply::not_run());
         }
         let total = input.max_tokens.unwrap_or(self.tokens);
-        let Some(begun) = self.begin(&call, total).await else {
+        let Some(started) = self.start(&call, total).await else {
             return Ok(reply::not_run());
         };
-        let other = self.runner.other(&call, &input.text);
-        let (id, text) = if draw.cross {
+        let other = self.runner.replace_latest(&call, &input.text);
+        let (id, text) = if faults.cross {
             (other.id, other.text)
         } else {
             (call.id.clone(), input.text)
         };
-        let hits = begun.hits;
-        let reply = if call.stream && !draw.lose && !draw.fail {
-            self.stream(begun, &call, text, total, draw).await
+        let hits = started.hits;
+        let reply = if call.stream && !faults.lose && !faults.fail {
+            self.respond_stream(started, &call, text, total, faults)
+                .await
         } else {
-            self.whole(begun, &call, &text, total, draw).await
+            self.respond_complete(started, &call, &text, total, faults)
+                .await
         };
         reply.map(|mut response| {
-            runner::insert(&mut response, "x-call", &id);
-            runner::insert(&mut response, "x-prefix-hits", &hits.to_string());
+            runner::insert_header(&mut response, "x-call", &id);
+            runner::insert_header(&mut response, "x-prefix-hits", &hits.to_string());
             response
         })
     }
 
     /// Waits until the call has a place in the batch; `None` if it is cancelled before.
-    async fn begin(&self, call: &Call, total: u32) -> Option<Begun> {
-        let cancel = self.runner.watch(&call.id);
-        let (place, mut receiver) = self.batch.enter(Request {
+    async fn start(&self, call: &Call, total: u32) -> Option<Started> {
+        let cancel = self.runner.register(&call.id);
+        let (queued, mut receiver) = self.batch.enqueue(Request {
             call: call.clone(),
             total,
             cancelled: cancel.token.clone(),
@@ -129,7 +131,7 @@
         if first.is_none() {
             // The batch may have admitted the call at this very moment, and "not run" would then
             // be false: only a call that is still found among the waiting ones has not run.
-            if place.leave() {
+            if queued.remove() {
                 return None;
             }
             first = receiver.recv().await;
@@ -139,7 +141,7 @@
                 entry,
                 hits,
                 busy_us,
-            }) => Some(Begun {
+            }) => Some(Started {
                 entry,
                 hits,
                 busy_us,
@@ -150,33 +152,40 @@
         }
     }
 
-    async fn stream(
+    async fn respond_stream(
         &self,
-        begun: Begun,
+        started: Started,
         call: &Call,
         text: String,
         total: u32,
-        draw: Draw,
+        faults: CallFaults,
     ) -> Reply {
-        if !draw.late.is_zero() {
-            tokio::time::sleep(draw.late).await;
+        if !faults.late.is_zero() {
+            tokio::time::sleep(faults.late).await;
         }
-        let busy_us = begun.busy_us;
-        let stream = Stream::new(begun, text, call.resume, total, draw);
+        let busy_us = started.busy_us;
+        let stream = Stream::new(started, text, call.resume, total, faults);
         let mut response = Response::new(Body::Stream(Box::new(stream)));
         let kind = HeaderValue::from_static("text/event-stream");
         response.headers_mut().insert(CONTENT_TYPE, kind);
-        runner::insert(&mut response, "x-busy-us", &busy_us.to_string());
+        runner::insert_header(&mut response, "x-busy-us", &busy_us.to_string());
         Ok(response)
     }
 
-    async fn whole(&self, begun: Begun, call: &Call, text: &str, total: u32, draw: Draw) -> Reply {
-        let Begun {
+    async fn respond_complete(
+        &self,
+        started: Started,
+        call: &Call,
+        text: &str,
+        total: u32,
+        faults: CallFaults,
+    ) -> Reply {
+        let Started {
             entry,
             mut receiver,
             cancel: _cancel,
             ..
-        } = begun;
+        } = started;
         let busy_us = loop {
             match receiver.recv().await {
                 Some(Progress::Done { busy_us }) => break busy_us,
@@ -189,7 +198,7 @@
             tokens: total,
         };
         let response = reply::json(StatusCode::OK, &output);
-        runner::deliver(response, draw, entry, busy_us).await
+        runner::deliver(response, faults, entry, busy_us).await
     }
 
     pub(crate) async fn order(&self, body: &[u8]) -> Reply {
@@ -197,8 +206,8 @@
             Ok(order) => {
                 let orders = Arc::clone(&self.orders);
                 // Loading goes on if the sender of the order goes away.
-                let done = tokio::spawn(async move { orders.carry_out(order).await }).await;
-                done.map(reply::empty).map_err(|_| Broken)
+                let done = tokio::spawn(async move { orders.execute(order).await }).await;
+                done.map(reply::empty).map_err(|_| ConnectionClosed)
             }
             Err(error) => Ok(reply::error(StatusCode::BAD_REQUEST, error)),
         }
@@ -219,9 +228,9 @@
 
     pub(crate) fn export(&self, block: &str) -> Response<Body> {
         let cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        match call::block(block).filter(|block| cache.has(*block)) {
+        match call::parse_block(block).filter(|block| cache.contains(*block)) {
             Some(block) => {
-                let bytes = block.to_be_bytes().repeat(BLOCK / size_of::<u64>());
+                let bytes = block.to_be_bytes().repeat(BLOCK_BYTES / size_of::<u64>());
                 reply::bytes(StatusCode::OK, Bytes::from(bytes))
             }
             None => reply::empty(StatusCode::NOT_FOUND),
@@ -229,7 +238,7 @@
     }
 
     pub(crate) fn import(&self, block: &str) -> Response<Body> {
-        let Some(block) = call::block(block) else {
+        let Some(block) = call::parse_block(block) else {
             return reply::error(StatusCode::BAD_REQUEST, "not a hash in hex");
         };
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/standin/src/engine/order.rs
+++ b/crates/standin/src/engine/order.rs
@@ -1,6 +1,6 @@
 //! Orders to load and unload models and to change the role.
 
-use super::fetch::Fetch;
+use super::fetch::WeightClient;
 use crate::log::now_us;
 use crate::options::{Options, millis};
 use hyper::StatusCode;
@@ -13,8 +13,8 @@
 #[derive(Debug)]
 pub(super) struct Orders {
     fencing: bool,
-    load: Duration,
-    weights: Option<Fetch>,
+    load_time: Duration,
+    weights: Option<WeightClient>,
     state: Mutex<State>,
 }
 
@@ -23,14 +23,14 @@
     fence: u64,
     role: String,
     models: BTreeSet<String>,
-    journal: Vec<Received>,
+    journal: Vec<JournalEntry>,
 }
 
 /// An order as it arrives.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Order {
     fence: u64,
-    order: Verb,
+    order: OrderKind,
     #[serde(default)]
     model: Option<String>,
     #[serde(default)]
@@ -43,14 +43,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Verb {
+enum OrderKind {
     Load,
     Unload,
     Role,
 }
 
 #[derive(Clone, Debug, Serialize)]
-struct Received {
+struct JournalEntry {
     #[serde(flatten)]
     order: Order,
     /// Whether it was carried out; otherwise its fencing number was old.
@@ -64,7 +64,7 @@
 /// Ground truth of `GET /standin/orders`.
 #[derive(Debug, Serialize)]
 pub(super) struct Journal {
-    orders: Vec<Received>,
+    orders: Vec<JournalEntry>,
 }
 
 /// Answer of `GET /v1/models`.
@@ -84,18 +84,18 @@
         };
         Self {
             fencing: options.fencing,
-            load: millis(options.load_ms),
-            weights: options.weights.map(Fetch::new),
+            load_time: millis(options.load_ms),
+            weights: options.weights.map(WeightClient::new),
             state: Mutex::new(state),
         }
     }
 
     /// Carries out an order, or refuses it with `412`; `502` if the weight store gave no weights.
-    pub(super) async fn carry_out(&self, order: Order) -> StatusCode {
-        if !self.receive(&order) {
+    pub(super) async fn execute(&self, order: Order) -> StatusCode {
+        if !self.record(&order) {
             return StatusCode::PRECONDITION_FAILED;
         }
-        if order.order == Verb::Load && !self.loaded(&order).await {
+        if order.order == OrderKind::Load && !self.load_weights(&order).await {
             return StatusCode::BAD_GATEWAY;
         }
         self.state().apply(&order);
@@ -103,14 +103,14 @@
     }
 
     /// Waits until the weights of an order are there; `false` if they never came.
-    async fn loaded(&self, order: &Order) -> bool {
-        if !self.load.is_zero() {
-            tokio::time::sleep(self.load).await;
+    async fn load_weights(&self, order: &Order) -> bool {
+        if !self.load_time.is_zero() {
+            tokio::time::sleep(self.load_time).await;
         }
         match &self.weights {
             Some(weights) => {
                 weights
-                    .get(order.model.as_deref().unwrap_or_default())
+                    .download(order.model.as_deref().unwrap_or_default())
                     .await
             }
             None => true,
@@ -118,7 +118,7 @@
     }
 
     /// Whether a model is loaded, given as `MODEL`, `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
-    pub(super) fn has(&self, model: &str) -> bool {
+    pub(super) fn has_model(&self, model: &str) -> bool {
         let state = self.state();
         state.models.iter().any(|loaded| {
             let rest = loaded.strip_prefix(model);
@@ -142,12 +142,12 @@
     }
 
     /// Notes an order; `false` if its fencing number is old and numbers are checked.
-    fn receive(&self, order: &Order) -> bool {
+    fn record(&self, order: &Order) -> bool {
         let mut state = self.state();
         let highest = state.fence;
         let carried_out = !self.fencing || order.fence >= highest;
         state.fence = highest.max(order.fence);
-        state.journal.push(Received {
+        state.journal.push(JournalEntry {
             order: order.clone(),
             carried_out,
             highest,
@@ -164,13 +164,13 @@
 impl State {
     fn apply(&mut self, order: &Order) {
         match order.order {
-            Verb::Load => {
+            OrderKind::Load => {
                 self.models.insert(order.name());
             }
-            Verb::Unload => {
+            OrderKind::Unload => {
                 self.models.remove(&order.name());
             }
-            Verb::Role => self.role = order.role.clone().unwrap_or_default(),
+            OrderKind::Role => self.role = order.role.clone().unwrap_or_default(),
         }
     }
 }
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,12 +1,12 @@
 //! The events of one answer, as a body.
 
-use super::Begun;
+use super::Started;
 use super::batch::Progress;
 use crate::answer;
-use crate::fault::Draw;
-use crate::log::{Entry, ExecutionStatus};
-use crate::reply::Broken;
-use crate::runner::Cancel;
+use crate::fault::CallFaults;
+use crate::log::{ExecutionStatus, LogEntry};
+use crate::reply::ConnectionClosed;
+use crate::runner::CancelGuard;
 use bytes::Bytes;
 use hyper::body::Frame;
 use std::task::{Context, Poll, ready};
@@ -14,26 +14,32 @@
 
 /// A stream of events; dropping it cancels the work.
 pub(crate) struct Stream {
-    entry: Entry,
+    entry: LogEntry,
     receiver: UnboundedReceiver<Progress>,
     text: String,
     total: u32,
     /// Token before which a cut stream breaks off.
     middle: u32,
-    draw: Draw,
-    _cancel: Cancel,
+    faults: CallFaults,
+    _cancel: CancelGuard,
 }
 
 impl Stream {
-    pub(super) fn new(begun: Begun, text: String, resume: u32, total: u32, draw: Draw) -> Self {
+    pub(super) fn new(
+        started: Started,
+        text: String,
+        resume: u32,
+        total: u32,
+        faults: CallFaults,
+    ) -> Self {
         Self {
-            entry: begun.entry,
-            receiver: begun.receiver,
+            entry: started.entry,
+            receiver: started.receiver,
             text,
             total,
             middle: resume + total.saturating_sub(resume) / 2,
-            draw,
-            _cancel: begun.cancel,
+            faults,
+            _cancel: started.cancel,
         }
     }
 
@@ -41,17 +47,17 @@
     pub(crate) fn poll(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         let Some(progress) = ready!(self.receiver.poll_recv(context)) else {
             return Poll::Ready(None);
         };
         Poll::Ready(match progress {
-            Progress::Token(k) if self.draw.cut && k >= self.middle => {
+            Progress::Token(k) if self.faults.cut && k >= self.middle => {
                 self.entry.end(ExecutionStatus::Cut, 0);
-                Some(Err(Broken))
+                Some(Err(ConnectionClosed))
             }
             Progress::Token(k) => Some(Ok(self.frame(&self.token(k)))),
-            Progress::Done { busy_us } if self.draw.truncate => {
+            Progress::Done { busy_us } if self.faults.truncate => {
                 self.entry.end(ExecutionStatus::Cut, busy_us);
                 None
             }
@@ -75,7 +81,7 @@
     }
 
     fn frame(&self, event: &str) -> Frame<Bytes> {
-        let times = 1 + usize::from(self.draw.double);
+        let times = 1 + usize::from(self.faults.double);
         Frame::data(Bytes::from(event.repeat(times)))
     }
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -89,7 +89,7 @@
 
 /// Faults that were drawn for one call.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Draw {
+pub(crate) struct CallFaults {
     pub(crate) down: bool,
     pub(crate) reset: bool,
     pub(crate) slow: Duration,
@@ -105,16 +105,16 @@
 
 /// The faults in force and the generator behind the draws.
 #[derive(Debug)]
-pub(crate) struct Switch {
+pub(crate) struct FaultInjector {
     /// Spares the calls of a sound stand-in the lock.
-    sound: AtomicBool,
+    inactive: AtomicBool,
     state: Mutex<(Faults, SmallRng)>,
 }
 
-impl Switch {
+impl FaultInjector {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            sound: AtomicBool::new(true),
+            inactive: AtomicBool::new(true),
             state: Mutex::new((Faults::default(), SmallRng::seed_from_u64(seed))),
         }
     }
@@ -124,27 +124,27 @@
     }
 
     pub(crate) fn set(&self, faults: Faults) {
-        let sound = faults == Faults::default();
+        let inactive = faults == Faults::default();
         self.state().0 = faults;
-        self.sound.store(sound, Ordering::Release);
+        self.inactive.store(inactive, Ordering::Release);
     }
 
     /// Factor on times at work.
     pub(crate) fn factor(&self) -> f64 {
-        if self.sound.load(Ordering::Acquire) {
+        if self.inactive.load(Ordering::Acquire) {
             return 1.0;
         }
         self.state().0.factor
     }
 
     /// Draws the faults of one call; `effect` says whether it writes or runs something.
-    pub(crate) fn draw(&self, effect: bool) -> Draw {
-        if self.sound.load(Ordering::Acquire) {
-            return Draw::default();
+    pub(crate) fn draw(&self, effect: bool) -> CallFaults {
+        if self.inactive.load(Ordering::Acquire) {
+            return CallFaults::default();
         }
         let mut state = self.state();
         let (faults, rng) = &mut *state;
-        Draw {
+        CallFaults {
             down: faults.down.draw(rng),
             reset: faults.reset.draw(rng),
             slow: millis(faults.slow_ms),
--- a/crates/standin/src/lag.rs
+++ b/crates/standin/src/lag.rs
@@ -7,49 +7,52 @@
 
 /// A value with its recent past.
 #[derive(Debug)]
-pub(crate) struct Lag<T> {
+pub(crate) struct Delayed<T> {
     delay: Duration,
-    past: Mutex<VecDeque<(Instant, T)>>,
+    history: Mutex<VecDeque<(Instant, T)>>,
 }
 
-impl<T: Clone> Lag<T> {
+impl<T: Clone> Delayed<T> {
     pub(crate) fn new(delay: Duration, value: T) -> Self {
-        let past = VecDeque::from([(Instant::now(), value)]);
+        let history = VecDeque::from([(Instant::now(), value)]);
         Self {
             delay,
-            past: Mutex::new(past),
+            history: Mutex::new(history),
         }
     }
 
     /// The value as it was `delay` ago.
     pub(crate) fn get(&self) -> Option<T> {
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        forget(&mut past, self.delay);
-        past.front().map(|(_, value)| value.clone())
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        prune(&mut history, self.delay);
+        history.front().map(|(_, value)| value.clone())
     }
 
     /// Replaces the value.
     pub(crate) fn set(&self, value: T) {
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        past.push_back((Instant::now(), value));
-        forget(&mut past, self.delay);
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        history.push_back((Instant::now(), value));
+        prune(&mut history, self.delay);
     }
 
     /// Derives the next value from the newest one.
     pub(crate) fn update(&self, change: impl FnOnce(&mut T)) {
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some((_, mut value)) = past.back().cloned() else {
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some((_, mut value)) = history.back().cloned() else {
             return;
         };
         change(&mut value);
-        past.push_back((Instant::now(), value));
-        forget(&mut past, self.delay);
+        history.push_back((Instant::now(), value));
+        prune(&mut history, self.delay);
     }
 }
 
 /// Drops each value that has a successor old enough to be seen.
-fn forget<T>(past: &mut VecDeque<(Instant, T)>, delay: Duration) {
-    while past.get(1).is_some_and(|(time, _)| time.elapsed() >= delay) {
-        past.pop_front();
+fn prune<T>(history: &mut VecDeque<(Instant, T)>, delay: Duration) {
+    while history
+        .get(1)
+        .is_some_and(|(time, _)| time.elapsed() >= delay)
+    {
+        history.pop_front();
     }
 }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Executions that are kept; the oldest are dropped beyond it.
-pub const LIMIT: usize = 2_000_000;
+pub const MAX_EXECUTIONS: usize = 2_000_000;
 
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    first: usize,
+    first_number: usize,
     executions: VecDeque<Execution>,
 }
 
@@ -72,11 +72,11 @@
 
 impl Log {
     /// Enters an execution that starts now.
-    pub(crate) fn start(&self, call: &crate::call::Call) -> Entry {
+    pub(crate) fn start(&self, call: &crate::call::Call) -> LogEntry {
         let mut state = self.state();
         state.executions.push_back(Execution {
             call: call.id.clone(),
-            request: call.request().to_owned(),
+            request: call.request_id().to_owned(),
             workspace: call.workspace.clone(),
             resume: call.resume,
             started_us: now_us(),
@@ -86,23 +86,23 @@
             prefix_blocks: call.prefix.len(),
             prefix_hits: 0,
         });
-        if state.executions.len() > LIMIT {
+        if state.executions.len() > MAX_EXECUTIONS {
             state.executions.pop_front();
-            state.first += 1;
+            state.first_number += 1;
         }
-        let index = state.first + state.executions.len() - 1;
+        let number = state.first_number + state.executions.len() - 1;
         drop(state);
-        Entry {
+        LogEntry {
             log: self.clone(),
-            index,
-            over: false,
+            number,
+            is_ended: false,
         }
     }
 
     /// All executions from number `since` on.
     pub(crate) fn page(&self, since: usize) -> Page {
         let state = self.state();
-        let skipped = since.saturating_sub(state.first);
+        let skipped = since.saturating_sub(state.first_number);
         let executions = state.executions.iter().skip(skipped).cloned().collect();
         Page { executions }
     }
@@ -114,23 +114,23 @@
 
 /// An execution that runs; it counts as cancelled if it is dropped before it has ended.
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct LogEntry {
     log: Log,
-    index: usize,
-    over: bool,
+    number: usize,
+    is_ended: bool,
 }
 
-impl Entry {
+impl LogEntry {
     /// Number of the execution, from zero.
-    pub(crate) fn serial(&self) -> usize {
-        self.index
+    pub(crate) fn number(&self) -> usize {
+        self.number
     }
 
     /// Notes the prefix blocks that were in the cache.
-    pub(crate) fn hit(&self, hits: usize) {
+    pub(crate) fn set_prefix_hits(&self, hits: usize) {
         let mut state = self.log.state();
-        let place = self.index.checked_sub(state.first);
-        if let Some(execution) = place.and_then(|place| state.executions.get_mut(place)) {
+        let position = self.number.checked_sub(state.first_number);
+        if let Some(execution) = position.and_then(|position| state.executions.get_mut(position)) {
             execution.prefix_hits = hits;
         }
     }
@@ -140,8 +140,8 @@
     fn cancel(&mut self) {
         let started_us = {
             let state = self.log.state();
-            let place = self.index.checked_sub(state.first);
-            let execution = place.and_then(|place| state.executions.get(place));
+            let position = self.number.checked_sub(state.first_number);
+            let execution = position.and_then(|position| state.executions.get(position));
             execution.map_or(0, |execution| execution.started_us)
         };
         self.end(
@@ -151,20 +151,20 @@
     }
 
     pub(crate) fn end(&mut self, ended: ExecutionStatus, busy_us: u64) {
-        self.over = true;
+        self.is_ended = true;
         let mut state = self.log.state();
-        let first = state.first;
-        let place = self.index.checked_sub(first);
-        if let Some(execution) = place.and_then(|place| state.executions.get_mut(place)) {
+        let first_number = state.first_number;
+        let position = self.number.checked_sub(first_number);
+        if let Some(execution) = position.and_then(|position| state.executions.get_mut(position)) {
             execution.ended = ended;
             execution.busy_us = busy_us;
         }
     }
 }
 
-impl Drop for Entry {
+impl Drop for LogEntry {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.is_ended {
             self.cancel();
         }
     }
--- a/crates/standin/src/object.rs
+++ b/crates/standin/src/object.rs
@@ -8,13 +8,13 @@
 
 /// All objects by name.
 #[derive(Debug, Default)]
-pub(crate) struct Object {
+pub(crate) struct ObjectStore {
     objects: Mutex<BTreeMap<String, Bytes>>,
 }
 
-impl Object {
+impl ObjectStore {
     pub(crate) fn put(&self, name: &str, content: Bytes) -> Response<Body> {
-        if !valid(name) {
+        if !is_valid_name(name) {
             return reply::error(StatusCode::BAD_REQUEST, "not a name of an object");
         }
         self.objects().insert(name.to_owned(), content);
@@ -33,7 +33,7 @@
     }
 }
 
-fn valid(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let valid = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     !name.is_empty() && name.bytes().all(valid)
 }
--- a/crates/standin/src/pool.rs
+++ b/crates/standin/src/pool.rs
@@ -2,8 +2,8 @@
 
 use crate::answer;
 use crate::call::Call;
-use crate::fault::{Draw, Switch};
-use crate::log::Entry;
+use crate::fault::{CallFaults, FaultInjector};
+use crate::log::LogEntry;
 use crate::options::{Options, millis};
 use crate::reply::{self, Body, Reply};
 use crate::runner::{self, Runner};
@@ -19,7 +19,7 @@
 pub(crate) struct Pool {
     pub(crate) runner: Arc<Runner>,
     slots: Slots,
-    switch: Arc<Switch>,
+    injector: Arc<FaultInjector>,
     name: Arc<str>,
     service_ms: f64,
     plain: bool,
@@ -33,11 +33,11 @@
 }
 
 impl Pool {
-    pub(crate) fn new(options: &Options, switch: Arc<Switch>, plain: bool) -> Self {
+    pub(crate) fn new(options: &Options, injector: Arc<FaultInjector>, plain: bool) -> Self {
         Self {
             runner: Arc::new(Runner::new(options)),
             slots: Slots::new(options.slots, options.lag()),
-            switch,
+            injector,
             name: options.name.as_str().into(),
             service_ms: options.service_ms,
             plain,
@@ -48,75 +48,77 @@
         self.slots.load()
     }
 
-    pub(crate) async fn run(&self, call: Call, draw: Draw) -> Reply {
+    pub(crate) async fn run(&self, call: Call, faults: CallFaults) -> Reply {
         let input = match call.input() {
             Ok(input) => input,
             Err(error) => return Ok(reply::error(StatusCode::BAD_REQUEST, error)),
         };
         if self.plain {
-            return self.run_plain(call, input, draw).await;
+            return self.run_plain(call, input, faults).await;
         }
-        let cancel = self.runner.watch(&call.id);
+        let cancel = self.runner.register(&call.id);
         let permit = tokio::select! {
             biased;
             () = cancel.token.cancelled() => return Ok(reply::not_run()),
-            permit = self.slots.take(call.priority) => permit,
+            permit = self.slots.acquire(call.priority) => permit,
         };
         let entry = self.runner.log.start(&call);
         tokio::select! {
             biased;
             () = cancel.token.cancelled() => Ok(runner::cancelled(&call.id)),
-            reply = self.work(&call, &input, draw, entry, permit) => reply,
+            reply = self.work(&call, &input, faults, entry, permit) => reply,
         }
     }
 
     /// Only the wait ends with the caller: the work goes on in a task of its own.
-    async fn run_plain(&self, call: Call, input: answer::Input, draw: Draw) -> Reply {
-        let cancel = self.runner.watch(&call.id);
+    async fn run_plain(&self, call: Call, input: answer::Input, faults: CallFaults) -> Reply {
+        let cancel = self.runner.register(&call.id);
         let permit = tokio::select! {
             biased;
             () = cancel.token.cancelled() => return Ok(reply::not_run()),
-            permit = self.slots.take(call.priority) => permit,
+            permit = self.slots.acquire(call.priority) => permit,
         };
         drop(cancel);
         let entry = self.runner.log.start(&call);
         let pool = self.clone();
-        let work = async move { pool.work(&call, &input, draw, entry, permit).await };
-        tokio::spawn(work).await.unwrap_or(Err(reply::Broken))
+        let work = async move { pool.work(&call, &input, faults, entry, permit).await };
+        tokio::spawn(work)
+            .await
+            .unwrap_or(Err(reply::ConnectionClosed))
     }
 
     async fn work(
         &self,
         call: &Call,
         input: &answer::Input,
-        draw: Draw,
-        entry: Entry,
+        faults: CallFaults,
+        entry: LogEntry,
         permit: Permit,
     ) -> Reply {
         let start = Instant::now();
-        let time = self.time();
+        let time = self.service_time();
         if !time.is_zero() {
             tokio::time::sleep(time).await;
         }
         let busy_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
         drop(permit);
-        let response = self.answer(call, input, draw, entry.serial());
-        runner::deliver(response, draw, entry, busy_us).await
+        let response = self.answer(call, input, faults, entry.number());
+        runner::deliver(response, faults, entry, busy_us).await
     }
 
-    fn time(&self) -> Duration {
-        millis(self.runner.spread(self.service_ms) * self.switch.factor())
+    fn service_time(&self) -> Duration {
+        millis(self.runner.sample_time(self.service_ms) * self.injector.factor())
     }
 
     fn answer(
         &self,
         call: &Call,
         input: &answer::Input,
-        draw: Draw,
+        faults: CallFaults,
         serial: usize,
     ) -> Response<Body> {
-        let other = self.runner.other(call, &input.text);
-        let (id, text) = if draw.cross {
+        let other = self.runner.replace_latest(call, &input.text);
+        let (id, text) = if faults.cross {
             (&other.id, &other.text)
         } else {
             (&call.id, &input.text)
@@ -131,7 +133,7 @@
         } else {
             reply::json(StatusCode::OK, &output)
         };
-        runner::insert(&mut response, "x-call", id);
+        runner::insert_header(&mut response, "x-call", id);
         response
     }
 }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -5,12 +5,12 @@
 
 /// A token bucket that holds one second's worth.
 #[derive(Debug)]
-pub(crate) struct Rate {
+pub(crate) struct RateLimiter {
     per_second: f64,
     bucket: Mutex<(Instant, f64)>,
 }
 
-impl Rate {
+impl RateLimiter {
     /// A full bucket; 0 sets no limit.
     pub(crate) fn new(per_second: f64) -> Self {
         Self {
@@ -20,7 +20,7 @@
     }
 
     /// Takes one token if there is one.
-    pub(crate) fn take(&self) -> bool {
+    pub(crate) fn try_acquire(&self) -> bool {
         if self.per_second <= 0.0 {
             return true;
         }
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -11,72 +11,72 @@
 use std::task::{Context, Poll};
 
 /// Time to come back that a refusal names, in seconds.
-const RETRY_SECONDS: &str = "1";
+const RETRY_AFTER_SECONDS: &str = "1";
 
 /// An answer, or the order to close the connection without one.
-pub(crate) type Reply = Result<Response<Body>, Broken>;
+pub(crate) type Reply = Result<Response<Body>, ConnectionClosed>;
 
 /// The connection is closed at this point.
 #[derive(Debug)]
-pub(crate) struct Broken;
+pub(crate) struct ConnectionClosed;
 
-impl Display for Broken {
+impl Display for ConnectionClosed {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         formatter.write_str("connection closed by a fault switch")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionClosed {}
 
 /// Body of an answer.
 pub(crate) enum Body {
     /// Sent as it is.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// The first part is sent, then the connection is closed.
-    Part(Option<Bytes>),
-    /// As `Part`, once the part has been handed over.
-    Gone { flushed: bool },
+    Partial(Option<Bytes>),
+    /// As `Partial`, once the part has been handed over.
+    Aborted { flushed: bool },
     /// Events of an engine.
     Stream(Box<Stream>),
     /// Bytes at a limited rate.
-    Slow(Box<crate::weight::Download>),
+    Download(Box<crate::weight::Download>),
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = ConnectionClosed;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            Self::Part(bytes) => {
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            Self::Partial(bytes) => {
                 let bytes = bytes.take().unwrap_or_default();
-                *self = Self::Gone { flushed: false };
+                *self = Self::Aborted { flushed: false };
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
             // The server drops what it has not flushed when a body fails, so the failure waits
             // until it has been polled once more; otherwise the part would never leave.
-            Self::Gone { flushed } if !*flushed => {
+            Self::Aborted { flushed } if !*flushed => {
                 *flushed = true;
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
-            Self::Gone { .. } => Poll::Ready(Some(Err(Broken))),
+            Self::Aborted { .. } => Poll::Ready(Some(Err(ConnectionClosed))),
             Self::Stream(stream) => stream.poll(context),
-            Self::Slow(download) => download.poll(context),
+            Self::Download(download) => download.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             _ => SizeHint::default(),
@@ -88,7 +88,7 @@
 pub(crate) fn bytes(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
     let bytes = bytes.into();
     let body = (!bytes.is_empty()).then_some(bytes);
-    let mut response = Response::new(Body::Whole(body));
+    let mut response = Response::new(Body::Full(body));
     *response.status_mut() = status;
     response
 }
@@ -112,7 +112,7 @@
 /// A refusal that says when to come back.
 pub(crate) fn refusal(status: StatusCode) -> Response<Body> {
     let mut response = empty(status);
-    let wait = hyper::header::HeaderValue::from_static(RETRY_SECONDS);
+    let wait = hyper::header::HeaderValue::from_static(RETRY_AFTER_SECONDS);
     response.headers_mut().insert(RETRY_AFTER, wait);
     response
 }
@@ -133,10 +133,10 @@
 /// Declares the whole length but sends only the first half.
 pub(crate) fn cut(response: Response<Body>) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
-    let Body::Whole(Some(bytes)) = body else {
+    let Body::Full(Some(bytes)) = body else {
         return Response::from_parts(parts, body);
     };
     parts.headers.insert(CONTENT_LENGTH, bytes.len().into());
     let half = bytes.slice(..bytes.len() / 2);
-    Response::from_parts(parts, Body::Part(Some(half)))
+    Response::from_parts(parts, Body::Partial(Some(half)))
 }
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -1,10 +1,10 @@
 //! What pools, plain services and engines have in common: log, cancelling, answers.
 
 use crate::call::Call;
-use crate::fault::Draw;
-use crate::log::{Entry, ExecutionStatus, Log};
+use crate::fault::CallFaults;
+use crate::log::{ExecutionStatus, Log, LogEntry};
 use crate::options::Options;
-use crate::reply::{self, Body, Broken, Reply};
+use crate::reply::{self, Body, ConnectionClosed, Reply};
 use foldhash::fast::RandomState;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -21,28 +21,28 @@
 #[derive(Debug)]
 pub(crate) struct Runner {
     pub(crate) log: Log,
-    cancels: Mutex<HashMap<String, Watched, RandomState>>,
-    latest: Mutex<Option<Other>>,
+    cancels: Mutex<HashMap<String, CancelState, RandomState>>,
+    latest: Mutex<Option<OtherCall>>,
     rng: Mutex<SmallRng>,
     jitter: f64,
 }
 
 /// Calls of one identity; a caller that sends a call twice cancels both.
 #[derive(Debug, Default)]
-struct Watched {
+struct CancelState {
     token: CancellationToken,
     calls: usize,
 }
 
 /// Another call, whose answer a crossed one bears.
 #[derive(Clone, Debug)]
-pub(crate) struct Other {
+pub(crate) struct OtherCall {
     pub(crate) id: String,
     pub(crate) text: String,
 }
 
 /// A call that can be cancelled while this is held.
-pub(crate) struct Cancel {
+pub(crate) struct CancelGuard {
     runner: Arc<Runner>,
     id: String,
     pub(crate) token: CancellationToken,
@@ -60,13 +60,13 @@
     }
 
     /// Makes a call known to [`Runner::cancel`].
-    pub(crate) fn watch(self: &Arc<Self>, id: &str) -> Cancel {
+    pub(crate) fn register(self: &Arc<Self>, id: &str) -> CancelGuard {
         let mut cancels = self.cancels.lock().unwrap_or_else(PoisonError::into_inner);
-        let watched = cancels.entry(id.to_owned()).or_default();
-        watched.calls += 1;
-        let token = watched.token.clone();
+        let state = cancels.entry(id.to_owned()).or_default();
+        state.calls += 1;
+        let token = state.token.clone();
         drop(cancels);
-        Cancel {
+        CancelGuard {
             runner: Arc::clone(self),
             id: id.to_owned(),
             token,
@@ -75,46 +75,46 @@
 
     pub(crate) fn cancel(&self, id: &str) -> Reply {
         let cancels = self.cancels.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(watched) = cancels.get(id) {
-            watched.token.cancel();
+        if let Some(state) = cancels.get(id) {
+            state.token.cancel();
         }
         Ok(reply::empty(StatusCode::NO_CONTENT))
     }
 
     /// A time at work around `median`, spread as the logarithm of a normal distribution.
-    pub(crate) fn spread(&self, median: f64) -> f64 {
+    pub(crate) fn sample_time(&self, median: f64) -> f64 {
         if self.jitter <= 0.0 {
             return median;
         }
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
-        // The sum of twelve uniform draws less six is close to a standard normal draw.
+        // The sum of twelve uniform draws less six is close to a standard normal faults.
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         median * (self.jitter * normal).exp()
     }
 
     /// Remembers a call for crossed answers and gives the one before it.
-    pub(crate) fn other(&self, call: &Call, text: &str) -> Other {
-        let this = Other {
+    pub(crate) fn replace_latest(&self, call: &Call, text: &str) -> OtherCall {
+        let this = OtherCall {
             id: call.id.clone(),
             text: text.to_owned(),
         };
         let mut latest = self.latest.lock().unwrap_or_else(PoisonError::into_inner);
-        latest.replace(this).unwrap_or_else(|| Other {
+        latest.replace(this).unwrap_or_else(|| OtherCall {
             id: UNKNOWN.to_owned(),
             text: UNKNOWN.to_owned(),
         })
     }
 }
 
-impl Drop for Cancel {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         let cancels = self.runner.cancels.lock();
         let mut cancels = cancels.unwrap_or_else(PoisonError::into_inner);
-        let Some(watched) = cancels.get_mut(&self.id) else {
+        let Some(state) = cancels.get_mut(&self.id) else {
             return;
         };
-        watched.calls -= 1;
-        if watched.calls == 0 {
+        state.calls -= 1;
+        if state.calls == 0 {
             cancels.remove(&self.id);
         }
     }
@@ -123,23 +123,23 @@
 /// Turns a finished JSON answer into what is sent, and logs how the execution ended.
 pub(crate) async fn deliver(
     mut response: Response<Body>,
-    draw: Draw,
-    mut entry: Entry,
+    faults: CallFaults,
+    mut entry: LogEntry,
     busy_us: u64,
 ) -> Reply {
-    if !draw.late.is_zero() {
-        tokio::time::sleep(draw.late).await;
+    if !faults.late.is_zero() {
+        tokio::time::sleep(faults.late).await;
     }
-    insert(&mut response, "x-busy-us", &busy_us.to_string());
-    if draw.lose {
+    insert_header(&mut response, "x-busy-us", &busy_us.to_string());
+    if faults.lose {
         entry.end(ExecutionStatus::Cut, busy_us);
-        return Err(Broken);
+        return Err(ConnectionClosed);
     }
-    if draw.fail {
+    if faults.fail {
         entry.end(ExecutionStatus::Failed, busy_us);
         return Ok(failed(&response));
     }
-    if draw.cut || draw.truncate {
+    if faults.cut || faults.truncate {
         entry.end(ExecutionStatus::Cut, busy_us);
         return Ok(reply::cut(response));
     }
@@ -159,7 +159,7 @@
 }
 
 /// Sets a header; a value that is no header value is left out.
-pub(crate) fn insert(response: &mut Response<Body>, name: &'static str, value: &str) {
+pub(crate) fn insert_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
@@ -168,7 +168,7 @@
 /// The answer to a call that was stopped after its start.
 pub(crate) fn cancelled(id: &str) -> Response<Body> {
     let mut response = reply::error(StatusCode::INTERNAL_SERVER_ERROR, "cancelled");
-    insert(&mut response, "x-call", id);
+    insert_header(&mut response, "x-call", id);
     response
 }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -17,7 +17,7 @@
 
 /// Wait after a failed accept: with no file descriptors left it would fail at once again and
 /// again and take a whole core.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// What can go wrong with a stand-in.
 #[derive(Debug, Snafu)]
@@ -99,7 +99,7 @@
                     let connection = connect(stream, service.clone());
                     connections.spawn(graceful.watch(connection));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             Some(_) = connections.join_next() => {}
         }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -2,17 +2,17 @@
 
 use crate::call::Call;
 use crate::engine::Engine;
-use crate::fault::{Draw, Faults, Switch};
+use crate::fault::{CallFaults, FaultInjector, Faults};
 use crate::kind::Kind;
-use crate::object::Object;
+use crate::object::ObjectStore;
 use crate::options::Options;
 use crate::pool::Pool;
 use crate::query;
-use crate::reply::{self, Body, Broken, Reply};
+use crate::reply::{self, Body, ConnectionClosed, Reply};
 use crate::runner::Runner;
-use crate::table::{Query, Table};
+use crate::table::{Query, TableService};
 use crate::vm::Vms;
-use crate::weight::Weight;
+use crate::weight::WeightStore;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -20,20 +20,20 @@
 use std::sync::Arc;
 
 /// What the calls of the fault switch, the log and the true list of VMs begin with.
-const ADMIN: &str = "/standin/";
+const ADMIN_PREFIX: &str = "/standin/";
 
 /// A stand-in with its fault switch; clones share it.
 #[derive(Clone)]
 pub(crate) struct Service {
-    switch: Arc<Switch>,
+    injector: Arc<FaultInjector>,
     backend: Backend,
 }
 
 #[derive(Clone)]
 enum Backend {
-    Table(Arc<Table>),
-    Object(Arc<Object>),
-    Weight(Arc<Weight>),
+    Table(Arc<TableService>),
+    Object(Arc<ObjectStore>),
+    Weight(Arc<WeightStore>),
     Vm(Arc<Vms>),
     Engine(Engine),
     Pool(Pool),
@@ -41,17 +41,17 @@
 
 impl Service {
     pub(crate) fn new(kind: Kind, options: &Options) -> Self {
-        let switch = Arc::new(Switch::new(options.seed));
+        let injector = Arc::new(FaultInjector::new(options.seed));
         let backend = match kind {
-            Kind::Table => Backend::Table(Arc::new(Table::new(options))),
+            Kind::Table => Backend::Table(Arc::new(TableService::new(options))),
             Kind::Object => Backend::Object(Arc::default()),
-            Kind::Weight => Backend::Weight(Arc::new(Weight::new(options))),
+            Kind::Weight => Backend::Weight(Arc::new(WeightStore::new(options))),
             Kind::Vm => Backend::Vm(Arc::new(Vms::new(options))),
-            Kind::Engine => Backend::Engine(Engine::new(options, Arc::clone(&switch))),
-            Kind::Pool => Backend::Pool(Pool::new(options, Arc::clone(&switch), false)),
-            Kind::Plain => Backend::Pool(Pool::new(options, Arc::clone(&switch), true)),
+            Kind::Engine => Backend::Engine(Engine::new(options, Arc::clone(&injector))),
+            Kind::Pool => Backend::Pool(Pool::new(options, Arc::clone(&injector), false)),
+            Kind::Plain => Backend::Pool(Pool::new(options, Arc::clone(&injector), true)),
         };
-        Self { switch, backend }
+        Self { injector, backend }
     }
 
     /// Work that goes on while the stand-in lives, if it has any.
@@ -63,70 +63,70 @@
 
     /// Answers one request.
     pub(crate) async fn handle(self, request: Request<Incoming>) -> Reply {
-        if request.uri().path().starts_with(ADMIN) {
+        if request.uri().path().starts_with(ADMIN_PREFIX) {
             return self.admin(request).await;
         }
-        let draw = self.switch.draw(request.method() != Method::GET);
-        if draw.reset {
-            return Err(Broken);
+        let faults = self.injector.draw(request.method() != Method::GET);
+        if faults.reset {
+            return Err(ConnectionClosed);
         }
         if request.uri().path() == "/v1/run" {
-            return self.run(request, draw).await;
+            return self.run(request, faults).await;
         }
-        let call = Message::read(request).await?;
-        if draw.slow.is_zero() && draw.late.is_zero() {
-            return self.serve(call, draw).await;
+        let call = BufferedRequest::read(request).await?;
+        if faults.slow.is_zero() && faults.late.is_zero() {
+            return self.serve(call, faults).await;
         }
         // A slow service carries out what reached it even if the caller stops waiting.
-        let served = tokio::spawn(async move { self.serve(call, draw).await });
-        served.await.unwrap_or(Err(Broken))
+        let served = tokio::spawn(async move { self.serve(call, faults).await });
+        served.await.unwrap_or(Err(ConnectionClosed))
     }
 
-    async fn run(&self, request: Request<Incoming>, draw: Draw) -> Reply {
-        if !draw.slow.is_zero() {
-            tokio::time::sleep(draw.slow).await;
+    async fn run(&self, request: Request<Incoming>, faults: CallFaults) -> Reply {
+        if !faults.slow.is_zero() {
+            tokio::time::sleep(faults.slow).await;
         }
-        if draw.down {
+        if faults.down {
             return Ok(reply::refusal(StatusCode::SERVICE_UNAVAILABLE));
         }
         if request.method() != Method::POST {
             return Ok(reply::empty(StatusCode::METHOD_NOT_ALLOWED));
         }
         let call = Call::read(request).await?;
-        if draw.refuse {
+        if faults.refuse {
             return Ok(reply::not_run());
         }
         match &self.backend {
-            Backend::Engine(engine) => engine.run(call, draw).await,
-            Backend::Pool(pool) => pool.run(call, draw).await,
+            Backend::Engine(engine) => engine.run(call, faults).await,
+            Backend::Pool(pool) => pool.run(call, faults).await,
             _ => Ok(reply::empty(StatusCode::NOT_FOUND)),
         }
     }
 
-    async fn serve(&self, call: Message, draw: Draw) -> Reply {
-        if !draw.slow.is_zero() {
-            tokio::time::sleep(draw.slow).await;
+    async fn serve(&self, call: BufferedRequest, faults: CallFaults) -> Reply {
+        if !faults.slow.is_zero() {
+            tokio::time::sleep(faults.slow).await;
         }
-        if draw.down {
+        if faults.down {
             return Ok(reply::refusal(StatusCode::SERVICE_UNAVAILABLE));
         }
         let reply = self.answer(&call).await;
-        if !draw.late.is_zero() {
-            tokio::time::sleep(draw.late).await;
+        if !faults.late.is_zero() {
+            tokio::time::sleep(faults.late).await;
         }
-        if draw.lose {
-            return Err(Broken);
+        if faults.lose {
+            return Err(ConnectionClosed);
         }
-        if draw.fail {
+        if faults.fail {
             return Ok(reply::empty(StatusCode::INTERNAL_SERVER_ERROR));
         }
-        if draw.cut || draw.truncate {
+        if faults.cut || faults.truncate {
             return reply.map(reply::cut);
         }
         reply
     }
 
-    async fn answer(&self, call: &Message) -> Reply {
+    async fn answer(&self, call: &BufferedRequest) -> Reply {
         let path: Vec<_> = call.path.split('/').skip(1).collect();
         let response = match (&self.backend, &call.method, path.as_slice()) {
             (Backend::Table(table), &Method::POST, ["v1", "transact"]) => {
@@ -160,11 +160,11 @@
     }
 
     async fn admin(&self, request: Request<Incoming>) -> Reply {
-        let call = Message::read(request).await?;
-        let path = call.path.strip_prefix(ADMIN).unwrap_or_default();
+        let call = BufferedRequest::read(request).await?;
+        let path = call.path.strip_prefix(ADMIN_PREFIX).unwrap_or_default();
         let query = call.query.as_deref();
         Ok(match (&self.backend, &call.method, path) {
-            (_, &Method::GET, "faults") => reply::json(StatusCode::OK, &self.switch.get()),
+            (_, &Method::GET, "faults") => reply::json(StatusCode::OK, &self.injector.get()),
             (_, &Method::POST, "faults") => self.set_faults(&call.body),
             (Backend::Vm(vms), &Method::POST, "vms") => vms.replace(&call.body),
             (Backend::Vm(vms), &Method::POST, "vm") => vms.put(&call.body),
@@ -184,7 +184,7 @@
     fn set_faults(&self, body: &[u8]) -> Response<Body> {
         match serde_json::from_slice::<Faults>(body) {
             Ok(faults) => {
-                self.switch.set(faults);
+                self.injector.set(faults);
                 reply::empty(StatusCode::NO_CONTENT)
             }
             Err(error) => reply::error(StatusCode::BAD_REQUEST, error),
@@ -217,7 +217,7 @@
 }
 
 /// Calls that only engines answer, besides orders.
-fn engine_call(engine: &Engine, method: &Method, path: &[&str], call: &Message) -> Reply {
+fn engine_call(engine: &Engine, method: &Method, path: &[&str], call: &BufferedRequest) -> Reply {
     let query = call.query.as_deref();
     Ok(match (method, path) {
         (&Method::GET, ["v1", "cache", "events"]) => {
@@ -235,17 +235,21 @@
 }
 
 /// A request that has been read whole.
-struct Message {
+struct BufferedRequest {
     method: Method,
     path: String,
     query: Option<String>,
     body: Bytes,
 }
 
-impl Message {
-    async fn read(request: Request<Incoming>) -> Result<Self, Broken> {
+impl BufferedRequest {
+    async fn read(request: Request<Incoming>) -> Result<Self, ConnectionClosed> {
         let (parts, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| Broken)?.to_bytes();
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| ConnectionClosed)?
+            .to_bytes();
         Ok(Self {
             method: parts.method,
             path: parts.uri.path().to_owned(),
--- a/crates/standin/src/slot.rs
+++ b/crates/standin/src/slot.rs
@@ -1,6 +1,6 @@
 //! Slots for a bounded number of calls at once; those that wait go by priority.
 
-use crate::lag::Lag;
+use crate::lag::Delayed;
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -27,7 +27,7 @@
 
 struct Shared {
     state: Mutex<State>,
-    load: Lag<Load>,
+    load: Delayed<Load>,
 }
 
 struct State {
@@ -62,7 +62,7 @@
         let load = state.load();
         let shared = Shared {
             state: Mutex::new(state),
-            load: Lag::new(lag, load),
+            load: Delayed::new(lag, load),
         };
         Self {
             shared: Arc::new(shared),
@@ -75,14 +75,14 @@
     }
 
     /// Waits for a slot; dropping the future leaves the queue.
-    pub(crate) async fn take(&self, priority: u8) -> Permit {
-        match self.take_or_queue(priority) {
+    pub(crate) async fn acquire(&self, priority: u8) -> Permit {
+        match self.acquire_or_queue(priority) {
             Ok(permit) => permit,
-            Err(place) => place.wait().await,
+            Err(entry) => entry.wait().await,
         }
     }
 
-    fn take_or_queue(&self, priority: u8) -> Result<Permit, Place> {
+    fn acquire_or_queue(&self, priority: u8) -> Result<Permit, QueueEntry> {
         let mut state = self.state();
         let taken = if state.running < state.limit {
             state.running += 1;
@@ -92,7 +92,7 @@
             state.arrivals += 1;
             let rank = (priority, Reverse(state.arrivals));
             state.queue.push(Waiter { rank, wake });
-            Err(Place {
+            Err(QueueEntry {
                 slots: self.clone(),
                 rank,
                 granted,
@@ -118,13 +118,13 @@
 ///
 /// Without that, callers that have gone would be counted as waiting until a slot comes free, and
 /// the load would look higher than it is.
-struct Place {
+struct QueueEntry {
     slots: Slots,
     rank: Rank,
     granted: oneshot::Receiver<Permit>,
 }
 
-impl Place {
+impl QueueEntry {
     async fn wait(mut self) -> Permit {
         match (&mut self.granted).await {
             Ok(permit) => permit,
@@ -134,7 +134,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let mut state = self.slots.state();
         state.queue.retain(|waiter| waiter.rank != self.rank);
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,7 +1,7 @@
 //! The transactional table service.
 
 use crate::options::Options;
-use crate::rate::Rate;
+use crate::rate::RateLimiter;
 use crate::reply::{self, Body};
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -11,13 +11,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Rows of a scan that names no limit.
-const LIMIT: usize = 1_000;
+const DEFAULT_SCAN_LIMIT: usize = 1_000;
 
 /// All tables.
 #[derive(Debug)]
-pub(crate) struct Table {
-    writes: Rate,
-    reads: Rate,
+pub(crate) struct TableService {
+    writes: RateLimiter,
+    reads: RateLimiter,
     state: Mutex<State>,
 }
 
@@ -78,11 +78,11 @@
     pub(crate) limit: Option<usize>,
 }
 
-impl Table {
+impl TableService {
     pub(crate) fn new(options: &Options) -> Self {
         Self {
-            writes: Rate::new(options.writes_per_second),
-            reads: Rate::new(options.reads_per_second),
+            writes: RateLimiter::new(options.writes_per_second),
+            reads: RateLimiter::new(options.reads_per_second),
             state: Mutex::default(),
         }
     }
@@ -92,7 +92,7 @@
             Ok(transaction) => transaction,
             Err(error) => return reply::error(StatusCode::BAD_REQUEST, error),
         };
-        if !self.writes.take() {
+        if !self.writes.try_acquire() {
             return reply::refusal(StatusCode::TOO_MANY_REQUESTS);
         }
         match self.state().commit(transaction) {
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn read(&self, table: &str, query: &Query) -> Response<Body> {
-        if !self.reads.take() {
+        if !self.reads.try_acquire() {
             return reply::refusal(StatusCode::TOO_MANY_REQUESTS);
         }
         let state = self.state();
@@ -131,7 +131,7 @@
         let rows = self.tables.get(table).into_iter();
         rows.flat_map(|rows| rows.range::<str, _>((start, Bound::Unbounded)))
             .map(|(_, row)| row.clone())
-            .take(query.limit.unwrap_or(LIMIT))
+            .take(query.limit.unwrap_or(DEFAULT_SCAN_LIMIT))
             .collect()
     }
 
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -1,6 +1,6 @@
 //! The lagging list of VMs.
 
-use crate::lag::Lag;
+use crate::lag::Delayed;
 use crate::options::Options;
 use crate::reply::{self, Body};
 use hyper::{Response, StatusCode};
@@ -10,11 +10,11 @@
 /// The true list and its recent past.
 #[derive(Debug)]
 pub(crate) struct Vms {
-    list: Lag<List>,
+    list: Delayed<VmList>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct List {
+struct VmList {
     vms: Vec<Vm>,
 }
 
@@ -29,7 +29,7 @@
 impl Vms {
     pub(crate) fn new(options: &Options) -> Self {
         Self {
-            list: Lag::new(options.lag(), List::default()),
+            list: Delayed::new(options.lag(), VmList::default()),
         }
     }
 
@@ -39,11 +39,11 @@
     }
 
     pub(crate) fn replace(&self, body: &[u8]) -> Response<Body> {
-        self.change(body, |list: &mut List, new: List| *list = new)
+        self.change(body, |list: &mut VmList, new: VmList| *list = new)
     }
 
     pub(crate) fn put(&self, body: &[u8]) -> Response<Body> {
-        self.change(body, |list: &mut List, new: Vm| {
+        self.change(body, |list: &mut VmList, new: Vm| {
             match list.vms.iter_mut().find(|vm| vm.id == new.id) {
                 Some(vm) => *vm = new,
                 None => list.vms.push(new),
@@ -59,7 +59,7 @@
     fn change<'a, T: Deserialize<'a>>(
         &self,
         body: &'a [u8],
-        change: impl FnOnce(&mut List, T),
+        change: impl FnOnce(&mut VmList, T),
     ) -> Response<Body> {
         match serde_json::from_slice(body) {
             Ok(new) => {
--- a/crates/standin/src/weight.rs
+++ b/crates/standin/src/weight.rs
@@ -1,7 +1,7 @@
 //! The rate-limited weight store.
 
 use crate::options::Options;
-use crate::reply::{self, Body, Broken};
+use crate::reply::{self, Body, ConnectionClosed};
 use bytes::Bytes;
 use hyper::body::Frame;
 use hyper::{Response, StatusCode};
@@ -14,34 +14,34 @@
 use tokio::time::{Instant, Sleep};
 
 /// Bytes sent at once.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// The store; all downloads share its rate.
 #[derive(Debug)]
-pub(crate) struct Weight {
+pub(crate) struct WeightStore {
     bytes: usize,
     per_second: f64,
     downloads: Arc<Semaphore>,
     /// When the bytes handed out so far will have passed.
-    free: Arc<Mutex<Instant>>,
+    free_at: Arc<Mutex<Instant>>,
 }
 
 /// A download in progress.
 pub(crate) struct Download {
-    left: usize,
+    remaining: usize,
     per_second: f64,
-    free: Arc<Mutex<Instant>>,
+    free_at: Arc<Mutex<Instant>>,
     sleep: Option<Pin<Box<Sleep>>>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Weight {
+impl WeightStore {
     pub(crate) fn new(options: &Options) -> Self {
         Self {
             bytes: options.weight_bytes,
             per_second: options.weight_bytes_per_second,
             downloads: Arc::new(Semaphore::new(options.slots)),
-            free: Arc::new(Mutex::new(Instant::now())),
+            free_at: Arc::new(Mutex::new(Instant::now())),
         }
     }
 
@@ -50,13 +50,13 @@
             return reply::refusal(StatusCode::TOO_MANY_REQUESTS);
         };
         let download = Download {
-            left: self.bytes,
+            remaining: self.bytes,
             per_second: self.per_second,
-            free: Arc::clone(&self.free),
+            free_at: Arc::clone(&self.free_at),
             sleep: None,
             _permit: permit,
         };
-        Response::new(Body::Slow(Box::new(download)))
+        Response::new(Body::Download(Box::new(download)))
     }
 }
 
@@ -64,15 +64,15 @@
     pub(crate) fn poll(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        if self.left == 0 {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
+        if self.remaining == 0 {
             return Poll::Ready(None);
         }
-        let length = self.left.min(CHUNK);
+        let length = self.remaining.min(CHUNK_BYTES);
         let sleep = match &mut self.sleep {
             Some(sleep) => sleep,
             empty => {
-                let until = reserve(&self.free, length, self.per_second);
+                let until = reserve(&self.free_at, length, self.per_second);
                 empty.insert(Box::pin(tokio::time::sleep_until(until)))
             }
         };
@@ -80,21 +80,21 @@
             return Poll::Pending;
         }
         self.sleep = None;
-        self.left -= length;
-        let chunk = Bytes::from_static(&[0; CHUNK]).slice(..length);
+        self.remaining -= length;
+        let chunk = Bytes::from_static(&[0; CHUNK_BYTES]).slice(..length);
         Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 }
 
 /// Takes the next free time for `length` bytes and gives its end.
-fn reserve(free: &Mutex<Instant>, length: usize, per_second: f64) -> Instant {
-    let mut free = free.lock().unwrap_or_else(PoisonError::into_inner);
-    let start = (*free).max(Instant::now());
+fn reserve(free_at: &Mutex<Instant>, length: usize, per_second: f64) -> Instant {
+    let mut free_at = free_at.lock().unwrap_or_else(PoisonError::into_inner);
+    let start = (*free_at).max(Instant::now());
     let time = if per_second > 0.0 {
         Duration::try_from_secs_f64(length as f64 / per_second).unwrap_or_default()
     } else {
         Duration::ZERO
     };
-    *free = start + time;
-    *free
+    *free_at = start + time;
+    *free_at
 }
