--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,18 +1,19 @@
-//! What the runners answer: derived from the input alone, so that anyone can tell an own answer.
+//! Responses of the runners. They depend only on the input, so that a client can verify that a
+//! response is its own.
 
 use serde::{Deserialize, Serialize};
 
-/// Start of the FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Factor of the FNV-1a hash.
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What a runner reads of its input.
+/// Input of a runner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Input {
-    /// Text to work on.
+    /// Text to process.
     pub text: String,
-    /// Tokens that an engine generates.
+    /// Number of tokens that an engine generates.
     #[serde(default)]
     pub max_tokens: Option<u32>,
     /// Model that an engine must have loaded.
@@ -20,7 +21,7 @@
     pub model: Option<String>,
 }
 
-/// FNV-1a hash, the same in every process.
+/// FNV-1a hash, which is the same in all processes.
 ///
 /// # Examples
 ///
@@ -34,13 +35,13 @@
     })
 }
 
-/// Hash of an input as the log of executions shows it.
+/// Hash of an input, as in the execution log.
 #[must_use]
 pub fn input_hash(input: &[u8]) -> String {
     format!("{:016x}", hash(input))
 }
 
-/// Text that a pool or plain service named `name` answers.
+/// Response text of a pool or plain service named `name`.
 ///
 /// # Examples
 ///
@@ -52,7 +53,7 @@
     format!("{name}({text})")
 }
 
-/// Token number `k`, from zero, of an engine's answer to `text`.
+/// Token `k`, counted from zero, of an engine's response to `text`.
 ///
 /// # Examples
 ///
@@ -64,7 +65,7 @@
     format!("{:08x}.{k}", hash(text.as_bytes()) & 0xffff_ffff)
 }
 
-/// The whole answer of an engine to `text` in `count` tokens.
+/// The complete response of an engine to `text`, with `count` tokens.
 ///
 /// # Examples
 ///
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -1,4 +1,4 @@
-//! A call of `POST /v1/run` as it arrives.
+//! Parses calls of `POST /v1/run`.
 
 use crate::answer::Input;
 use crate::reply::ConnectionClosed;
@@ -8,10 +8,10 @@
 use hyper::header::ACCEPT;
 use hyper::{HeaderMap, Request};
 
-/// Priority of a call that names none.
+/// Priority of a call without a valid `X-Priority` header.
 const DEFAULT_PRIORITY: u8 = 128;
 
-/// A call with everything that its headers say.
+/// A call with its parsed headers.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) id: String,
@@ -20,13 +20,13 @@
     pub(crate) resume: u32,
     pub(crate) prefix: Vec<u64>,
     pub(crate) stream: bool,
-    /// Model that the call names in its header.
+    /// Model from the `X-Model` header.
     pub(crate) model: Option<String>,
     pub(crate) raw: Bytes,
 }
 
 impl Call {
-    /// Reads the whole call; fails if the caller goes away meanwhile.
+    /// Reads the complete call; fails if the client disconnects.
     pub(crate) async fn read(request: Request<Incoming>) -> Result<Self, ConnectionClosed> {
         let (parts, body) = request.into_parts();
         let raw = body
@@ -55,13 +55,13 @@
         serde_json::from_slice(&self.raw)
     }
 
-    /// The part of `REQUEST-STAGE-ATTEMPT` that names the request.
+    /// The request id from the call id, which is `REQUEST-STAGE-ATTEMPT`.
     pub(crate) fn request_id(&self) -> &str {
         self.id.split('-').next().unwrap_or_default()
     }
 }
 
-/// A hash of a prefix block in hex.
+/// Parses the hexadecimal hash of a prefix block.
 pub(crate) fn parse_block(text: &str) -> Option<u64> {
     u64::from_str_radix(text.trim(), 16).ok()
 }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Sequences that wait and run, step by step.
+//! Waiting and running sequences, executed in steps.
 
 use super::cache::Cache;
 use crate::call::Call;
@@ -17,50 +17,50 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Lateness that later steps make up for; a longer stall shifts them.
+/// Maximum delay that later steps make up for; a longer delay shifts the schedule.
 const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 
-/// What the batch says about a sequence.
+/// Progress of a sequence.
 pub(super) enum Progress {
-    /// It has a place in the batch.
+    /// The sequence is in the batch.
     Start {
-        /// Its execution.
+        /// Log entry of the execution.
         entry: LogEntry,
-        /// Leading prefix blocks that were in the cache.
+        /// Number of leading prefix blocks that were in the cache.
         hits: usize,
-        /// Time that its prefill takes, in microseconds.
+        /// Duration of the prefill in microseconds.
         busy_us: u64,
     },
-    /// Token of this number.
+    /// The token with this number has been generated.
     Token(u32),
-    /// All tokens are out.
+    /// All tokens have been generated.
     Done {
-        /// Its share of the time of all its steps, in microseconds.
+        /// Prefill time plus the sequence's share of its steps, in microseconds.
         busy_us: u64,
     },
 }
 
-/// A call that wants a place in the batch.
+/// A call to be added to the batch.
 pub(super) struct Request {
     pub(super) call: Call,
-    /// Tokens of the whole answer.
+    /// Number of tokens of the complete response.
     pub(super) total: u32,
     pub(super) cancelled: CancellationToken,
 }
 
-/// Number of a request in order of arrival.
+/// Number of a request in the order of arrival.
 type ArrivalNumber = u64;
 
-/// A place in the queue, which is left when this is dropped.
+/// An entry in the queue, which is removed on drop.
 ///
-/// Without that, callers that have gone would be counted as waiting until the batch has room, and
-/// the load would look higher than it is.
+/// Otherwise, disconnected clients would be counted as waiting until the batch has room, and the
+/// reported load would be too high.
 pub(super) struct QueueEntry {
     batch: Arc<Batch>,
     arrival: ArrivalNumber,
 }
 
-/// The sequences and the times of their steps.
+/// The sequences of an engine and the durations of their steps.
 pub(super) struct Batch {
     state: Mutex<State>,
     wake: Notify,
@@ -126,8 +126,8 @@
         self.load.get().unwrap_or_default()
     }
 
-    /// Queues a request; its progress comes through the channel, which is closed without `Done`
-    /// if it is cancelled.
+    /// Queues a request. The channel reports its progress; if the request is cancelled, the channel
+    /// is closed without `Done`.
     pub(super) fn enqueue(
         self: &Arc<Self>,
         request: Request,
@@ -149,8 +149,8 @@
         (QueueEntry { batch, arrival }, progress)
     }
 
-    /// Steps the batch, and sleeps while it is empty.
-    pub(super) async fn drive(&self) {
+    /// Runs the steps of the batch; sleeps while the batch is empty.
+    pub(super) async fn run_steps(&self) {
         let mut due = Instant::now();
         loop {
             let Some(time) = self.admit() else {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Fills the batch and gives the time of its next step; `None` if it is empty.
+    /// Fills the batch and returns the duration of its next step; `None` if the batch is empty.
     fn admit(&self) -> Option<Duration> {
         let mut state = self.state();
         state.running.retain(|running| !running.is_abandoned());
@@ -187,7 +187,8 @@
         Some(prefill + millis(self.runner.sample_time(step) * self.injector.factor()))
     }
 
-    /// Starts a sequence unless its caller has gone; gives the time of its prefill too.
+    /// Starts a sequence unless it was cancelled or its client has disconnected; also returns the
+    /// duration of its prefill.
     fn start(&self, waiting: Waiting) -> Option<(Running, Duration)> {
         let Waiting { request, sink, .. } = waiting;
         if sink.is_closed() || request.cancelled.is_cancelled() {
@@ -217,7 +218,7 @@
         Some((running, prefill))
     }
 
-    /// Gives each sequence its next token.
+    /// Sends the next token of each sequence.
     fn emit(&self, time: Duration) {
         let mut state = self.state();
         let sequences = u32::try_from(state.running.len()).unwrap_or(u32::MAX);
@@ -240,7 +241,7 @@
 }
 
 impl QueueEntry {
-    /// Takes the request out of the queue; `false` if it is no longer there.
+    /// Removes the request from the queue; `false` if it is no longer there.
     pub(super) fn remove(&self) -> bool {
         let mut state = self.batch.state();
         let before = state.waiting.len();
@@ -263,7 +264,7 @@
         self.sink.is_closed() || self.cancelled.is_cancelled()
     }
 
-    /// Sends the next token; `false` once the sequence is over.
+    /// Sends the next token; `false` if the sequence has ended.
     fn step(&mut self, share: Duration) -> bool {
         if self.is_abandoned() {
             return false;
@@ -280,7 +281,7 @@
             return true;
         }
         let busy_us = micros(self.busy);
-        // A caller that has gone needs no end mark.
+        // The send fails only if the client has disconnected.
         let _ = self.sink.send(Progress::Done { busy_us });
         false
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Events that are kept; the oldest are dropped beyond it.
+/// Maximum number of events that are retained; the oldest are dropped.
 const MAX_EVENTS: usize = 65_536;
 
-/// The blocks in the cache, the least recently used first to go.
+/// An LRU cache of prefix blocks.
 pub(super) struct Cache {
     limit: usize,
     tick: u64,
@@ -25,7 +25,7 @@
     rng: SmallRng,
 }
 
-/// What became of a block.
+/// Change of a block.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum EventKind {
@@ -40,7 +40,7 @@
     block: String,
 }
 
-/// Events that have been published by now.
+/// Published events.
 #[derive(Debug, Serialize)]
 pub(super) struct EventPage {
     events: Vec<Event>,
@@ -66,7 +66,7 @@
         self.last_used.contains_key(&block)
     }
 
-    /// Uses the blocks of a prompt and gives how many leading ones were there.
+    /// Uses the blocks of a prompt and returns how many of the leading blocks were in the cache.
     pub(super) fn touch(&mut self, blocks: &[u64]) -> usize {
         let hits = blocks
             .iter()
@@ -81,7 +81,7 @@
         hits
     }
 
-    /// Events after number `after` that are old enough to be seen.
+    /// Visible events whose number is greater than `after`.
     pub(super) fn events(&self, after: u64) -> EventPage {
         let seen = self
             .events
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A lost event still takes a number, so that the gap shows.
+    /// Publishes an event. A lost event still takes a sequence number, so that readers can detect
+    /// the gap.
     fn publish(&mut self, kind: EventKind, block: u64) {
         self.sequence += 1;
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
--- a/crates/standin/src/engine/fetch.rs
+++ b/crates/standin/src/engine/fetch.rs
@@ -1,4 +1,4 @@
-//! Loading from the weight store.
+//! Downloads from the weight store.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Tries before a model is given up.
+/// Maximum number of attempts to download a model.
 const MAX_ATTEMPTS: u32 = 100;
-/// Wait before another try where the store names none.
+/// Delay before the next attempt if the store sends no `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Client of the weight store.
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Reads the weights of a model to the end, coming back when the store says so; `false` once
-    /// all tries have failed.
+    /// Downloads the weights of a model, with retries after the time that the store requests;
+    /// `false` if all attempts have failed.
     pub(super) async fn download(&self, model: &str) -> bool {
         for _ in 0..MAX_ATTEMPTS {
             match self.try_download(model).await {
@@ -42,7 +42,7 @@
         false
     }
 
-    /// One try, or the time to wait before the next.
+    /// Makes one attempt; an error is the delay before the next one.
     async fn try_download(&self, model: &str) -> Result<(), Duration> {
         let request = Request::get(format!("http://{}/v1/weights/{model}", self.weights))
             .body(Empty::new())
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,10 +1,10 @@
-//! A model engine that batches continuously.
+//! A model engine with continuous batching.
 //!
-//! * [`batch`]: sequences that wait and run, step by step
+//! * [`batch`]: waiting and running sequences, executed in steps
 //! * [`cache`]: the prefix cache and its events
-//! * [`fetch`]: loading from the weight store
+//! * [`fetch`]: downloads from the weight store
 //! * [`order`]: models, adapters, versions and roles
-//! * [`stream`]: the events of one answer
+//! * [`stream`]: the events of one response
 
 mod batch;
 mod cache;
@@ -31,7 +31,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Bytes of an exported block.
+/// Size of an exported block.
 const BLOCK_BYTES: usize = 1024;
 
 /// The engine; clones share it.
@@ -50,7 +50,7 @@
     tokens: u32,
 }
 
-/// An execution that has begun.
+/// An execution that has started.
 struct Started {
     entry: crate::log::LogEntry,
     hits: usize,
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Steps the batch for as long as the engine lives.
-    pub(crate) async fn drive(self) {
-        self.batch.drive().await;
+    /// Runs the steps of the batch.
+    pub(crate) async fn run_steps(self) {
+        self.batch.run_steps().await;
     }
 
     pub(crate) fn load(&self) -> Load {
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Waits until the call has a place in the batch; `None` if it is cancelled before.
+    /// Waits until the call is in the batch; `None` if it is cancelled before.
     async fn start(&self, call: &Call, total: u32) -> Option<Started> {
         let cancel = self.runner.register(&call.id);
         let (queued, mut receiver) = self.batch.enqueue(Request {
@@ -129,8 +129,8 @@
             () = cancel.token.cancelled() => None,
         };
         if first.is_none() {
-            // The batch may have admitted the call at this very moment, and "not run" would then
-            // be false: only a call that is still found among the waiting ones has not run.
+            // The batch may have just admitted the call, and "not run" would be false: only a call
+            // that is still in the queue has not run.
             if queued.remove() {
                 return None;
             }
@@ -205,7 +205,7 @@
         match serde_json::from_slice(body) {
             Ok(order) => {
                 let orders = Arc::clone(&self.orders);
-                // Loading goes on if the sender of the order goes away.
+                // Loading continues if the sender of the order disconnects.
                 let done = tokio::spawn(async move { orders.execute(order).await }).await;
                 done.map(reply::empty).map_err(|_| ConnectionClosed)
             }
--- a/crates/standin/src/engine/order.rs
+++ b/crates/standin/src/engine/order.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What is loaded, and every order that came.
+/// The loaded models, the role, and all received orders.
 #[derive(Debug)]
 pub(super) struct Orders {
     fencing: bool,
@@ -26,7 +26,7 @@
     journal: Vec<JournalEntry>,
 }
 
-/// An order as it arrives.
+/// An order as received.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Order {
     fence: u64,
@@ -53,21 +53,21 @@
 struct JournalEntry {
     #[serde(flatten)]
     order: Order,
-    /// Whether it was carried out; otherwise its fencing number was old.
+    /// Whether the order was accepted; otherwise its fencing token was stale.
     carried_out: bool,
-    /// Highest fencing number that had been seen before it.
+    /// Highest fencing token of the earlier orders.
     highest: u64,
-    /// Microseconds since the Unix epoch.
+    /// Time of receipt in microseconds since the Unix epoch.
     at_us: u64,
 }
 
-/// Ground truth of `GET /standin/orders`.
+/// Ground truth of orders; response of `GET /standin/orders`.
 #[derive(Debug, Serialize)]
 pub(super) struct Journal {
     orders: Vec<JournalEntry>,
 }
 
-/// Answer of `GET /v1/models`.
+/// Response of `GET /v1/models`.
 #[derive(Debug, Serialize)]
 pub(super) struct Models {
     models: BTreeSet<String>,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Carries out an order, or refuses it with `412`; `502` if the weight store gave no weights.
+    /// Executes an order. The status is `412` if the fencing token is stale and `502` if the weights
+    /// could not be downloaded.
     pub(super) async fn execute(&self, order: Order) -> StatusCode {
         if !self.record(&order) {
             return StatusCode::PRECONDITION_FAILED;
@@ -102,7 +103,7 @@
         StatusCode::OK
     }
 
-    /// Waits until the weights of an order are there; `false` if they never came.
+    /// Loads the weights for an order; `false` if the download failed.
     async fn load_weights(&self, order: &Order) -> bool {
         if !self.load_time.is_zero() {
             tokio::time::sleep(self.load_time).await;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Notes an order; `false` if its fencing number is old and numbers are checked.
+    /// Records an order; `false` if fencing is enabled and its fencing token is stale.
     fn record(&self, order: &Order) -> bool {
         let mut state = self.state();
         let highest = state.fence;
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The events of one answer, as a body.
+//! The events of one response, as a body.
 
 use super::Started;
 use super::batch::Progress;
@@ -12,13 +12,13 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A stream of events; dropping it cancels the work.
+/// A stream of events; dropping it cancels the execution.
 pub(crate) struct Stream {
     entry: LogEntry,
     receiver: UnboundedReceiver<Progress>,
     text: String,
     total: u32,
-    /// Token before which a cut stream breaks off.
+    /// Number of the token at which the `cut` fault closes the connection.
     middle: u32,
     faults: CallFaults,
     _cancel: CancelGuard,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The next event; a stream that was cancelled ends without an end mark.
+    /// Polls the next event; a cancelled stream ends without a `done` event.
     pub(crate) fn poll(
         &mut self,
         context: &mut Context<'_>,
@@ -65,13 +65,13 @@
                 self.entry.end(ExecutionStatus::Answered, busy_us);
                 Some(Ok(self.frame(&self.done())))
             }
-            // The start has been taken before the stream was made.
+            // `Start` is received before the stream is created.
             Progress::Start { .. } => Some(Ok(Frame::data(Bytes::new()))),
         })
     }
 
     fn token(&self, k: u32) -> String {
-        // Tokens hold hex digits and a point only, so that they need no escapes.
+        // Tokens contain only hexadecimal digits and a dot, so that they need no escaping.
         let token = answer::token(&self.text, k);
         format!("id: {k}\ndata: {{\"token\":\"{token}\"}}\n\n")
     }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! The fault switch: what goes wrong with the calls to a stand-in.
+//! Injects faults into the calls to a stand-in.
 
 use crate::options::millis;
 use rand::rngs::SmallRng;
@@ -8,27 +8,27 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Fraction of calls, from 0 to 1; `true` stands for all and `false` for none.
+/// Fraction of calls that a fault affects, from 0 to 1; `true` means all and `false` none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Fraction {
-    /// All or none.
+    /// All calls or none.
     All(bool),
-    /// This share.
+    /// This fraction of the calls.
     Part(f64),
 }
 
-/// Answers to lose.
+/// Responses to lose.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Loss {
-    /// Those of the next calls, this many.
+    /// Responses to this many of the next calls.
     Next(u64),
-    /// Those of a share of the calls.
+    /// Responses to a fraction of the calls.
     Share(Fraction),
 }
 
-/// What goes wrong, as `POST /standin/faults` sets it.
+/// Faults to inject, as set by `POST /standin/faults`.
 ///
 /// # Examples
 ///
@@ -39,30 +39,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answered with `503` before anything is done.
+    /// The call is rejected with `503` before it has any effect.
     pub down: Fraction,
-    /// Connection closed before anything is done.
+    /// The connection is closed before the call has any effect.
     pub reset: Fraction,
-    /// Time before each call is looked at, in milliseconds.
+    /// Delay before each call is handled, in milliseconds.
     pub slow_ms: f64,
-    /// Carried out, but the connection is closed without an answer; counts only calls that write
-    /// or run.
+    /// The call is executed, but the connection is closed without a response; affects only calls
+    /// that write or run something.
     pub lose_answers: Loss,
-    /// Times at work are multiplied by this.
+    /// Factor by which execution times are multiplied.
     pub factor: f64,
-    /// Carried out, but answered with `500`.
+    /// The call is executed, but the response is `500`.
     pub fail: Fraction,
-    /// Answer broken off in the middle.
+    /// The connection is closed in the middle of the response.
     pub cut: Fraction,
-    /// Stream ended cleanly without its end mark; a JSON answer shorter than its declared length.
+    /// A stream ends cleanly without its `done` event; a JSON response is shorter than its declared
+    /// length.
     pub truncate: Fraction,
-    /// Answer that bears identity and content of another call.
+    /// The response carries the id and the content of another call.
     pub cross: Fraction,
-    /// Time before each finished answer is sent, in milliseconds.
+    /// Delay before each finished response is sent, in milliseconds.
     pub late_ms: f64,
-    /// Runners: answered with `503` and `X-Not-Run: 1`.
+    /// Runners: the call is rejected with `503` and `X-Not-Run: 1`.
     pub refuse: Fraction,
-    /// Stream with each event sent twice.
+    /// Each event of a stream is sent twice.
     pub double: Fraction,
 }
 
@@ -87,7 +88,7 @@
     }
 }
 
-/// Faults that were drawn for one call.
+/// Faults drawn for one call.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallFaults {
     pub(crate) down: bool,
@@ -103,10 +104,10 @@
     pub(crate) double: bool,
 }
 
-/// The faults in force and the generator behind the draws.
+/// The active faults and the random number generator that draws them.
 #[derive(Debug)]
 pub(crate) struct FaultInjector {
-    /// Spares the calls of a sound stand-in the lock.
+    /// Set while no fault is active; calls then need no lock.
     inactive: AtomicBool,
     state: Mutex<(Faults, SmallRng)>,
 }
@@ -129,7 +130,7 @@
         self.inactive.store(inactive, Ordering::Release);
     }
 
-    /// Factor on times at work.
+    /// Factor by which execution times are multiplied.
     pub(crate) fn factor(&self) -> f64 {
         if self.inactive.load(Ordering::Acquire) {
             return 1.0;
@@ -137,7 +138,7 @@
         self.state().0.factor
     }
 
-    /// Draws the faults of one call; `effect` says whether it writes or runs something.
+    /// Draws the faults of one call; `effect` tells whether the call writes or runs something.
     pub(crate) fn draw(&self, effect: bool) -> CallFaults {
         if self.inactive.load(Ordering::Acquire) {
             return CallFaults::default();
--- a/crates/standin/src/kind.rs
+++ b/crates/standin/src/kind.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
-/// What a stand-in takes the place of.
+/// The service that a stand-in simulates.
 ///
 /// # Examples
 ///
@@ -19,9 +19,9 @@
     Object,
     /// The rate-limited weight store.
     Weight,
-    /// The lagging list of VMs.
+    /// The list of VMs, whose changes become visible with a delay.
     Vm,
-    /// A model engine that batches continuously.
+    /// A model engine with continuous batching.
     Engine,
     /// An encoder, retriever or reranker.
     Pool,
@@ -41,7 +41,7 @@
         Self::Plain,
     ];
 
-    /// Name in lower case.
+    /// Lower-case name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Text that names no kind.
+/// The text is not the name of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseKindError;
 
--- a/crates/standin/src/lag.rs
+++ b/crates/standin/src/lag.rs
@@ -1,11 +1,11 @@
-//! A value that readers see as it was some time ago.
+//! A value whose changes become visible with a delay.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A value with its recent past.
+/// A value with its recent history.
 #[derive(Debug)]
 pub(crate) struct Delayed<T> {
     delay: Duration,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The value as it was `delay` ago.
+    /// The value as of `delay` ago.
     pub(crate) fn get(&self) -> Option<T> {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         prune(&mut history, self.delay);
@@ -35,7 +35,7 @@
         prune(&mut history, self.delay);
     }
 
-    /// Derives the next value from the newest one.
+    /// Updates the newest value.
     pub(crate) fn update(&self, change: impl FnOnce(&mut T)) {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let Some((_, mut value)) = history.back().cloned() else {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Drops each value that has a successor old enough to be seen.
+/// Drops all values whose successor is already visible.
 fn prune<T>(history: &mut VecDeque<(Instant, T)>, delay: Duration) {
     while history
         .get(1)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Small stand-ins of what is outside the system, for tests, demonstrations and experiments.
+//! Stand-ins for the external services, for tests, demonstrations and experiments.
 //!
-//! Each serves the contract of `docs/PLATFORM.md` on one address, together with a fault switch
-//! (`/standin/faults`) and a log of what was really run (`/standin/log`).
+//! Each stand-in serves the contract of `docs/PLATFORM.md` on one address, together with fault
+//! injection (`/standin/faults`) and a log of the actual executions (`/standin/log`).
 //!
-//! * [`answer`]: what the runners answer, so that a caller can check that an answer is its own
-//! * [`fault`]: what can be made to go wrong
+//! * [`answer`]: responses of the runners, which let a client verify that a response is its own
+//! * [`fault`]: faults that can be injected
 //! * [`log`]: ground truth of executions
 
 pub mod answer;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,60 +1,60 @@
-//! Ground truth: every execution of a runner, in order of start.
+//! Ground truth: all executions of a runner, in the order in which they started.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Executions that are kept; the oldest are dropped beyond it.
+/// Maximum number of executions that are retained; the oldest are dropped.
 pub const MAX_EXECUTIONS: usize = 2_000_000;
 
-/// How an execution ended.
+/// Status of an execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExecutionStatus {
-    /// Still at work.
+    /// In progress.
     Running,
-    /// The whole answer was sent.
+    /// The complete response was sent.
     Answered,
-    /// Done, but the answer was lost or sent in part.
+    /// Executed, but the response was lost or truncated.
     Cut,
-    /// Stopped before it was done.
+    /// Cancelled before it was complete.
     Cancelled,
-    /// Answered with an error.
+    /// Executed, but the response was an error.
     Failed,
 }
 
 /// One execution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// Identity of the attempt, as in `X-Call`.
+    /// Id of the attempt, from `X-Call`.
     pub call: String,
     /// Request that the attempt belongs to.
     pub request: String,
-    /// Workspace, as in `X-Workspace`.
+    /// Workspace, from `X-Workspace`.
     pub workspace: String,
-    /// First event asked for, as in `X-Resume`.
+    /// Number of the first requested event, from `X-Resume`.
     pub resume: u32,
     /// Start in microseconds since the Unix epoch.
     pub started_us: u64,
-    /// How it ended.
+    /// Status.
     pub ended: ExecutionStatus,
-    /// Hash of the input, as [`crate::answer::input_hash`] gives it.
+    /// Hash of the input, computed by [`crate::answer::input_hash`].
     pub input_hash: String,
-    /// Time at work in microseconds, once it has ended.
+    /// Execution time in microseconds; 0 until the execution has ended.
     pub busy_us: u64,
-    /// Prefix blocks of the call.
+    /// Number of prefix blocks of the call.
     #[serde(default)]
     pub prefix_blocks: usize,
-    /// Leading ones of them that an engine had in its cache.
+    /// Number of leading prefix blocks that an engine had in its cache.
     #[serde(default)]
     pub prefix_hits: usize,
 }
 
-/// Part of a log, as `GET /standin/log` gives it.
+/// Part of a log; response of `GET /standin/log`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Executions in order of start.
+    /// Executions in the order in which they started.
     pub executions: Vec<Execution>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Log {
-    /// Enters an execution that starts now.
+    /// Logs an execution that starts now.
     pub(crate) fn start(&self, call: &crate::call::Call) -> LogEntry {
         let mut state = self.state();
         state.executions.push_back(Execution {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// All executions from number `since` on.
+    /// All executions whose number is at least `since`.
     pub(crate) fn page(&self, since: usize) -> Page {
         let state = self.state();
         let skipped = since.saturating_sub(state.first_number);
@@ -112,7 +112,7 @@
     }
 }
 
-/// An execution that runs; it counts as cancelled if it is dropped before it has ended.
+/// An execution in progress; logged as cancelled if this is dropped before [`LogEntry::end`].
 #[derive(Debug)]
 pub(crate) struct LogEntry {
     log: Log,
@@ -121,12 +121,12 @@
 }
 
 impl LogEntry {
-    /// Number of the execution, from zero.
+    /// Number of the execution, counted from zero.
     pub(crate) fn number(&self) -> usize {
         self.number
     }
 
-    /// Notes the prefix blocks that were in the cache.
+    /// Sets the number of prefix blocks that were in the cache.
     pub(crate) fn set_prefix_hits(&self, hits: usize) {
         let mut state = self.log.state();
         let position = self.number.checked_sub(state.first_number);
@@ -135,8 +135,8 @@
         }
     }
 
-    /// The time since its start stands for the work of an execution that was stopped: a second copy
-    /// that is cancelled would look free otherwise.
+    /// Counts the time since the start as execution time: otherwise, a cancelled duplicate of a call
+    /// would appear to cost nothing.
     fn cancel(&mut self) {
         let started_us = {
             let state = self.log.state();
--- a/crates/standin/src/options.rs
+++ b/crates/standin/src/options.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Timings and sizes of a stand-in; each kind reads those that concern it.
+/// Timings and sizes of a stand-in; each kind uses only the options that apply to it.
 ///
 /// # Examples
 ///
@@ -16,47 +16,49 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// Operation that the answers of a pool or plain service name.
+    /// Pool, plain: name of the operation, which the responses contain.
     pub name: String,
-    /// Seed of all draws.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// Pool, plain: median time at work for one call, in milliseconds.
+    /// Pool, plain: median execution time of a call, in milliseconds.
     pub service_ms: f64,
-    /// Pool, plain, engine: spread of times, as the standard deviation of their logarithm.
+    /// Pool, plain, engine: standard deviation of the logarithm of the execution times.
     pub jitter: f64,
-    /// Pool, plain: calls at work at once. Weight: downloads at once; more are refused.
+    /// Pool, plain: maximum number of concurrent calls. Weight: maximum number of concurrent
+    /// downloads; further ones are refused.
     pub slots: usize,
-    /// Engine: time of a step of the batch with one sequence, in milliseconds.
+    /// Engine: duration of a step of a batch with one sequence, in milliseconds.
     pub step_ms: f64,
-    /// Engine: growth of a step with each further sequence, as a share of `step_ms`.
+    /// Engine: increase of the step duration per additional sequence, as a fraction of `step_ms`.
     pub step_growth: f64,
-    /// Engine: time for each prefix block that is not in the cache, in milliseconds.
+    /// Engine: prefill time per prefix block that is not in the cache, in milliseconds.
     pub prefill_ms: f64,
-    /// Engine: sequences in a step at most.
+    /// Engine: maximum number of sequences in a batch.
     pub batch: usize,
-    /// Engine: prefix blocks in the cache at most.
+    /// Engine: maximum number of prefix blocks in the cache.
     pub cache_blocks: usize,
-    /// Engine: tokens of an answer whose input names no `max_tokens`.
+    /// Engine: number of tokens in a response if the input has no `max_tokens`.
     pub tokens: u32,
-    /// Engine: whether orders with an old fencing number are refused.
+    /// Engine: whether orders with a stale fencing token are refused.
     pub fencing: bool,
-    /// Engine: models that are loaded at the start.
+    /// Engine: models that are loaded at startup.
     pub models: Vec<String>,
-    /// Engine: role at the start.
+    /// Engine: role at startup.
     pub role: String,
-    /// Engine: time that it takes to load a model, in milliseconds.
+    /// Engine: time to load a model, in milliseconds.
     pub load_ms: f64,
-    /// Engine: weight store from which an order to load a model reads it, if there is one.
+    /// Engine: weight store from which models are loaded, if any.
     pub weights: Option<SocketAddr>,
-    /// Engine: share of the cache events that are never published.
+    /// Engine: fraction of the cache events that are never published.
     pub event_loss: f64,
-    /// VM, runners: age of the list of VMs, of load and of cache events, in milliseconds.
+    /// VM, runners: delay with which the list of VMs, the load and the cache events become visible,
+    /// in milliseconds.
     pub lag_ms: f64,
-    /// Table: transactions in a second; 0 for no limit.
+    /// Table: maximum number of transactions per second; 0 means no limit.
     pub writes_per_second: f64,
-    /// Table: reads in a second; 0 for no limit.
+    /// Table: maximum number of reads per second; 0 means no limit.
     pub reads_per_second: f64,
-    /// Weight: bytes in a second over all downloads; 0 for no limit.
+    /// Weight: maximum number of bytes per second over all downloads; 0 means no limit.
     pub weight_bytes_per_second: f64,
     /// Weight: size of each model in bytes.
     pub weight_bytes: usize,
@@ -92,14 +94,14 @@
 }
 
 impl Options {
-    /// Age of what the stand-in reports about itself.
+    /// Delay with which reported values become visible.
     #[must_use]
     pub fn lag(&self) -> Duration {
         millis(self.lag_ms)
     }
 }
 
-/// A time in milliseconds as a duration; nothing below zero.
+/// Converts milliseconds to a duration; negative values become zero.
 pub(crate) fn millis(time: f64) -> Duration {
     Duration::try_from_secs_f64(time.max(0.0) / 1_000.0).unwrap_or(Duration::MAX)
 }
--- a/crates/standin/src/pool.rs
+++ b/crates/standin/src/pool.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A pool service, or a plain one, whose calls are never stopped once started.
+/// A pool service, or a plain service, whose calls are never cancelled after their start.
 #[derive(Clone)]
 pub(crate) struct Pool {
     pub(crate) runner: Arc<Runner>,
@@ -66,11 +66,11 @@
         tokio::select! {
             biased;
             () = cancel.token.cancelled() => Ok(runner::cancelled(&call.id)),
-            reply = self.work(&call, &input, faults, entry, permit) => reply,
+            reply = self.execute(&call, &input, faults, entry, permit) => reply,
         }
     }
 
-    /// Only the wait ends with the caller: the work goes on in a task of its own.
+    /// If the client disconnects, only the waiting ends: the execution continues in its own task.
     async fn run_plain(&self, call: Call, input: answer::Input, faults: CallFaults) -> Reply {
         let cancel = self.runner.register(&call.id);
         let permit = tokio::select! {
@@ -81,13 +81,13 @@
         drop(cancel);
         let entry = self.runner.log.start(&call);
         let pool = self.clone();
-        let work = async move { pool.work(&call, &input, faults, entry, permit).await };
-        tokio::spawn(work)
+        let execution = async move { pool.execute(&call, &input, faults, entry, permit).await };
+        tokio::spawn(execution)
             .await
             .unwrap_or(Err(reply::ConnectionClosed))
     }
 
-    async fn work(
+    async fn execute(
         &self,
         call: &Call,
         input: &answer::Input,
@@ -102,7 +102,7 @@
         }
         let busy_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
         drop(permit);
-        let response = self.answer(call, input, faults, entry.number());
+        let response = self.response(call, input, faults, entry.number());
         runner::deliver(response, faults, entry, busy_us).await
     }
 
@@ -110,7 +110,7 @@
         millis(self.runner.sample_time(self.service_ms) * self.injector.factor())
     }
 
-    fn answer(
+    fn response(
         &self,
         call: &Call,
         input: &answer::Input,
--- a/crates/standin/src/query.rs
+++ b/crates/standin/src/query.rs
@@ -1,19 +1,19 @@
 //! Query strings.
 
-/// The value of a parameter, decoded.
+/// The percent-decoded value of a parameter.
 pub(crate) fn get(query: Option<&str>, name: &str) -> Option<String> {
     let mut pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(key, _)| *key == name)?;
     Some(decode(value))
 }
 
-/// The value of a numeric parameter; zero if it is missing or no number.
+/// The value of a numeric parameter; zero if it is missing or invalid.
 pub(crate) fn number(query: Option<&str>, name: &str) -> u64 {
     let value = get(query, name);
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// Undoes percent-encoding; what is not valid stays as it is.
+/// Decodes percent-encoding; invalid sequences are left unchanged.
 pub(crate) fn decode(text: &str) -> String {
     let mut decoded = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,9 +1,9 @@
-//! A limit on calls in a second.
+//! Limits the rate of calls.
 
 use std::sync::{Mutex, PoisonError};
 use tokio::time::Instant;
 
-/// A token bucket that holds one second's worth.
+/// A token bucket with a capacity of one second of calls, at least one call.
 #[derive(Debug)]
 pub(crate) struct RateLimiter {
     per_second: f64,
@@ -11,7 +11,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket; 0 sets no limit.
+    /// A full bucket; a rate of 0 means no limit.
     pub(crate) fn new(per_second: f64) -> Self {
         Self {
             per_second,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Takes one token if there is one.
+    /// Takes a token; `false` if there is none.
     pub(crate) fn try_acquire(&self) -> bool {
         if self.per_second <= 0.0 {
             return true;
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers and their bodies, whole or broken.
+//! Responses and their bodies, complete or truncated.
 
 use crate::engine::Stream;
 use bytes::Bytes;
@@ -10,35 +10,35 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Time to come back that a refusal names, in seconds.
+/// Value of `Retry-After` in a refusal, in seconds.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// An answer, or the order to close the connection without one.
+/// A response; on an error, the connection is closed without one.
 pub(crate) type Reply = Result<Response<Body>, ConnectionClosed>;
 
-/// The connection is closed at this point.
+/// Error that closes the connection at this point.
 #[derive(Debug)]
 pub(crate) struct ConnectionClosed;
 
 impl Display for ConnectionClosed {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        formatter.write_str("connection closed by a fault switch")
+        formatter.write_str("connection closed by an injected fault")
     }
 }
 
 impl std::error::Error for ConnectionClosed {}
 
-/// Body of an answer.
+/// Body of a response.
 pub(crate) enum Body {
-    /// Sent as it is.
+    /// Complete body.
     Full(Option<Bytes>),
-    /// The first part is sent, then the connection is closed.
+    /// First part of a body; the connection is closed after it.
     Partial(Option<Bytes>),
-    /// As `Partial`, once the part has been handed over.
+    /// State of `Partial` after the part has been passed to the server.
     Aborted { flushed: bool },
-    /// Events of an engine.
+    /// Event stream of an engine.
     Stream(Box<Stream>),
-    /// Bytes at a limited rate.
+    /// Rate-limited download of weights.
     Download(Box<crate::weight::Download>),
 }
 
@@ -57,8 +57,8 @@
                 *self = Self::Aborted { flushed: false };
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
-            // The server drops what it has not flushed when a body fails, so the failure waits
-            // until it has been polled once more; otherwise the part would never leave.
+            // When a body fails, the server drops all data that it has not flushed. The failure is
+            // therefore delayed by one poll; otherwise the part would never be sent.
             Self::Aborted { flushed } if !*flushed => {
                 *flushed = true;
                 context.waker().wake_by_ref();
@@ -84,7 +84,7 @@
     }
 }
 
-/// An answer with these bytes.
+/// A response with these bytes as its body.
 pub(crate) fn bytes(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
     let bytes = bytes.into();
     let body = (!bytes.is_empty()).then_some(bytes);
@@ -93,12 +93,12 @@
     response
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Body> {
     bytes(status, Bytes::new())
 }
 
-/// An answer in JSON.
+/// A JSON response.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let Ok(body) = serde_json::to_vec(value) else {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
@@ -109,7 +109,7 @@
     response
 }
 
-/// A refusal that says when to come back.
+/// A refusal with `Retry-After`.
 pub(crate) fn refusal(status: StatusCode) -> Response<Body> {
     let mut response = empty(status);
     let wait = hyper::header::HeaderValue::from_static(RETRY_AFTER_SECONDS);
@@ -117,7 +117,7 @@
     response
 }
 
-/// `503` that says that the call did not start.
+/// `503` with `X-Not-Run: 1`, which states that the call did not start.
 pub(crate) fn not_run() -> Response<Body> {
     let mut response = refusal(StatusCode::SERVICE_UNAVAILABLE);
     let one = hyper::header::HeaderValue::from_static("1");
@@ -125,12 +125,12 @@
     response
 }
 
-/// An answer that says in words what is wrong.
+/// A JSON response with an error message.
 pub(crate) fn error(status: StatusCode, reason: impl Display) -> Response<Body> {
     json(status, &serde_json::json!({ "error": reason.to_string() }))
 }
 
-/// Declares the whole length but sends only the first half.
+/// Truncates a response: declares the full length but sends only the first half.
 pub(crate) fn cut(response: Response<Body>) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
     let Body::Full(Some(bytes)) = body else {
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -1,4 +1,4 @@
-//! What pools, plain services and engines have in common: log, cancelling, answers.
+//! Execution log, cancellation and responses, shared by pools, plain services and engines.
 
 use crate::call::Call;
 use crate::fault::CallFaults;
@@ -14,10 +14,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio_util::sync::CancellationToken;
 
-/// Identity that a crossed answer bears if no other call has been answered yet.
+/// Id and text in a `cross` response if there has been no other call yet.
 const UNKNOWN: &str = "00000000000000000000000000000000-0-0";
 
-/// State that every runner has.
+/// State that all runners have.
 #[derive(Debug)]
 pub(crate) struct Runner {
     pub(crate) log: Log,
@@ -27,21 +27,21 @@
     jitter: f64,
 }
 
-/// Calls of one identity; a caller that sends a call twice cancels both.
+/// Calls with the same id; cancelling cancels all of them.
 #[derive(Debug, Default)]
 struct CancelState {
     token: CancellationToken,
     calls: usize,
 }
 
-/// Another call, whose answer a crossed one bears.
+/// Another call, whose response is sent under the `cross` fault.
 #[derive(Clone, Debug)]
 pub(crate) struct OtherCall {
     pub(crate) id: String,
     pub(crate) text: String,
 }
 
-/// A call that can be cancelled while this is held.
+/// A call that can be cancelled until this is dropped.
 pub(crate) struct CancelGuard {
     runner: Arc<Runner>,
     id: String,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Makes a call known to [`Runner::cancel`].
+    /// Registers a call for [`Runner::cancel`].
     pub(crate) fn register(self: &Arc<Self>, id: &str) -> CancelGuard {
         let mut cancels = self.cancels.lock().unwrap_or_else(PoisonError::into_inner);
         let state = cancels.entry(id.to_owned()).or_default();
@@ -81,18 +81,18 @@
         Ok(reply::empty(StatusCode::NO_CONTENT))
     }
 
-    /// A time at work around `median`, spread as the logarithm of a normal distribution.
+    /// Samples an execution time from a log-normal distribution with this median.
     pub(crate) fn sample_time(&self, median: f64) -> f64 {
         if self.jitter <= 0.0 {
             return median;
         }
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
-        // The sum of twelve uniform draws less six is close to a standard normal faults.
+        // The sum of twelve uniform samples minus six approximates a standard normal sample.
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         median * (self.jitter * normal).exp()
     }
 
-    /// Remembers a call for crossed answers and gives the one before it.
+    /// Stores a call for the `cross` fault and returns the previous one.
     pub(crate) fn replace_latest(&self, call: &Call, text: &str) -> OtherCall {
         let this = OtherCall {
             id: call.id.clone(),
@@ -120,7 +120,7 @@
     }
 }
 
-/// Turns a finished JSON answer into what is sent, and logs how the execution ended.
+/// Applies the faults to a finished JSON response and logs how the execution ended.
 pub(crate) async fn deliver(
     mut response: Response<Body>,
     faults: CallFaults,
@@ -147,7 +147,7 @@
     Ok(response)
 }
 
-/// A failure in place of an answer, whose identity it keeps.
+/// An error in place of a response; keeps the id and the execution time.
 fn failed(answer: &Response<Body>) -> Response<Body> {
     let mut failure = reply::error(StatusCode::INTERNAL_SERVER_ERROR, "failed by a switch");
     for name in ["x-call", "x-busy-us"] {
@@ -158,21 +158,21 @@
     failure
 }
 
-/// Sets a header; a value that is no header value is left out.
+/// Sets a header; an invalid value is skipped.
 pub(crate) fn insert_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
 }
 
-/// The answer to a call that was stopped after its start.
+/// The response to a call that was cancelled after its start.
 pub(crate) fn cancelled(id: &str) -> Response<Body> {
     let mut response = reply::error(StatusCode::INTERNAL_SERVER_ERROR, "cancelled");
     insert_header(&mut response, "x-call", id);
     response
 }
 
-/// A JSON answer as a stream of one event, without those before `resume`.
+/// A JSON response as a stream of one event, which is omitted if `resume` is not 0.
 pub(crate) fn single_event(json: &[u8], resume: u32) -> Response<Body> {
     let json = String::from_utf8_lossy(json);
     let event = match resume {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -15,24 +15,24 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Wait after a failed accept: with no file descriptors left it would fail at once again and
-/// again and take a whole core.
+/// Delay after a failed accept: without file descriptors, accept fails immediately, and a retry
+/// loop would occupy a whole core.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What can go wrong with a stand-in.
+/// Errors of a stand-in.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[snafu(display("listen on {listen}: {source}"))]
     Listen {
         /// The address.
         listen: SocketAddr,
-        /// Cause given by the operating system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A stand-in that serves; dropping it breaks off everything at once.
+/// A running stand-in; dropping it aborts all connections immediately.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -40,11 +40,11 @@
     task: AbortOnDropHandle<()>,
 }
 
-/// Starts a stand-in; port 0 takes a free one.
+/// Starts a stand-in; port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// [`Error::Listen`] if the address cannot be listened on.
+/// [`Error::Listen`] if listening on the address fails.
 ///
 /// # Examples
 ///
@@ -78,17 +78,18 @@
         self.address
     }
 
-    /// Takes no new connections, answers what has arrived, streams to their end, then stops.
+    /// Shuts down gracefully: accepts no new connections and completes the requests and streams in
+    /// progress.
     pub async fn stop(self) {
         self.stop.cancel();
-        // The task ends in an error only if it panicked, and there is nothing left to stop then.
+        // The task fails only if it has panicked; nothing is left to stop then.
         let _ = self.task.await;
     }
 }
 
 async fn serve(listener: TcpListener, service: Service, stop: CancellationToken) {
     let mut background = JoinSet::new();
-    background.spawn(service.clone().drive());
+    background.spawn(service.clone().run_background());
     let mut connections = JoinSet::new();
     let graceful = GracefulShutdown::new();
     loop {
@@ -112,7 +113,7 @@
     stream: TcpStream,
     service: Service,
 ) -> impl hyper_util::server::graceful::GracefulConnection<Error = hyper::Error> {
-    // Without it the kernel holds back small answers; they would only be slower.
+    // Nagle's algorithm would delay small responses; if this fails, they are only slower.
     let _ = stream.set_nodelay(true);
     http1::Builder::new().serve_connection(
         TokioIo::new(stream),
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Takes requests to the stand-in of the right kind.
+//! Routes requests to the stand-in of the configured kind.
 
 use crate::call::Call;
 use crate::engine::Engine;
@@ -19,10 +19,10 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::sync::Arc;
 
-/// What the calls of the fault switch, the log and the true list of VMs begin with.
+/// Path prefix of fault injection, the log and the current list of VMs.
 const ADMIN_PREFIX: &str = "/standin/";
 
-/// A stand-in with its fault switch; clones share it.
+/// A stand-in with its fault injector; clones share both.
 #[derive(Clone)]
 pub(crate) struct Service {
     injector: Arc<FaultInjector>,
@@ -54,14 +54,14 @@
         Self { injector, backend }
     }
 
-    /// Work that goes on while the stand-in lives, if it has any.
-    pub(crate) async fn drive(self) {
+    /// Runs the background work of the stand-in, if it has any.
+    pub(crate) async fn run_background(self) {
         if let Backend::Engine(engine) = self.backend {
-            engine.drive().await;
+            engine.run_steps().await;
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn handle(self, request: Request<Incoming>) -> Reply {
         if request.uri().path().starts_with(ADMIN_PREFIX) {
             return self.admin(request).await;
@@ -77,7 +77,7 @@
         if faults.slow.is_zero() && faults.late.is_zero() {
             return self.serve(call, faults).await;
         }
-        // A slow service carries out what reached it even if the caller stops waiting.
+        // A slow service executes each request that it has received, even if the client disconnects.
         let served = tokio::spawn(async move { self.serve(call, faults).await });
         served.await.unwrap_or(Err(ConnectionClosed))
     }
@@ -110,7 +110,7 @@
         if faults.down {
             return Ok(reply::refusal(StatusCode::SERVICE_UNAVAILABLE));
         }
-        let reply = self.answer(&call).await;
+        let reply = self.dispatch(&call).await;
         if !faults.late.is_zero() {
             tokio::time::sleep(faults.late).await;
         }
@@ -126,7 +126,7 @@
         reply
     }
 
-    async fn answer(&self, call: &BufferedRequest) -> Reply {
+    async fn dispatch(&self, call: &BufferedRequest) -> Reply {
         let path: Vec<_> = call.path.split('/').skip(1).collect();
         let response = match (&self.backend, &call.method, path.as_slice()) {
             (Backend::Table(table), &Method::POST, ["v1", "transact"]) => {
@@ -202,7 +202,7 @@
     }
 }
 
-/// Calls that every runner answers.
+/// Handles the calls that all runners support.
 fn runner_call(
     runner: &Runner,
     method: &Method,
@@ -216,7 +216,7 @@
     }
 }
 
-/// Calls that only engines answer, besides orders.
+/// Handles the calls that only engines support, except for orders.
 fn engine_call(engine: &Engine, method: &Method, path: &[&str], call: &BufferedRequest) -> Reply {
     let query = call.query.as_deref();
     Ok(match (method, path) {
@@ -234,7 +234,7 @@
     })
 }
 
-/// A request that has been read whole.
+/// A request that has been read completely.
 struct BufferedRequest {
     method: Method,
     path: String,
--- a/crates/standin/src/slot.rs
+++ b/crates/standin/src/slot.rs
@@ -1,4 +1,4 @@
-//! Slots for a bounded number of calls at once; those that wait go by priority.
+//! Limits the number of concurrent calls; waiting calls are ordered by priority.
 
 use crate::lag::Delayed;
 use serde::Serialize;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// What `GET /v1/load` shows.
+/// Response of `GET /v1/load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Load {
-    /// Calls at work.
+    /// Number of calls in progress.
     pub(crate) running: usize,
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub(crate) queued: usize,
-    /// Calls at work at most.
+    /// Maximum number of calls in progress.
     pub(crate) limit: usize,
 }
 
-/// The slots; clones share them.
+/// A priority semaphore; clones share its slots.
 #[derive(Clone)]
 pub(crate) struct Slots {
     shared: Arc<Shared>,
@@ -37,7 +37,7 @@
     queue: BinaryHeap<Waiter>,
 }
 
-/// A slot that is given back when dropped.
+/// A slot, which is released on drop.
 pub(crate) struct Permit {
     slots: Slots,
 }
@@ -51,7 +51,7 @@
 }
 
 impl Slots {
-    /// Slots for `limit` calls, whose load is seen `lag` late.
+    /// Slots for `limit` calls; changes of the load become visible after `lag`.
     pub(crate) fn new(limit: usize, lag: Duration) -> Self {
         let state = State {
             limit: limit.max(1),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// The load as it was some time ago.
+    /// The delayed load.
     pub(crate) fn load(&self) -> Load {
         self.shared.load.get().unwrap_or_default()
     }
 
-    /// Waits for a slot; dropping the future leaves the queue.
+    /// Waits for a slot; dropping the future removes the call from the queue.
     pub(crate) async fn acquire(&self, priority: u8) -> Permit {
         match self.acquire_or_queue(priority) {
             Ok(permit) => permit,
@@ -114,10 +114,10 @@
     }
 }
 
-/// A place in the queue, which is left when this is dropped.
+/// An entry in the queue, which is removed on drop.
 ///
-/// Without that, callers that have gone would be counted as waiting until a slot comes free, and
-/// the load would look higher than it is.
+/// Otherwise, disconnected clients would be counted as waiting until a slot is free, and the
+/// reported load would be too high.
 struct QueueEntry {
     slots: Slots,
     rank: Rank,
@@ -128,7 +128,7 @@
     async fn wait(mut self) -> Permit {
         match (&mut self.granted).await {
             Ok(permit) => permit,
-            // The sender stays in the queue for as long as this place does.
+            // The sender stays in the queue until this entry is dropped.
             Err(_) => std::future::pending().await,
         }
     }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The first waiter that has not left.
+    /// The first waiter that still waits.
     fn next(&mut self) -> Option<Waiter> {
         loop {
             let waiter = self.queue.pop()?;
@@ -170,8 +170,8 @@
             state.running -= 1;
         }
         self.slots.shared.load.set(state.load());
-        // The lock is given up first: a waiter that leaves at this moment drops the permit here,
-        // which takes the lock again.
+        // The lock is released first: if the waiter has just been dropped, the permit is dropped
+        // here, which takes the lock again.
         drop(state);
         if let Some(waiter) = next {
             let _ = waiter.wake.send(self.slots.permit());
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -10,7 +10,7 @@
 use std::ops::Bound;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Rows of a scan that names no limit.
+/// Maximum number of rows of a scan without a limit.
 const DEFAULT_SCAN_LIMIT: usize = 1_000;
 
 /// All tables.
@@ -67,14 +67,14 @@
     rows: Vec<Row>,
 }
 
-/// What a read asks for.
+/// Parameters of a read.
 #[derive(Debug, Default)]
 pub(crate) struct Query {
-    /// One row.
+    /// Key of the row to read; a scan if it is missing.
     pub(crate) key: Option<String>,
-    /// Rows whose keys come after this one.
+    /// Key after which a scan starts.
     pub(crate) after: String,
-    /// Rows at most.
+    /// Maximum number of rows of a scan.
     pub(crate) limit: Option<usize>,
 }
 
@@ -135,7 +135,7 @@
             .collect()
     }
 
-    /// Writes everything, or gives the rows whose checks failed.
+    /// Writes all rows, or returns the existing rows whose checks failed.
     fn commit(&mut self, transaction: Transaction) -> Result<u64, Vec<Row>> {
         let mut failed = transaction.checks.iter().filter(|check| {
             let row = self.row(&check.table, &check.key);
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -1,4 +1,4 @@
-//! The lagging list of VMs.
+//! The list of VMs, whose changes become visible with a delay.
 
 use crate::lag::Delayed;
 use crate::options::Options;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// The true list and its recent past.
+/// The current list and its recent history.
 #[derive(Debug)]
 pub(crate) struct Vms {
     list: Delayed<VmList>,
@@ -18,7 +18,7 @@
     vms: Vec<Vm>,
 }
 
-/// A VM; the fields besides its name are handed out as they were given.
+/// A VM; all fields other than its id are returned unchanged.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Vm {
     id: String,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The list as it was some time ago.
+    /// The delayed list.
     pub(crate) fn get(&self) -> Response<Body> {
         reply::json(StatusCode::OK, &self.list.get().unwrap_or_default())
     }
--- a/crates/standin/src/weight.rs
+++ b/crates/standin/src/weight.rs
@@ -13,23 +13,23 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, Sleep};
 
-/// Bytes sent at once.
+/// Size of the chunks of a download.
 const CHUNK_BYTES: usize = 16 << 10;
 
 /// The store; all downloads share its rate.
 #[derive(Debug)]
 pub(crate) struct WeightStore {
     bytes: usize,
-    per_second: f64,
+    bytes_per_second: f64,
     downloads: Arc<Semaphore>,
-    /// When the bytes handed out so far will have passed.
+    /// End of the time that is reserved for the bytes of all downloads so far.
     free_at: Arc<Mutex<Instant>>,
 }
 
 /// A download in progress.
 pub(crate) struct Download {
     remaining: usize,
-    per_second: f64,
+    bytes_per_second: f64,
     free_at: Arc<Mutex<Instant>>,
     sleep: Option<Pin<Box<Sleep>>>,
     _permit: OwnedSemaphorePermit,
@@ -39,7 +39,7 @@
     pub(crate) fn new(options: &Options) -> Self {
         Self {
             bytes: options.weight_bytes,
-            per_second: options.weight_bytes_per_second,
+            bytes_per_second: options.weight_bytes_per_second,
             downloads: Arc::new(Semaphore::new(options.slots)),
             free_at: Arc::new(Mutex::new(Instant::now())),
         }
@@ -51,7 +51,7 @@
         };
         let download = Download {
             remaining: self.bytes,
-            per_second: self.per_second,
+            bytes_per_second: self.bytes_per_second,
             free_at: Arc::clone(&self.free_at),
             sleep: None,
             _permit: permit,
@@ -72,7 +72,7 @@
         let sleep = match &mut self.sleep {
             Some(sleep) => sleep,
             empty => {
-                let until = reserve(&self.free_at, length, self.per_second);
+                let until = reserve(&self.free_at, length, self.bytes_per_second);
                 empty.insert(Box::pin(tokio::time::sleep_until(until)))
             }
         };
@@ -86,12 +86,12 @@
     }
 }
 
-/// Takes the next free time for `length` bytes and gives its end.
-fn reserve(free_at: &Mutex<Instant>, length: usize, per_second: f64) -> Instant {
+/// Reserves the next free interval for `length` bytes and returns its end.
+fn reserve(free_at: &Mutex<Instant>, length: usize, bytes_per_second: f64) -> Instant {
     let mut free_at = free_at.lock().unwrap_or_else(PoisonError::into_inner);
     let start = (*free_at).max(Instant::now());
-    let time = if per_second > 0.0 {
-        Duration::try_from_secs_f64(length as f64 / per_second).unwrap_or_default()
+    let time = if bytes_per_second > 0.0 {
+        Duration::try_from_secs_f64(length as f64 / bytes_per_second).unwrap_or_default()
     } else {
         Duration::ZERO
     };
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP caller for the tests.
+//! A started stand-in and an HTTP client for it.
 
 #![allow(dead_code)]
 
@@ -12,15 +12,15 @@
 use standin::{Kind, Options, Server};
 use std::net::SocketAddr;
 
-/// A started stand-in and a client of it.
-pub(crate) struct Bench {
-    /// Taken by a test that stops the stand-in.
+/// A started stand-in with a client for it.
+pub(crate) struct Harness {
+    /// `None` after a test has taken it to stop the stand-in.
     pub(crate) server: Option<Server>,
     pub(crate) address: SocketAddr,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Bench {
+impl Harness {
     pub(crate) async fn start(kind: Kind, options: Options) -> Self {
         let listen = "127.0.0.1:0".parse().unwrap();
         let server = standin::start(kind, listen, options).await.unwrap();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Sends a request and gives the answer as soon as its head is there.
+    /// Sends a request and returns the response as soon as its head has arrived.
     pub(crate) async fn send(
         &self,
         method: &str,
@@ -64,8 +64,8 @@
         response.unwrap()
     }
 
-    /// Endings of all executions so far.
-    pub(crate) async fn endings(&self) -> Vec<String> {
+    /// Statuses of all executions so far.
+    pub(crate) async fn statuses(&self) -> Vec<String> {
         let log = self.get("/standin/log").await;
         let executions = log["executions"].as_array().unwrap().iter();
         executions
@@ -73,8 +73,8 @@
             .collect()
     }
 
-    /// Waits until the load shows these numbers.
-    pub(crate) async fn until_load(&self, running: u64, queued: u64) {
+    /// Waits until the load has these numbers of calls.
+    pub(crate) async fn wait_for_load(&self, running: u64, queued: u64) {
         loop {
             let load = self.get("/v1/load").await;
             if load["running"] == running && load["queued"] == queued {
@@ -84,15 +84,15 @@
         }
     }
 
-    /// Waits until the executions have ended like this.
-    pub(crate) async fn until_endings(&self, endings: &[&str]) {
-        while self.endings().await != endings {
+    /// Waits until the executions have these statuses.
+    pub(crate) async fn wait_for_statuses(&self, statuses: &[&str]) {
+        while self.statuses().await != statuses {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// The body of an answer that arrives whole.
+/// The complete body of a response.
 pub(crate) async fn text(response: Response<Incoming>) -> String {
     let bytes = response.into_body().collect().await.unwrap().to_bytes();
     String::from_utf8(bytes.to_vec()).unwrap()
--- a/crates/standin/tests/engine_stream.rs
+++ b/crates/standin/tests/engine_stream.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bench, header, text};
+use common::{Harness, header, text};
 use http_body_util::BodyExt;
 use standin::{Kind, Options, answer};
 
@@ -26,44 +26,44 @@
         .collect()
 }
 
-const DONE: &str = "event: done\ndata: {\"chunks\":6}\n\n";
+const DONE_EVENT: &str = "event: done\ndata: {\"chunks\":6}\n\n";
 
 #[tokio::test]
-async fn whole_answers() {
-    let bench = Bench::start(Kind::Engine, options()).await;
-    let response = bench.run(&[("x-call", "aa-0-0"), SSE], "crimp").await;
+async fn complete_responses() {
+    let harness = Harness::start(Kind::Engine, options()).await;
+    let response = harness.run(&[("x-call", "aa-0-0"), SSE], "crimp").await;
     assert_eq!(header(&response, "x-call"), "aa-0-0");
-    assert_eq!(text(response).await, events("crimp", 0..6) + DONE);
-    let response = bench.run(&[("x-call", "ab-0-0")], "crimp").await;
+    assert_eq!(text(response).await, events("crimp", 0..6) + DONE_EVENT);
+    let response = harness.run(&[("x-call", "ab-0-0")], "crimp").await;
     header(&response, "x-busy-us").parse::<u64>().unwrap();
     let body: serde_json::Value = serde_json::from_str(&text(response).await).unwrap();
     assert_eq!(body["text"], answer::tokens("crimp", 6));
-    assert_eq!(bench.endings().await, ["answered", "answered"]);
+    assert_eq!(harness.statuses().await, ["answered", "answered"]);
 }
 
-// The link to the caller broke after some events, and the caller asks for the rest. A wrong start
-// would show as a gap or a repeated word in the text that the user reads.
+// The connection to the client broke after some events, and the client requests the rest. If the
+// stream resumed at a wrong event, the user's text would have a gap or a repeated word.
 #[tokio::test]
 async fn resumed_stream() {
-    let bench = Bench::start(Kind::Engine, options()).await;
+    let harness = Harness::start(Kind::Engine, options()).await;
     let headers = [("x-call", "aa-0-1"), ("x-resume", "4"), SSE];
-    let response = bench.run(&headers, "crimp").await;
-    assert_eq!(text(response).await, events("crimp", 4..6) + DONE);
+    let response = harness.run(&headers, "crimp").await;
+    assert_eq!(text(response).await, events("crimp", 4..6) + DONE_EVENT);
 }
 
-// The engine is stopped as planned while a stream is in progress. The reader must get every word and
-// the end mark.
+// The engine is shut down gracefully while a stream is in progress. The client must receive all
+// tokens and the `done` event.
 #[tokio::test]
 async fn stop_under_stream() {
     let options = Options {
         step_ms: 5.0,
         ..options()
     };
-    let mut bench = Bench::start(Kind::Engine, options).await;
-    let server = bench.server.take().unwrap();
-    let response = bench.run(&[SSE], "crimp").await;
+    let mut harness = Harness::start(Kind::Engine, options).await;
+    let server = harness.server.take().unwrap();
+    let response = harness.run(&[SSE], "crimp").await;
     let (all, ()) = tokio::join!(text(response), server.stop());
-    assert_eq!(all, events("crimp", 0..6) + DONE);
+    assert_eq!(all, events("crimp", 0..6) + DONE_EVENT);
 }
 
 #[tokio::test]
@@ -74,18 +74,18 @@
         tokens: 1_000_000,
         ..options()
     };
-    let bench = Bench::start(Kind::Engine, options).await;
-    let mut first = bench.run(&[SSE], "a").await.into_body();
-    let mut second = bench.run(&[SSE], "b").await.into_body();
-    bench.until_load(2, 0).await;
+    let harness = Harness::start(Kind::Engine, options).await;
+    let mut first = harness.run(&[SSE], "a").await.into_body();
+    let mut second = harness.run(&[SSE], "b").await.into_body();
+    harness.wait_for_load(2, 0).await;
     for body in [&mut first, &mut second] {
         let event = body.frame().await.unwrap().unwrap().into_data().unwrap();
         assert!(event.starts_with(b"id: 0\n"));
     }
 }
 
-// The batch is full, so that later calls wait; the one with the higher priority came last. Were it
-// not let in first, an urgent request would wait behind bulk work.
+// The batch is full, and later calls wait; the call with the higher priority arrives last. If it
+// were not admitted first, an urgent request would wait behind bulk work.
 #[tokio::test]
 async fn full_batch() {
     let options = Options {
@@ -94,29 +94,29 @@
         tokens: 1_000_000,
         ..options()
     };
-    let bench = Bench::start(Kind::Engine, options).await;
-    let long = bench.run(&[("x-call", "long-0-0"), SSE], "a").await;
+    let harness = Harness::start(Kind::Engine, options).await;
+    let long = harness.run(&[("x-call", "long-0-0"), SSE], "a").await;
     let low = async {
         let headers = [("x-call", "low-0-0"), ("x-priority", "1"), SSE];
-        drop(bench.run(&headers, "b").await);
+        drop(harness.run(&headers, "b").await);
     };
     let high = async {
-        bench.until_load(1, 1).await;
+        harness.wait_for_load(1, 1).await;
         let headers = [("x-call", "high-0-0"), ("x-priority", "9"), SSE];
-        drop(bench.run(&headers, "c").await);
+        drop(harness.run(&headers, "c").await);
     };
     let stop = async {
-        bench.until_load(1, 2).await;
+        harness.wait_for_load(1, 2).await;
         drop(long);
     };
     tokio::join!(low, high, stop);
-    let log = bench.get("/standin/log").await;
+    let log = harness.get("/standin/log").await;
     let calls: Vec<_> = (0..3).map(|i| &log["executions"][i]["request"]).collect();
     assert_eq!(calls, ["long", "high", "low"]);
 }
 
-// The caller cancels one call that runs and one that waits. The waiting one must be reported as
-// not run and must never show up in the log, or a retry would run it twice.
+// A client cancels a running call and a waiting call. The waiting call must be reported as not run
+// and must never appear in the log; otherwise, a retry would run it twice.
 #[tokio::test]
 async fn cancelled_calls() {
     let options = Options {
@@ -125,32 +125,36 @@
         tokens: 1_000_000,
         ..options()
     };
-    let bench = Bench::start(Kind::Engine, options).await;
-    let running = bench.run(&[("x-call", "aa-0-0"), SSE], "a").await;
-    let waiting = bench.run(&[("x-call", "bb-0-0"), SSE], "b");
+    let harness = Harness::start(Kind::Engine, options).await;
+    let running = harness.run(&[("x-call", "aa-0-0"), SSE], "a").await;
+    let waiting = harness.run(&[("x-call", "bb-0-0"), SSE], "b");
     let cancel = async {
-        bench.until_load(1, 1).await;
-        let code = bench.post("/v1/cancel/bb-0-0", serde_json::json!({})).await;
+        harness.wait_for_load(1, 1).await;
+        let code = harness
+            .post("/v1/cancel/bb-0-0", serde_json::json!({}))
+            .await;
         assert_eq!(code, 204);
     };
     let (waiting, ()) = tokio::join!(waiting, cancel);
     assert_eq!(waiting.status(), 503);
     assert_eq!(header(&waiting, "x-not-run"), "1");
-    bench.post("/v1/cancel/aa-0-0", serde_json::json!({})).await;
+    harness
+        .post("/v1/cancel/aa-0-0", serde_json::json!({}))
+        .await;
     assert!(!text(running).await.contains("event: done"));
-    bench.until_endings(&["cancelled"]).await;
+    harness.wait_for_statuses(&["cancelled"]).await;
 }
 
-// The switch cuts a stream in the middle, ends one without its mark, sends each event twice and
-// answers for another call. Each would reach a user as a wrong text unless it is noticed.
+// Faults cut a stream in the middle, end one without its `done` event, send each event twice, and
+// respond for another call. Each would give the user a wrong text unless it is detected.
 #[tokio::test]
-async fn spoilt_streams() {
-    let bench = Bench::start(Kind::Engine, options()).await;
+async fn faulty_streams() {
+    let harness = Harness::start(Kind::Engine, options()).await;
     let fault = async |fault: &str| {
         let headers = [("x-call", fault), SSE];
         let faults = serde_json::json!({ fault: true });
-        assert_eq!(bench.post("/standin/faults", faults).await, 204);
-        bench.run(&headers, "crimp").await
+        assert_eq!(harness.post("/standin/faults", faults).await, 204);
+        harness.run(&headers, "crimp").await
     };
     let cut = fault("cut").await.into_body().collect().await;
     assert!(cut.is_err());
@@ -161,5 +165,5 @@
     let crossed = fault("cross").await;
     assert_eq!(header(&crossed, "x-call"), "double");
     drop(crossed);
-    assert_eq!(bench.endings().await[..3], ["cut", "cut", "answered"]);
+    assert_eq!(harness.statuses().await[..3], ["cut", "cut", "answered"]);
 }
--- a/crates/standin/tests/prefix_cache.rs
+++ b/crates/standin/tests/prefix_cache.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Bench, header};
+use common::{Harness, header};
 use serde_json::{Value, json};
 use standin::{Kind, Options};
 
-async fn hits(bench: &Bench, prefix: &str) -> String {
-    let response = bench.run(&[("x-prefix", prefix)], "a").await;
+async fn hits(harness: &Harness, prefix: &str) -> String {
+    let response = harness.run(&[("x-prefix", prefix)], "a").await;
     header(&response, "x-prefix-hits")
 }
 
@@ -23,12 +23,12 @@
 
 #[tokio::test]
 async fn least_recent_block() {
-    let bench = Bench::start(Kind::Engine, options()).await;
-    assert_eq!(hits(&bench, "a,b").await, "0");
-    assert_eq!(hits(&bench, "a,b,c").await, "2");
-    assert_eq!(hits(&bench, "d").await, "0");
-    assert_eq!(hits(&bench, "a").await, "0");
-    let events = bench.get("/v1/cache/events?after=3").await;
+    let harness = Harness::start(Kind::Engine, options()).await;
+    assert_eq!(hits(&harness, "a,b").await, "0");
+    assert_eq!(hits(&harness, "a,b,c").await, "2");
+    assert_eq!(hits(&harness, "d").await, "0");
+    assert_eq!(hits(&harness, "a").await, "0");
+    let events = harness.get("/v1/cache/events?after=3").await;
     assert_eq!(events["events"][1]["kind"], "evicted");
     assert_eq!(events["events"][1]["block"], "000000000000000a");
     assert_eq!(events["next"], 7);
@@ -36,19 +36,19 @@
 
 #[tokio::test]
 async fn block_transfer() {
-    let bench = Bench::start(Kind::Engine, options()).await;
+    let harness = Harness::start(Kind::Engine, options()).await;
     let status = async |method| {
-        let response = bench.send(method, "/v1/kv/ff", &[], "x").await.unwrap();
+        let response = harness.send(method, "/v1/kv/ff", &[], "x").await.unwrap();
         response.status().as_u16()
     };
     assert_eq!(status("GET").await, 404);
     assert_eq!(status("PUT").await, 204);
     assert_eq!(status("GET").await, 200);
-    assert_eq!(hits(&bench, "ff").await, "1");
+    assert_eq!(hits(&harness, "ff").await, "1");
 }
 
-// Some events are never published. A reader that takes the list for whole would believe in blocks
-// that are long gone; the numbers show the gap.
+// Some events are never published. A reader that considers the list complete would assume blocks
+// that were evicted long ago; the gap in the sequence numbers shows the loss.
 #[tokio::test]
 async fn lost_events() {
     let options = Options {
@@ -56,26 +56,26 @@
         cache_blocks: 100,
         ..options()
     };
-    let bench = Bench::start(Kind::Engine, options).await;
+    let harness = Harness::start(Kind::Engine, options).await;
     let blocks: Vec<_> = (1..=64).map(|block| format!("{block:x}")).collect();
-    hits(&bench, &blocks.join(",")).await;
-    let page = bench.get("/v1/cache/events?after=0").await;
+    hits(&harness, &blocks.join(",")).await;
+    let page = harness.get("/v1/cache/events?after=0").await;
     let events = page["events"].as_array().unwrap();
     let numbers: Vec<_> = events.iter().map(|event| &event["sequence"]).collect();
     assert!(!numbers.is_empty() && numbers.len() < 64, "{numbers:?}");
     assert_eq!(&page["next"], *numbers.last().unwrap());
 }
 
-// Events come late. Right after a call its blocks are in the cache, but no event says so yet.
+// Events are delayed. Directly after a call, its blocks are in the cache, but no event is visible.
 #[tokio::test]
-async fn late_events() {
+async fn delayed_events() {
     let options = Options {
         lag_ms: 3_600_000.0,
         ..options()
     };
-    let bench = Bench::start(Kind::Engine, options).await;
-    hits(&bench, "a").await;
-    let events: Value = bench.get("/v1/cache/events?after=0").await;
+    let harness = Harness::start(Kind::Engine, options).await;
+    hits(&harness, "a").await;
+    let events: Value = harness.get("/v1/cache/events?after=0").await;
     assert_eq!(events, json!({"events": [], "next": 0}));
-    assert_eq!(hits(&bench, "a").await, "1");
+    assert_eq!(hits(&harness, "a").await, "1");
 }
--- a/crates/standin/tests/weight_rate.rs
+++ b/crates/standin/tests/weight_rate.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Bench, text};
+use common::{Harness, text};
 use serde_json::json;
 use standin::{Kind, Options};
 
-// The store serves one download at a time, slowly. A second one is turned away and told when to
-// come back; a process that ignores it would hold up every model that is to be loaded.
+// The store serves one slow download at a time. A second one is rejected with `Retry-After`; a
+// process that ignores it would delay all models that are to be loaded.
 #[tokio::test]
 async fn busy_store() {
     let options = Options {
@@ -16,14 +16,14 @@
         weight_bytes_per_second: 1e6,
         ..Options::default()
     };
-    let bench = Bench::start(Kind::Weight, options).await;
+    let harness = Harness::start(Kind::Weight, options).await;
     let path = "/v1/weights/draft";
-    let first = bench.send("GET", path, &[], "").await.unwrap();
-    let second = bench.send("GET", path, &[], "").await.unwrap();
+    let first = harness.send("GET", path, &[], "").await.unwrap();
+    let second = harness.send("GET", path, &[], "").await.unwrap();
     assert_eq!(second.status(), 429);
     assert_eq!(second.headers()["retry-after"], "1");
     assert_eq!(text(first).await.len(), 64 << 10);
-    while bench.send("GET", path, &[], "").await.unwrap().status() != 200 {
+    while harness.send("GET", path, &[], "").await.unwrap().status() != 200 {
         tokio::task::yield_now().await;
     }
 }
@@ -34,12 +34,12 @@
         weight_bytes_per_second: 50e6,
         ..Options::default()
     };
-    let store = Bench::start(Kind::Weight, options).await;
+    let store = Harness::start(Kind::Weight, options).await;
     let options = Options {
         weights: Some(store.address),
         ..Options::default()
     };
-    let engine = Bench::start(Kind::Engine, options).await;
+    let engine = Harness::start(Kind::Engine, options).await;
     let order = json!({"fence": 1, "order": "load", "model": "draft", "version": 2});
     assert_eq!(engine.post("/v1/orders", order).await, 200);
     assert_eq!(engine.get("/v1/models").await["models"], json!(["draft@2"]));
