--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -159,7 +159,7 @@
         let door = Proxy::start(runner.address())
             .await
             .map_err(|error| system(&error))?;
-        runner.known_at(self.doors.address(&runner, &door));
+        runner.set_advertised_address(self.doors.address(&runner, &door));
         self.targets.push(Target {
             id,
             service,
@@ -255,7 +255,8 @@
         let text = format!("key-{}", self.version);
         let valid = [STAYS.to_owned(), text.clone()];
         let mut keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
-        self.store.configure(&config::plan(self.version, &valid));
+        self.store
+            .configure(&config::configuration(self.version, &valid));
         let accepted = now();
         let new = Key {
             text,
@@ -278,7 +279,8 @@
         let keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
         let valid = keys.iter().filter(|key| key.until.is_none());
         let valid: Vec<String> = valid.map(|key| key.text.clone()).collect();
-        self.store.configure(&config::plan(self.version, &valid));
+        self.store
+            .configure(&config::configuration(self.version, &valid));
     }
 
     /// Waits until all relays take callers.
--- a/crates/ctl/src/torture/relays/demand.rs
+++ b/crates/ctl/src/torture/relays/demand.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
-use stub::caller::{Ask, Connection, Kind, USUAL, Word, unsent};
+use stub::caller::{ClientRequest, Connection, Kind, RequestRecord, USUAL, unsent};
 use stub::harm::{DEADLY, POISON, SILENCER, deadly};
 use stub::now;
 use tokio::task::JoinSet;
@@ -42,7 +42,7 @@
 const RECOVERY: Duration = Duration::from_secs(15);
 
 /// Sends demand for a time and gives what became of it.
-pub async fn send(world: Arc<World>, keys: Keys, seed: u64, time: Duration) -> Vec<Word> {
+pub async fn send(world: Arc<World>, keys: Keys, seed: u64, time: Duration) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
@@ -62,18 +62,18 @@
 
 /// Sends the same request at any relay, which ends each runner that begins to run it, again and again
 /// for a time, and gives what became of it.
-pub async fn poison(world: Arc<World>, seed: u64, time: Duration) -> Vec<Word> {
+pub async fn poison(world: Arc<World>, seed: u64, time: Duration) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        let ask = Ask {
+        let ask = ClientRequest {
             id: format!("poison{number}"),
             kind: Kind::Once,
             key: STAYS.to_owned(),
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             body: POISON,
         };
         if let Some(entry) = world.entries().choose(&mut rng).copied() {
@@ -86,18 +86,18 @@
 
 /// Sends a request that ends runners at all relays in turn, and beside it those of other callers, half of
 /// which differ from it in nothing but the body. Gives what became of all.
-pub async fn crowd(world: Arc<World>, kind: Kind, seed: u64, time: Duration) -> Vec<Word> {
+pub async fn crowd(world: Arc<World>, kind: Kind, seed: u64, time: Duration) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
     let mut turn = 0;
     while Instant::now() < end {
         let entries = world.entries();
-        let ask = |name: &str, kind, body| Ask {
+        let ask = |name: &str, kind, body| ClientRequest {
             id: format!("{name}{turn}"),
             kind,
             key: STAYS.to_owned(),
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             body,
         };
         if turn % POISON_TURNS == 0
@@ -126,8 +126,8 @@
     world: Arc<World>,
     first: Duration,
     time: Duration,
-    ask: impl Fn(usize) -> Ask,
-) -> Vec<Word> {
+    ask: impl Fn(usize) -> ClientRequest,
+) -> Vec<RequestRecord> {
     let end = Instant::now() + time;
     sleep(first).await;
     let mut callers = JoinSet::new();
@@ -144,7 +144,12 @@
 }
 
 /// Sends some requests whose pieces end the runners of a stage.
-pub async fn pieces(world: Arc<World>, requests: usize, stage: usize, time: Duration) -> Vec<Word> {
+pub async fn pieces(
+    world: Arc<World>,
+    requests: usize,
+    stage: usize,
+    time: Duration,
+) -> Vec<RequestRecord> {
     let mut callers = JoinSet::new();
     for (request, body) in DEADLY.into_iter().enumerate().take(requests) {
         let first = OTHERS_FIRST + RETRY_INTERVAL * request as u32 / requests as u32;
@@ -155,7 +160,7 @@
 }
 
 /// Sends a request that silences runners.
-pub async fn silencer(world: Arc<World>, kind: Kind, time: Duration) -> Vec<Word> {
+pub async fn silencer(world: Arc<World>, kind: Kind, time: Duration) -> Vec<RequestRecord> {
     let ask = move |turn| usual(format!("silencer{turn}"), kind, SILENCER);
     repeat(world, Duration::ZERO, time, ask).await
 }
@@ -166,7 +171,7 @@
     groups: &'static [&'static [Kind]],
     seed: u64,
     time: Duration,
-) -> Vec<Word> {
+) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
@@ -189,17 +194,17 @@
 }
 
 /// A request of a caller that waits for two seconds.
-fn usual(id: String, kind: Kind, body: &'static str) -> Ask {
-    Ask {
+fn usual(id: String, kind: Kind, body: &'static str) -> ClientRequest {
+    ClientRequest {
         id,
         kind,
         key: STAYS.to_owned(),
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         body,
     }
 }
 
-async fn send_one(entry: SocketAddr, ask: Ask) -> Word {
+async fn send_one(entry: SocketAddr, ask: ClientRequest) -> RequestRecord {
     match Connection::open(entry).await {
         Some(mut connection) => connection.ask(ask).await,
         None => unsent(ask, entry),
@@ -207,7 +212,7 @@
 }
 
 /// A caller that sends some requests on one connection, for as long as it stays open.
-async fn call(entry: SocketAddr, keys: Keys, number: u64, mut rng: StdRng) -> Vec<Word> {
+async fn call(entry: SocketAddr, keys: Keys, number: u64, mut rng: StdRng) -> Vec<RequestRecord> {
     let mut words = Vec::new();
     let mut asks = (0..rng.random_range(1..=REQUESTS))
         .map(|turn| ask(&keys, format!("r{number}x{turn}"), &mut rng))
@@ -227,7 +232,7 @@
     words
 }
 
-fn ask(keys: &Keys, id: String, rng: &mut StdRng) -> Ask {
+fn ask(keys: &Keys, id: String, rng: &mut StdRng) -> ClientRequest {
     let kind = Kind::ALL.choose(rng).copied().unwrap_or(Kind::Safe);
     let draw: f64 = rng.random();
     let keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
@@ -242,18 +247,18 @@
         None
     };
     let key = key.or(keys.first()).map(|key| key.text.clone());
-    Ask {
+    ClientRequest {
         id,
         kind,
         key: key.unwrap_or_default(),
-        patience: Duration::from_millis(rng.random_range(PATIENCE_MS)),
+        timeout: Duration::from_millis(rng.random_range(PATIENCE_MS)),
         body: USUAL,
     }
 }
 
 /// Asks each relay for each kind of request after the last fault, again until all is served or the
 /// time is over, and gives the last words.
-pub async fn recover(cluster: &Cluster) -> Vec<Word> {
+pub async fn recover(cluster: &Cluster) -> Vec<RequestRecord> {
     let end = Instant::now() + RECOVERY;
     let mut round = 0;
     loop {
@@ -263,11 +268,11 @@
                 continue;
             };
             for kind in Kind::ALL {
-                let ask = Ask {
+                let ask = ClientRequest {
                     id: format!("{name}r{round}{kind:?}"),
                     kind,
                     key: STAYS.to_owned(),
-                    patience: Duration::from_secs(2),
+                    timeout: Duration::from_secs(2),
                     body: USUAL,
                 };
                 words.push(match Connection::open(entry).await {
--- a/crates/ctl/src/torture/relays/fault.rs
+++ b/crates/ctl/src/torture/relays/fault.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use stub::runner::Trouble;
+use stub::runner::Fault;
 use stub::store;
 use tokio::time::{Instant, sleep};
 
@@ -227,10 +227,10 @@
     async fn away(&mut self, ago: Duration) -> Result<(), Error> {
         let away = Duration::from_millis(self.rng.random_range(100..1_000));
         self.world.disturb(TABLE);
-        self.cluster.store.disturb(store::Trouble::Busy);
+        self.cluster.store.set_fault(store::Fault::Busy);
         self.wait(away).await?;
         self.cluster.store.restore(ago);
-        self.cluster.store.disturb(store::Trouble::None);
+        self.cluster.store.set_fault(store::Fault::None);
         self.world.settle(TABLE);
         Ok(())
     }
@@ -321,7 +321,7 @@
             }
             Kind::Runner => {
                 let trouble = self.trouble();
-                self.cluster.targets[number].runner.disturb(trouble);
+                self.cluster.targets[number].runner.set_fault(trouble);
             }
             Kind::Crash => self.cluster.targets[number].runner.crash(),
             Kind::Leave => {
@@ -330,10 +330,13 @@
             }
             Kind::Store => {
                 let trouble = self.store_trouble();
-                self.cluster.store.disturb(trouble);
+                self.cluster.store.set_fault(trouble);
             }
             Kind::Forget => self.cluster.store.forget(),
-            Kind::Spoil => self.cluster.store.spoil(&format!("odd-{number}")),
+            Kind::Spoil => self
+                .cluster
+                .store
+                .write_invalid_entry(&format!("odd-{number}")),
             Kind::Configure => self.cluster.configure(),
         }
         Ok(true)
@@ -351,24 +354,24 @@
         modes.choose(&mut self.rng).copied().unwrap_or(delay)
     }
 
-    fn trouble(&mut self) -> Trouble {
-        let slow = Trouble::Slow(Duration::from_millis(self.rng.random_range(20..400)));
+    fn trouble(&mut self) -> Fault {
+        let slow = Fault::Slow(Duration::from_millis(self.rng.random_range(20..400)));
         let troubles = [
-            Trouble::Refuse,
-            Trouble::Fail,
-            Trouble::Lose,
-            Trouble::Truncate,
-            Trouble::Mute,
-            Trouble::Cross,
+            Fault::Refuse,
+            Fault::Fail,
+            Fault::Lose,
+            Fault::Truncate,
+            Fault::Mute,
+            Fault::Cross,
             slow,
         ];
         troubles.choose(&mut self.rng).copied().unwrap_or(slow)
     }
 
-    fn store_trouble(&mut self) -> store::Trouble {
-        let slow = store::Trouble::Slow(Duration::from_millis(self.rng.random_range(20..600)));
-        let (busy, silent) = (store::Trouble::Busy, store::Trouble::Silent);
-        let troubles = [busy, silent, store::Trouble::Lose, slow];
+    fn store_trouble(&mut self) -> store::Fault {
+        let slow = store::Fault::Slow(Duration::from_millis(self.rng.random_range(20..600)));
+        let (busy, silent) = (store::Fault::Busy, store::Fault::Silent);
+        let troubles = [busy, silent, store::Fault::Lose, slow];
         troubles.choose(&mut self.rng).copied().unwrap_or(slow)
     }
 
@@ -398,14 +401,14 @@
             }
             Kind::StoreLink => self.cluster.relays[number].1.set(Mode::Pass),
             Kind::RunnerLink => self.cluster.targets[number].door.set(Mode::Pass),
-            Kind::Runner => self.cluster.targets[number].runner.disturb(Trouble::None),
+            Kind::Runner => self.cluster.targets[number].runner.set_fault(Fault::None),
             Kind::Crash => self.cluster.revive(number).await?,
             Kind::Leave => {
                 self.world.stay(&subject);
                 self.cluster.targets[number].runner.crash();
                 self.cluster.revive(number).await?;
             }
-            Kind::Store => self.cluster.store.disturb(store::Trouble::None),
+            Kind::Store => self.cluster.store.set_fault(store::Fault::None),
             Kind::Freeze | Kind::Reload | Kind::Forget | Kind::Spoil | Kind::Configure => {}
         }
         if kind.disturbs() {
--- a/crates/ctl/src/torture/relays/mod.rs
+++ b/crates/ctl/src/torture/relays/mod.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use stub::caller::{Kind, Word};
+use stub::caller::{Kind, RequestRecord};
 use tokio::task::{JoinError, JoinHandle};
 
 /// Requests a second that a runner says it takes which names a limit.
@@ -68,7 +68,7 @@
     }
 
     /// Requests that end or silence runners, beside the demand.
-    fn harm(self, world: &Arc<World>, seed: u64, time: Duration) -> JoinHandle<Vec<Word>> {
+    fn harm(self, world: &Arc<World>, seed: u64, time: Duration) -> JoinHandle<Vec<RequestRecord>> {
         let world = world.clone();
         let stage = usize::from(seed % 16 > 8);
         match self {
@@ -136,7 +136,7 @@
     let last = demand::recover(&cluster).await;
     let recovered = last.iter().all(|word| verdict::is_good(word, true));
     words.extend(last);
-    trace(&logs.join("falls"), &cluster.log.falls())?;
+    trace(&logs.join("falls"), &cluster.log.failures())?;
     trace(&logs.join("words"), &words)?;
     let mut verdict = verdict::judge(&words, &cluster.log, &cluster.keys, &world);
     verdict.counts.faults = counts;
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 use std::sync::PoisonError;
 use stub::Micros;
-use stub::caller::{Told, Word};
+use stub::caller::{RequestRecord, ResponseOutcome};
 use stub::harm::{SILENCER, is_harmful};
-use stub::runner::{EVENTS, Fall, Log, Run, WORK, answer, event};
+use stub::runner::{EVENTS, Log, Run, RunnerFailure, WORK, answer, event};
 
 /// Time within which a change of the platform's tables is in force at every relay that is sound and
 /// reaches them all that time.
@@ -137,23 +137,23 @@
 
 /// Whether a word is a right answer as far as it goes, and whole if it must be.
 #[must_use]
-pub fn is_good(word: &Word, must_be_whole: bool) -> bool {
+pub fn is_good(word: &RequestRecord, must_be_whole: bool) -> bool {
     let expected = expected(word);
-    match &word.told {
-        Told::Whole {
+    match &word.outcome {
+        ResponseOutcome::Whole {
             status: 200,
             proven: true,
             text,
             ..
         } => *text == expected,
-        Told::Broken { status: 200, text } => {
+        ResponseOutcome::Broken { status: 200, text } => {
             !must_be_whole && word.ask.kind.streams() && expected.starts_with(text.as_str())
         }
         _ => false,
     }
 }
 
-fn expected(word: &Word) -> String {
+fn expected(word: &RequestRecord) -> String {
     let id = &word.ask.id;
     if word.ask.kind.streams() {
         return (1..=EVENTS).map(|number| event(id, number)).collect();
@@ -161,17 +161,17 @@
     answer(id)
 }
 
-fn is_not_run(word: &Word) -> bool {
-    matches!(word.told, Told::Whole { status, .. } if NOT_RUN.contains(&status))
+fn is_not_run(word: &RequestRecord) -> bool {
+    matches!(word.outcome, ResponseOutcome::Whole { status, .. } if NOT_RUN.contains(&status))
 }
 
-fn is_held_back(word: &Word) -> bool {
-    matches!(&word.told, Told::Whole { text, .. } if text.contains(HELD_BACK))
+fn is_held_back(word: &RequestRecord) -> bool {
+    matches!(&word.outcome, ResponseOutcome::Whole { text, .. } if text.contains(HELD_BACK))
 }
 
 /// Counts the runners that one request ended or silenced, in their order; those beyond the first three
 /// only where the relay that was asked was sound.
-fn count_falls(falls: &[(&Fall, &Word)], world: &World) -> Harm {
+fn count_falls(falls: &[(&RunnerFailure, &RequestRecord)], world: &World) -> Harm {
     let mut harm = Harm {
         falls: falls.len() as u64,
         ..Harm::default()
@@ -191,7 +191,7 @@
     harm
 }
 
-fn by_id(words: &[Word]) -> HashMap<&str, &Word, RandomState> {
+fn by_id(words: &[RequestRecord]) -> HashMap<&str, &RequestRecord, RandomState> {
     let named = words.iter().map(|word| (word.ask.id.as_str(), word));
     named.collect()
 }
@@ -201,8 +201,8 @@
 
 /// Judges all words and runs.
 #[must_use]
-pub fn judge(words: &[Word], log: &Log, keys: &Keys, world: &World) -> Verdict {
-    let (runs, falls) = (log.runs(), log.falls());
+pub fn judge(words: &[RequestRecord], log: &Log, keys: &Keys, world: &World) -> Verdict {
+    let (runs, falls) = (log.runs(), log.failures());
     let mut by_id = Runs::default();
     for run in &runs {
         by_id.entry(run.id.as_str()).or_default().push(run);
@@ -227,45 +227,47 @@
 }
 
 impl Verdict {
-    fn judge(&mut self, word: &Word, runs: &[&Run], world: &World) {
+    fn judge(&mut self, word: &RequestRecord, runs: &[&Run], world: &World) {
         self.counts.sent += 1;
         let found = (word, runs);
         if !word.ask.kind.repeatable() && runs.len() > 1 {
             self.note("run twice", &found);
         }
-        match &word.told {
-            Told::Whole { status: 200, .. } => {
+        match &word.outcome {
+            ResponseOutcome::Whole { status: 200, .. } => {
                 self.counts.answered += 1;
                 if !is_good(word, true) {
                     self.note("wrong answer", &found);
                 }
             }
-            Told::Whole {
-                status, comes_back, ..
+            ResponseOutcome::Whole {
+                status,
+                has_retry_after,
+                ..
             } if NOT_RUN.contains(status) => {
                 self.counts.not_run += 1;
                 if !runs.is_empty() {
                     self.note("not run, but ran", &found);
                 }
-                if !comes_back {
+                if !has_retry_after {
                     self.note("no word of when to come back", &found);
                 }
             }
-            Told::Whole { .. } => self.counts.unsure += 1,
-            Told::Broken { .. } => {
+            ResponseOutcome::Whole { .. } => self.counts.unsure += 1,
+            ResponseOutcome::Broken { .. } => {
                 self.counts.broken += 1;
                 if !is_good(word, false) && !world.was_killed(word.entry) {
                     self.note("wrong beginning", &found);
                 }
             }
-            Told::Closed => {
+            ResponseOutcome::Closed => {
                 self.counts.closed += 1;
                 if !runs.is_empty() && !world.was_killed(word.entry) {
                     self.note("answer cut off", &found);
                 }
             }
-            Told::Unreachable => self.counts.closed += 1,
-            Told::Silent => {
+            ResponseOutcome::Unreachable => self.counts.closed += 1,
+            ResponseOutcome::Silent => {
                 if !world.disturbed_at(word.entry, word.sent, word.done) {
                     self.note("no answer", &found);
                 }
@@ -275,12 +277,12 @@
 
     /// A request that has ended or silenced three runners reaches few more of them, whoever its caller
     /// asks.
-    fn judge_harm(&mut self, words: &[Word], falls: &[Fall], world: &World) {
+    fn judge_harm(&mut self, words: &[RequestRecord], falls: &[RunnerFailure], world: &World) {
         let by_id = by_id(words);
         let bodies = words.iter().map(|word| word.ask.body);
         let bodies: BTreeSet<&str> = bodies.filter(|body| is_harmful(body)).collect();
         for body in bodies {
-            let mut found: Vec<(&Fall, &Word)> = falls
+            let mut found: Vec<(&RunnerFailure, &RequestRecord)> = falls
                 .iter()
                 .filter_map(|fall| Some((fall, *by_id.get(fall.id.as_str())?)))
                 .filter(|(_, word)| word.ask.body == body)
@@ -308,7 +310,7 @@
 
     /// Requests that end no runners are held back for a short while at most, though they were running
     /// where another one ended the runner.
-    fn judge_beside(&mut self, words: &[Word], runs: &[Run], crashes: &[Fall]) {
+    fn judge_beside(&mut self, words: &[RequestRecord], runs: &[Run], crashes: &[RunnerFailure]) {
         let mut ended: HashMap<&str, Vec<Micros>, RandomState> = HashMap::default();
         let by_id = by_id(words);
         for crash in crashes {
@@ -354,13 +356,13 @@
     }
 
     /// All relays together keep to the limit that a runner has named in answers that they passed on.
-    fn judge_limits(&mut self, words: &[Word], runs: &[Run], world: &World) {
+    fn judge_limits(&mut self, words: &[RequestRecord], runs: &[Run], world: &World) {
         let by_id = by_id(words);
         let mut told: HashMap<(&str, SocketAddr), Micros, RandomState> = HashMap::default();
         let limited = || runs.iter().filter(|run| run.limit.is_some());
         for run in limited() {
             if let Some(word) = by_id.get(run.id.as_str())
-                && matches!(word.told, Told::Whole { proven: true, .. })
+                && matches!(word.outcome, ResponseOutcome::Whole { proven: true, .. })
             {
                 let first = told
                     .entry((run.runner.as_str(), word.entry))
@@ -397,11 +399,11 @@
     }
 
     /// Keys that are in force must open, and those that are not must not.
-    fn judge_key(&mut self, word: &Word, keys: &[Key], world: &World) {
+    fn judge_key(&mut self, word: &RequestRecord, keys: &[Key], world: &World) {
         let Some(key) = keys.iter().find(|key| key.text == word.ask.key) else {
             return;
         };
-        let Told::Whole { status, .. } = word.told else {
+        let ResponseOutcome::Whole { status, .. } = word.outcome else {
             return;
         };
         let sound = |since: Micros| {
@@ -420,7 +422,7 @@
     }
 
     /// A relay that is sound and hears of it gives a leaving runner nothing new.
-    fn judge_leaving(&mut self, words: &[Word], runs: &Runs<'_>, world: &World) {
+    fn judge_leaving(&mut self, words: &[RequestRecord], runs: &Runs<'_>, world: &World) {
         let leaving = world.leaving();
         for word in words {
             let runs = runs.get(word.ask.id.as_str()).into_iter().flatten();
