--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -202,7 +202,7 @@
     pub fn limit(&self, rate: u32) {
         let one = self.targets.iter().find(|target| target.service == MODEL);
         one.iter()
-            .for_each(|target| target.runner.limit(Some(rate)));
+            .for_each(|target| target.runner.announce_limit(Some(rate)));
     }
 
     /// Lists no more the runners that a request has ended or silenced, and starts them again after a while.
@@ -213,7 +213,7 @@
     pub async fn tend(&mut self) -> Result<(), Error> {
         for number in 0..self.targets.len() {
             let target = &mut self.targets[number];
-            let Some(down) = target.runner.down() else {
+            let Some(down) = target.runner.down_for() else {
                 target.lapsed = false;
                 continue;
             };
--- a/crates/ctl/src/torture/relays/demand.rs
+++ b/crates/ctl/src/torture/relays/demand.rs
@@ -206,7 +206,7 @@
 
 async fn send_one(entry: SocketAddr, ask: ClientRequest) -> RequestRecord {
     match Connection::open(entry).await {
-        Some(mut connection) => connection.ask(ask).await,
+        Some(mut connection) => connection.send(ask).await,
         None => unsent(ask, entry),
     }
 }
@@ -226,7 +226,7 @@
         if !connection.is_open().await {
             break;
         }
-        words.push(connection.ask(ask).await);
+        words.push(connection.send(ask).await);
         sleep(PAUSE.mul_f64(rng.random())).await;
     }
     words
@@ -276,7 +276,7 @@
                     body: USUAL,
                 };
                 words.push(match Connection::open(entry).await {
-                    Some(mut connection) => connection.ask(ask).await,
+                    Some(mut connection) => connection.send(ask).await,
                     None => unsent(ask, entry),
                 });
             }
--- a/crates/ctl/src/torture/relays/fault.rs
+++ b/crates/ctl/src/torture/relays/fault.rs
@@ -192,7 +192,7 @@
         let mut leaving = vec![order[0]];
         self.leave(order[0]);
         self.cluster.configure();
-        self.cluster.store.fill(LOST);
+        self.cluster.store.write_unrelated_rows(LOST);
         let before = Duration::from_millis(self.rng.random_range(100..BACK_MS));
         self.wait(before).await?;
         let cut = self.rng.random_range(0..self.cluster.relays.len());
@@ -207,7 +207,7 @@
             self.cluster.list(number, leaving.contains(&number));
         }
         self.cluster.configure_again();
-        self.cluster.store.fill(LOST * 2);
+        self.cluster.store.write_unrelated_rows(LOST * 2);
         self.cluster.relays[cut].1.set(Mode::Pass);
         self.world.settle(&relay);
         self.wait(time / 2).await?;
@@ -245,7 +245,7 @@
             .cluster
             .targets
             .iter()
-            .any(|target| target.runner.down().is_some())
+            .any(|target| target.runner.down_for().is_some())
         {
             self.cluster.tend().await?;
             sleep(TEND).await;
@@ -332,7 +332,7 @@
                 let trouble = self.store_trouble();
                 self.cluster.store.set_fault(trouble);
             }
-            Kind::Forget => self.cluster.store.forget(),
+            Kind::Forget => self.cluster.store.truncate_history(),
             Kind::Spoil => self
                 .cluster
                 .store
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -147,15 +147,15 @@
             ..
         } => *text == expected,
         ResponseOutcome::Broken { status: 200, text } => {
-            !must_be_whole && word.ask.kind.streams() && expected.starts_with(text.as_str())
+            !must_be_whole && word.request.kind.streams() && expected.starts_with(text.as_str())
         }
         _ => false,
     }
 }
 
 fn expected(word: &RequestRecord) -> String {
-    let id = &word.ask.id;
-    if word.ask.kind.streams() {
+    let id = &word.request.id;
+    if word.request.kind.streams() {
         return (1..=EVENTS).map(|number| event(id, number)).collect();
     }
     answer(id)
@@ -182,7 +182,7 @@
     for (fall, word) in falls.iter().skip(POISONED) {
         let calm_from = fall.started.saturating_sub(STABLE);
         let disturbed = world.unheard(word.entry, calm_from, fall.started);
-        let is_silent = word.ask.body == SILENCER;
+        let is_silent = word.request.body == SILENCER;
         let grace = if is_silent { SILENT_GRACE } else { STABLE };
         let is_late = fall.started > third.started + grace;
         harm.beyond += u64::from(!disturbed);
@@ -192,7 +192,7 @@
 }
 
 fn by_id(words: &[RequestRecord]) -> HashMap<&str, &RequestRecord, RandomState> {
-    let named = words.iter().map(|word| (word.ask.id.as_str(), word));
+    let named = words.iter().map(|word| (word.request.id.as_str(), word));
     named.collect()
 }
 
@@ -208,13 +208,13 @@
         by_id.entry(run.id.as_str()).or_default().push(run);
     }
     let mut verdict = Verdict::default();
-    for run in runs.iter().filter(|run| run.foreign.is_some()) {
+    for run in runs.iter().filter(|run| run.foreign_input.is_some()) {
         verdict.note("results of another request", run);
     }
     let keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
     for word in words {
         let runs = by_id
-            .get(word.ask.id.as_str())
+            .get(word.request.id.as_str())
             .map_or(&[][..], Vec::as_slice);
         verdict.judge(word, runs, world);
         verdict.judge_key(word, &keys, world);
@@ -230,7 +230,7 @@
     fn judge(&mut self, word: &RequestRecord, runs: &[&Run], world: &World) {
         self.counts.sent += 1;
         let found = (word, runs);
-        if !word.ask.kind.repeatable() && runs.len() > 1 {
+        if !word.request.kind.repeatable() && runs.len() > 1 {
             self.note("run twice", &found);
         }
         match &word.outcome {
@@ -279,17 +279,17 @@
     /// asks.
     fn judge_harm(&mut self, words: &[RequestRecord], falls: &[RunnerFailure], world: &World) {
         let by_id = by_id(words);
-        let bodies = words.iter().map(|word| word.ask.body);
+        let bodies = words.iter().map(|word| word.request.body);
         let bodies: BTreeSet<&str> = bodies.filter(|body| is_harmful(body)).collect();
         for body in bodies {
             let mut found: Vec<(&RunnerFailure, &RequestRecord)> = falls
                 .iter()
                 .filter_map(|fall| Some((fall, *by_id.get(fall.id.as_str())?)))
-                .filter(|(_, word)| word.ask.body == body)
+                .filter(|(_, word)| word.request.body == body)
                 .collect();
             found.sort_by_key(|(fall, _)| fall.started);
             let mut harm = count_falls(&found, world);
-            for word in words.iter().filter(|word| word.ask.body == body) {
+            for word in words.iter().filter(|word| word.request.body == body) {
                 harm.sent += 1;
                 harm.not_run += u64::from(is_not_run(word));
                 harm.held += u64::from(is_held_back(word));
@@ -314,9 +314,12 @@
         let mut ended: HashMap<&str, Vec<Micros>, RandomState> = HashMap::default();
         let by_id = by_id(words);
         for crash in crashes {
-            let beside = crash.beside.iter();
+            let beside = crash.concurrent.iter();
             for word in beside.filter_map(|id| by_id.get(id.as_str())) {
-                ended.entry(word.ask.body).or_default().push(crash.started);
+                ended
+                    .entry(word.request.body)
+                    .or_default()
+                    .push(crash.started);
             }
         }
         for run in runs {
@@ -328,13 +331,13 @@
                 crash.runner == run.runner && run.started <= fell && crash.started < word.done
             });
             let moments = under.map(|crash| crash.started);
-            ended.entry(word.ask.body).or_default().extend(moments);
+            ended.entry(word.request.body).or_default().extend(moments);
         }
         let others = words
             .iter()
-            .filter(|word| OTHER_BODIES.contains(&word.ask.body));
+            .filter(|word| OTHER_BODIES.contains(&word.request.body));
         for word in others {
-            let kind = format!("{:?}", word.ask.kind);
+            let kind = format!("{:?}", word.request.kind);
             let share = self.counts.others.entry(kind).or_default();
             share.sent += 1;
             share.answered += u64::from(is_good(word, true));
@@ -343,10 +346,10 @@
         if crashes.is_empty() {
             return;
         }
-        for word in words.iter().filter(|word| !is_harmful(word.ask.body)) {
+        for word in words.iter().filter(|word| !is_harmful(word.request.body)) {
             self.counts.beside += 1;
             self.counts.beside_answered += u64::from(is_good(word, true));
-            let last = ended.get(word.ask.body).into_iter().flatten();
+            let last = ended.get(word.request.body).into_iter().flatten();
             let last = last.filter(|at| **at < word.sent).max();
             let over = last.is_none_or(|last| last + HELD < word.sent);
             if over && is_held_back(word) {
@@ -400,7 +403,7 @@
 
     /// Keys that are in force must open, and those that are not must not.
     fn judge_key(&mut self, word: &RequestRecord, keys: &[Key], world: &World) {
-        let Some(key) = keys.iter().find(|key| key.text == word.ask.key) else {
+        let Some(key) = keys.iter().find(|key| key.text == word.request.key) else {
             return;
         };
         let ResponseOutcome::Whole { status, .. } = word.outcome else {
@@ -425,7 +428,7 @@
     fn judge_leaving(&mut self, words: &[RequestRecord], runs: &Runs<'_>, world: &World) {
         let leaving = world.leaving();
         for word in words {
-            let runs = runs.get(word.ask.id.as_str()).into_iter().flatten();
+            let runs = runs.get(word.request.id.as_str()).into_iter().flatten();
             for run in runs {
                 let late = |span: &Span| {
                     let over = span.until.is_some_and(|until| run.started >= until);
