--- a/crates/relay/src/peer/serving.rs
+++ b/crates/relay/src/peer/serving.rs
@@ -72,7 +72,7 @@
             break;
         }
     }
-    sender.abandon();
+    sender.abort();
     transfer::link_lost(&relay, &sender);
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,16 +1,16 @@
 //! Messages between the system's own processes and the links that carry them.
 //!
-//! * [`frame`]: what entries and agents say to each other about calls
+//! * [`frame`]: messages between entries and agents
 //! * [`link`]: an ordered link between one entry and one agent
-//! * [`handshake`]: proof that both ends hold the shared key
-//! * [`silence`]: detection of a dead peer
-//! * [`news`]: lossy publish and subscribe between processes
+//! * [`handshake`]: mutual authentication by a shared key
+//! * [`liveness`]: detection of a dead peer
+//! * [`pubsub`]: lossy publish-subscribe between processes
 
 pub mod frame;
 pub mod handshake;
 pub mod link;
-pub mod news;
-pub mod silence;
+pub mod liveness;
+pub mod pubsub;
 
 pub use frame::{Frame, Load, Models, Refusal, Work};
 pub use link::{Error, Key, Listener, Receiver, Sender, connect};
