--- a/crates/ctl/src/torture/command.rs
+++ b/crates/ctl/src/torture/command.rs
@@ -16,7 +16,7 @@
 use getopts::{Matches, Options};
 use serde::Serialize;
 use serde_json::json;
-use standin::log::Ended;
+use standin::log::ExecutionStatus;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
@@ -327,7 +327,7 @@
     until("nothing runs any more", || async {
         let log = read_log(bench).await;
         log.iter()
-            .all(|(_, execution)| execution.ended != Ended::Running)
+            .all(|(_, execution)| execution.ended != ExecutionStatus::Running)
     })
     .await?;
     Ok(read_log(bench).await)
--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -160,7 +160,7 @@
         let proxy = Proxy::start(runner.address())
             .await
             .map_err(|error| io_error(&error))?;
-        runner.known_at(self.access.address(&runner, &proxy));
+        runner.set_advertised_address(self.access.address(&runner, &proxy));
         self.targets.push(Target {
             id,
             service,
@@ -203,7 +203,7 @@
     pub fn announce_limit(&self, rate: u32) {
         let one = self.targets.iter().find(|target| target.service == MODEL);
         one.iter()
-            .for_each(|target| target.runner.limit(Some(rate)));
+            .for_each(|target| target.runner.announce_limit(Some(rate)));
     }
 
     /// Removes the entries of runners that a request has crashed or made unresponsive, and restarts these
@@ -215,7 +215,7 @@
     pub async fn maintain_runners(&mut self) -> Result<(), Error> {
         for number in 0..self.targets.len() {
             let target = &mut self.targets[number];
-            let Some(down) = target.runner.down() else {
+            let Some(down) = target.runner.down_for() else {
                 target.unlisted = false;
                 continue;
             };
@@ -257,7 +257,8 @@
         let text = format!("key-{}", self.version);
         let valid = [PERMANENT_KEY.to_owned(), text.clone()];
         let mut keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
-        self.store.configure(&config::plan(self.version, &valid));
+        self.store
+            .configure(&config::configuration(self.version, &valid));
         let accepted = now();
         let new = Key {
             text,
@@ -280,7 +281,8 @@
         let keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
         let valid = keys.iter().filter(|key| key.until.is_none());
         let valid: Vec<String> = valid.map(|key| key.text.clone()).collect();
-        self.store.configure(&config::plan(self.version, &valid));
+        self.store
+            .configure(&config::configuration(self.version, &valid));
     }
 
     /// Waits until all relays are ready for clients.
--- a/crates/ctl/src/torture/relays/demand.rs
+++ b/crates/ctl/src/torture/relays/demand.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
-use stub::caller::{Ask, Connection, Kind, USUAL, Word, unsent};
+use stub::caller::{ClientRequest, Connection, Kind, RequestRecord, USUAL, unsent};
 use stub::harm::{DEADLY, POISON, SILENCER, deadly};
 use stub::now;
 use tokio::task::JoinSet;
@@ -43,7 +43,12 @@
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Sends random requests for a time. Returns their records.
-pub async fn send(state: Arc<SoakState>, keys: Keys, seed: u64, time: Duration) -> Vec<Word> {
+pub async fn send(
+    state: Arc<SoakState>,
+    keys: Keys,
+    seed: u64,
+    time: Duration,
+) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
@@ -63,18 +68,22 @@
 
 /// Repeats a request that crashes each runner that starts it, for a time and at random relays. Returns
 /// the records.
-pub async fn poison_requests(state: Arc<SoakState>, seed: u64, time: Duration) -> Vec<Word> {
+pub async fn poison_requests(
+    state: Arc<SoakState>,
+    seed: u64,
+    time: Duration,
+) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        let request = Ask {
+        let request = ClientRequest {
             id: format!("poison{number}"),
             kind: Kind::Once,
             key: PERMANENT_KEY.to_owned(),
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             body: POISON,
         };
         if let Some(entry) = state.entries().choose(&mut rng).copied() {
@@ -92,18 +101,18 @@
     kind: Kind,
     seed: u64,
     time: Duration,
-) -> Vec<Word> {
+) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
     let mut turn = 0;
     while Instant::now() < end {
         let entries = state.entries();
-        let make_request = |name: &str, kind, body| Ask {
+        let make_request = |name: &str, kind, body| ClientRequest {
             id: format!("{name}{turn}"),
             kind,
             key: PERMANENT_KEY.to_owned(),
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             body,
         };
         if turn % REQUESTS_PER_POISON == 0
@@ -132,8 +141,8 @@
     state: Arc<SoakState>,
     first: Duration,
     time: Duration,
-    make_request: impl Fn(usize) -> Ask,
-) -> Vec<Word> {
+    make_request: impl Fn(usize) -> ClientRequest,
+) -> Vec<RequestRecord> {
     let end = Instant::now() + time;
     sleep(first).await;
     let mut callers = JoinSet::new();
@@ -155,7 +164,7 @@
     requests: usize,
     stage: usize,
     time: Duration,
-) -> Vec<Word> {
+) -> Vec<RequestRecord> {
     let mut callers = JoinSet::new();
     for (number, body) in DEADLY.into_iter().enumerate().take(requests) {
         let first = DEADLY_DELAY + RETRY_INTERVAL * number as u32 / requests as u32;
@@ -167,7 +176,11 @@
 }
 
 /// Repeats a request that makes runners unresponsive.
-pub async fn silencing_requests(state: Arc<SoakState>, kind: Kind, time: Duration) -> Vec<Word> {
+pub async fn silencing_requests(
+    state: Arc<SoakState>,
+    kind: Kind,
+    time: Duration,
+) -> Vec<RequestRecord> {
     let make_request = move |turn| default_request(format!("silencer{turn}"), kind, SILENCER);
     repeat(state, Duration::ZERO, time, make_request).await
 }
@@ -178,7 +191,7 @@
     groups: &'static [&'static [Kind]],
     seed: u64,
     time: Duration,
-) -> Vec<Word> {
+) -> Vec<RequestRecord> {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = Instant::now() + time;
     let mut callers = JoinSet::new();
@@ -201,25 +214,30 @@
 }
 
 /// A request of a client that waits for two seconds.
-fn default_request(id: String, kind: Kind, body: &'static str) -> Ask {
-    Ask {
+fn default_request(id: String, kind: Kind, body: &'static str) -> ClientRequest {
+    ClientRequest {
         id,
         kind,
         key: PERMANENT_KEY.to_owned(),
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         body,
     }
 }
 
-async fn send_one(entry: SocketAddr, request: Ask) -> Word {
+async fn send_one(entry: SocketAddr, request: ClientRequest) -> RequestRecord {
     match Connection::open(entry).await {
-        Some(mut connection) => connection.ask(request).await,
+        Some(mut connection) => connection.send(request).await,
         None => unsent(request, entry),
     }
 }
 
 /// Sends some requests on one connection for as long as it stays open.
-async fn run_connection(entry: SocketAddr, keys: Keys, number: u64, mut rng: StdRng) -> Vec<Word> {
+async fn run_connection(
+    entry: SocketAddr,
+    keys: Keys,
+    number: u64,
+    mut rng: StdRng,
+) -> Vec<RequestRecord> {
     let mut records = Vec::new();
     let mut requests = (0..rng.random_range(1..=MAX_REQUESTS))
         .map(|turn| draw_request(&keys, format!("r{number}x{turn}"), &mut rng))
@@ -233,13 +251,13 @@
         if !connection.is_open().await {
             break;
         }
-        records.push(connection.ask(request).await);
+        records.push(connection.send(request).await);
         sleep(MAX_PAUSE.mul_f64(rng.random())).await;
     }
     records
 }
 
-fn draw_request(keys: &Keys, id: String, rng: &mut StdRng) -> Ask {
+fn draw_request(keys: &Keys, id: String, rng: &mut StdRng) -> ClientRequest {
     let kind = Kind::ALL.choose(rng).copied().unwrap_or(Kind::Safe);
     let draw: f64 = rng.random();
     let keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
@@ -254,18 +272,18 @@
         None
     };
     let key = key.or(keys.first()).map(|key| key.text.clone());
-    Ask {
+    ClientRequest {
         id,
         kind,
         key: key.unwrap_or_default(),
-        patience: Duration::from_millis(rng.random_range(TIMEOUT_MS)),
+        timeout: Duration::from_millis(rng.random_range(TIMEOUT_MS)),
         body: USUAL,
     }
 }
 
 /// Sends each kind of request to each relay after the last fault, repeatedly until all are served or
 /// the time is over. Returns the records of the last round.
-pub async fn check_recovery(cluster: &Cluster) -> Vec<Word> {
+pub async fn check_recovery(cluster: &Cluster) -> Vec<RequestRecord> {
     let end = Instant::now() + RECOVERY_TIMEOUT;
     let mut round = 0;
     loop {
@@ -275,15 +293,15 @@
                 continue;
             };
             for kind in Kind::ALL {
-                let request = Ask {
+                let request = ClientRequest {
                     id: format!("{name}r{round}{kind:?}"),
                     kind,
                     key: PERMANENT_KEY.to_owned(),
-                    patience: Duration::from_secs(2),
+                    timeout: Duration::from_secs(2),
                     body: USUAL,
                 };
                 records.push(match Connection::open(entry).await {
-                    Some(mut connection) => connection.ask(request).await,
+                    Some(mut connection) => connection.send(request).await,
                     None => unsent(request, entry),
                 });
             }
--- a/crates/ctl/src/torture/relays/fault.rs
+++ b/crates/ctl/src/torture/relays/fault.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use stub::runner::Trouble;
+use stub::runner::Fault;
 use stub::store;
 use tokio::time::{Instant, sleep};
 
@@ -193,7 +193,7 @@
         let mut leaving = vec![order[0]];
         self.begin_leaving(order[0]);
         self.cluster.publish_configuration();
-        self.cluster.store.fill(UNRELATED_ROWS);
+        self.cluster.store.write_unrelated_rows(UNRELATED_ROWS);
         let before = Duration::from_millis(self.rng.random_range(100..BACKUP_AGE_MS));
         self.wait(before).await?;
         let cut = self.rng.random_range(0..self.cluster.relays.len());
@@ -209,7 +209,7 @@
             self.cluster.write_entry(number, leaving.contains(&number));
         }
         self.cluster.republish_configuration();
-        self.cluster.store.fill(UNRELATED_ROWS * 2);
+        self.cluster.store.write_unrelated_rows(UNRELATED_ROWS * 2);
         self.cluster.relays[cut].1.set(Mode::Pass);
         self.state.end_fault(&relay);
         self.wait(time / 2).await?;
@@ -229,10 +229,10 @@
     async fn restore_backup(&mut self, age: Duration) -> Result<(), Error> {
         let downtime = Duration::from_millis(self.rng.random_range(100..1_000));
         self.state.begin_fault(TABLE);
-        self.cluster.store.disturb(store::Trouble::Busy);
+        self.cluster.store.set_fault(store::Fault::Busy);
         self.wait(downtime).await?;
         self.cluster.store.restore(age);
-        self.cluster.store.disturb(store::Trouble::None);
+        self.cluster.store.set_fault(store::Fault::None);
         self.state.end_fault(TABLE);
         Ok(())
     }
@@ -247,7 +247,7 @@
             .cluster
             .targets
             .iter()
-            .any(|target| target.runner.down().is_some())
+            .any(|target| target.runner.down_for().is_some())
         {
             self.cluster.maintain_runners().await?;
             sleep(CHECK_INTERVAL).await;
@@ -324,7 +324,7 @@
             }
             Kind::Runner => {
                 let fault = self.draw_runner_fault();
-                self.cluster.targets[number].runner.disturb(fault);
+                self.cluster.targets[number].runner.set_fault(fault);
             }
             Kind::Crash => self.cluster.targets[number].runner.crash(),
             Kind::Leave => {
@@ -333,10 +333,13 @@
             }
             Kind::Store => {
                 let fault = self.draw_store_fault();
-                self.cluster.store.disturb(fault);
+                self.cluster.store.set_fault(fault);
             }
-            Kind::Forget => self.cluster.store.forget(),
-            Kind::Spoil => self.cluster.store.spoil(&format!("odd-{number}")),
+            Kind::Forget => self.cluster.store.truncate_history(),
+            Kind::Spoil => self
+                .cluster
+                .store
+                .write_invalid_entry(&format!("odd-{number}")),
             Kind::Configure => self.cluster.publish_configuration(),
         }
         Ok(true)
@@ -354,24 +357,24 @@
         modes.choose(&mut self.rng).copied().unwrap_or(delay)
     }
 
-    fn draw_runner_fault(&mut self) -> Trouble {
-        let slow = Trouble::Slow(Duration::from_millis(self.rng.random_range(20..400)));
+    fn draw_runner_fault(&mut self) -> Fault {
+        let slow = Fault::Slow(Duration::from_millis(self.rng.random_range(20..400)));
         let faults = [
-            Trouble::Refuse,
-            Trouble::Fail,
-            Trouble::Lose,
-            Trouble::Truncate,
-            Trouble::Mute,
-            Trouble::Cross,
+            Fault::Refuse,
+            Fault::Fail,
+            Fault::Lose,
+            Fault::Truncate,
+            Fault::Mute,
+            Fault::Cross,
             slow,
         ];
         faults.choose(&mut self.rng).copied().unwrap_or(slow)
     }
 
-    fn draw_store_fault(&mut self) -> store::Trouble {
-        let slow = store::Trouble::Slow(Duration::from_millis(self.rng.random_range(20..600)));
-        let (busy, silent) = (store::Trouble::Busy, store::Trouble::Silent);
-        let faults = [busy, silent, store::Trouble::Lose, slow];
+    fn draw_store_fault(&mut self) -> store::Fault {
+        let slow = store::Fault::Slow(Duration::from_millis(self.rng.random_range(20..600)));
+        let (busy, silent) = (store::Fault::Busy, store::Fault::Silent);
+        let faults = [busy, silent, store::Fault::Lose, slow];
         faults.choose(&mut self.rng).copied().unwrap_or(slow)
     }
 
@@ -401,14 +404,14 @@
             }
             Kind::StoreLink => self.cluster.relays[number].1.set(Mode::Pass),
             Kind::RunnerLink => self.cluster.targets[number].proxy.set(Mode::Pass),
-            Kind::Runner => self.cluster.targets[number].runner.disturb(Trouble::None),
+            Kind::Runner => self.cluster.targets[number].runner.set_fault(Fault::None),
             Kind::Crash => self.cluster.restart_runner(number).await?,
             Kind::Leave => {
                 self.state.end_leaving(&subject);
                 self.cluster.targets[number].runner.crash();
                 self.cluster.restart_runner(number).await?;
             }
-            Kind::Store => self.cluster.store.disturb(store::Trouble::None),
+            Kind::Store => self.cluster.store.set_fault(store::Fault::None),
             Kind::Freeze | Kind::Reload | Kind::Forget | Kind::Spoil | Kind::Configure => {}
         }
         if kind.excuses_violations() {
--- a/crates/ctl/src/torture/relays/mod.rs
+++ b/crates/ctl/src/torture/relays/mod.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use stub::caller::{Kind, Word};
+use stub::caller::{Kind, RequestRecord};
 use tokio::task::{JoinError, JoinHandle};
 
 /// Requests per second that a runner with a limit announces.
@@ -75,7 +75,7 @@
         state: &Arc<SoakState>,
         seed: u64,
         time: Duration,
-    ) -> JoinHandle<Vec<Word>> {
+    ) -> JoinHandle<Vec<RequestRecord>> {
         let state = state.clone();
         let stage = usize::from(seed % 16 > 8);
         match self {
@@ -153,7 +153,7 @@
     let last = demand::check_recovery(&cluster).await;
     let recovered = last.iter().all(|record| verdict::is_good(record, true));
     records.extend(last);
-    write_lines(&logs.join("falls"), &cluster.log.falls())?;
+    write_lines(&logs.join("falls"), &cluster.log.failures())?;
     write_lines(&logs.join("words"), &records)?;
     let mut verdict = verdict::check(&records, &cluster.log, &cluster.keys, &state);
     verdict.counts.faults = counts;
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 use std::sync::PoisonError;
 use stub::Micros;
-use stub::caller::{Told, Word};
+use stub::caller::{RequestRecord, ResponseOutcome};
 use stub::harm::{SILENCER, is_harmful};
-use stub::runner::{EVENTS, Fall, Log, Run, WORK, answer, event};
+use stub::runner::{EVENTS, Log, Run, RunnerFailure, WORK, answer, event};
 
 /// Time within which a change of the platform's tables is in force at every relay that has no fault and
 /// reaches the tables throughout.
@@ -139,41 +139,44 @@
 
 /// Whether a response is correct as far as it goes, and complete if it must be.
 #[must_use]
-pub fn is_good(record: &Word, must_be_whole: bool) -> bool {
+pub fn is_good(record: &RequestRecord, must_be_whole: bool) -> bool {
     let expected = expected(record);
-    match &record.told {
-        Told::Whole {
+    match &record.outcome {
+        ResponseOutcome::Whole {
             status: 200,
             proven: true,
             text,
             ..
         } => *text == expected,
-        Told::Broken { status: 200, text } => {
-            !must_be_whole && record.ask.kind.streams() && expected.starts_with(text.as_str())
+        ResponseOutcome::Broken { status: 200, text } => {
+            !must_be_whole && record.request.kind.streams() && expected.starts_with(text.as_str())
         }
         _ => false,
     }
 }
 
-fn expected(record: &Word) -> String {
-    let id = &record.ask.id;
-    if record.ask.kind.streams() {
+fn expected(record: &RequestRecord) -> String {
+    let id = &record.request.id;
+    if record.request.kind.streams() {
         return (1..=EVENTS).map(|number| event(id, number)).collect();
     }
     answer(id)
 }
 
-fn is_not_run(record: &Word) -> bool {
-    matches!(record.told, Told::Whole { status, .. } if NOT_RUN.contains(&status))
+fn is_not_run(record: &RequestRecord) -> bool {
+    matches!(record.outcome, ResponseOutcome::Whole { status, .. } if NOT_RUN.contains(&status))
 }
 
-fn is_quarantined(record: &Word) -> bool {
-    matches!(&record.told, Told::Whole { text, .. } if text.contains(QUARANTINE_TEXT))
+fn is_quarantined(record: &RequestRecord) -> bool {
+    matches!(&record.outcome, ResponseOutcome::Whole { text, .. } if text.contains(QUARANTINE_TEXT))
 }
 
 /// Counts the failures of runners that one request caused, which are given in order of time. Failures
 /// after the first three count as `beyond` or `late` only if the relay that got the request had no fault.
-fn count_failures(failures: &[(&Fall, &Word)], state: &SoakState) -> HarmfulRequestStats {
+fn count_failures(
+    failures: &[(&RunnerFailure, &RequestRecord)],
+    state: &SoakState,
+) -> HarmfulRequestStats {
     let mut harm = HarmfulRequestStats {
         falls: failures.len() as u64,
         ..HarmfulRequestStats::default()
@@ -184,7 +187,7 @@
     for (failure, record) in failures.iter().skip(MAX_CRASHES) {
         let window_start = failure.started.saturating_sub(SETTLE_TIME);
         let disturbed = state.may_have_missed_updates(record.entry, window_start, failure.started);
-        let is_silent = record.ask.body == SILENCER;
+        let is_silent = record.request.body == SILENCER;
         let grace = if is_silent {
             UNRESPONSIVE_GRACE
         } else {
@@ -197,10 +200,10 @@
     harm
 }
 
-fn by_id(records: &[Word]) -> HashMap<&str, &Word, RandomState> {
+fn by_id(records: &[RequestRecord]) -> HashMap<&str, &RequestRecord, RandomState> {
     let named = records
         .iter()
-        .map(|record| (record.ask.id.as_str(), record));
+        .map(|record| (record.request.id.as_str(), record));
     named.collect()
 }
 
@@ -209,20 +212,20 @@
 
 /// Checks all records and runs.
 #[must_use]
-pub fn check(records: &[Word], log: &Log, keys: &Keys, state: &SoakState) -> Verdict {
-    let (runs, failures) = (log.runs(), log.falls());
+pub fn check(records: &[RequestRecord], log: &Log, keys: &Keys, state: &SoakState) -> Verdict {
+    let (runs, failures) = (log.runs(), log.failures());
     let mut by_id = Runs::default();
     for run in &runs {
         by_id.entry(run.id.as_str()).or_default().push(run);
     }
     let mut verdict = Verdict::default();
-    for run in runs.iter().filter(|run| run.foreign.is_some()) {
+    for run in runs.iter().filter(|run| run.foreign_input.is_some()) {
         verdict.record_violation("results of another request", run);
     }
     let keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
     for record in records {
         let runs = by_id
-            .get(record.ask.id.as_str())
+            .get(record.request.id.as_str())
             .map_or(&[][..], Vec::as_slice);
         verdict.check_request(record, runs, state);
         verdict.check_key(record, &keys, state);
@@ -235,45 +238,47 @@
 }
 
 impl Verdict {
-    fn check_request(&mut self, record: &Word, runs: &[&Run], state: &SoakState) {
+    fn check_request(&mut self, record: &RequestRecord, runs: &[&Run], state: &SoakState) {
         self.counts.sent += 1;
         let found = (record, runs);
-        if !record.ask.kind.repeatable() && runs.len() > 1 {
+        if !record.request.kind.repeatable() && runs.len() > 1 {
             self.record_violation("run twice", &found);
         }
-        match &record.told {
-            Told::Whole { status: 200, .. } => {
+        match &record.outcome {
+            ResponseOutcome::Whole { status: 200, .. } => {
                 self.counts.answered += 1;
                 if !is_good(record, true) {
                     self.record_violation("wrong answer", &found);
                 }
             }
-            Told::Whole {
-                status, comes_back, ..
+            ResponseOutcome::Whole {
+                status,
+                has_retry_after,
+                ..
             } if NOT_RUN.contains(status) => {
                 self.counts.not_run += 1;
                 if !runs.is_empty() {
                     self.record_violation("not run, but ran", &found);
                 }
-                if !comes_back {
+                if !has_retry_after {
                     self.record_violation("no word of when to come back", &found);
                 }
             }
-            Told::Whole { .. } => self.counts.unsure += 1,
-            Told::Broken { .. } => {
+            ResponseOutcome::Whole { .. } => self.counts.unsure += 1,
+            ResponseOutcome::Broken { .. } => {
                 self.counts.broken += 1;
                 if !is_good(record, false) && !state.was_killed(record.entry) {
                     self.record_violation("wrong beginning", &found);
                 }
             }
-            Told::Closed => {
+            ResponseOutcome::Closed => {
                 self.counts.closed += 1;
                 if !runs.is_empty() && !state.was_killed(record.entry) {
                     self.record_violation("answer cut off", &found);
                 }
             }
-            Told::Unreachable => self.counts.closed += 1,
-            Told::Silent => {
+            ResponseOutcome::Unreachable => self.counts.closed += 1,
+            ResponseOutcome::Silent => {
                 if !state.had_fault_at(record.entry, record.sent, record.done) {
                     self.record_violation("no answer", &found);
                 }
@@ -283,19 +288,24 @@
 
     /// Checks that a request that has crashed three runners or made them unresponsive reaches few more of
     /// them, whichever relay its client sends it to.
-    fn check_harmful_requests(&mut self, records: &[Word], failures: &[Fall], state: &SoakState) {
+    fn check_harmful_requests(
+        &mut self,
+        records: &[RequestRecord],
+        failures: &[RunnerFailure],
+        state: &SoakState,
+    ) {
         let by_id = by_id(records);
-        let bodies = records.iter().map(|record| record.ask.body);
+        let bodies = records.iter().map(|record| record.request.body);
         let bodies: BTreeSet<&str> = bodies.filter(|body| is_harmful(body)).collect();
         for body in bodies {
-            let mut found: Vec<(&Fall, &Word)> = failures
+            let mut found: Vec<(&RunnerFailure, &RequestRecord)> = failures
                 .iter()
                 .filter_map(|failure| Some((failure, *by_id.get(failure.id.as_str())?)))
-                .filter(|(_, record)| record.ask.body == body)
+                .filter(|(_, record)| record.request.body == body)
                 .collect();
             found.sort_by_key(|(failure, _)| failure.started);
             let mut harm = count_failures(&found, state);
-            for record in records.iter().filter(|record| record.ask.body == body) {
+            for record in records.iter().filter(|record| record.request.body == body) {
                 harm.sent += 1;
                 harm.not_run += u64::from(is_not_run(record));
                 harm.held += u64::from(is_quarantined(record));
@@ -316,14 +326,14 @@
 
     /// Checks that requests that crash no runners are quarantined for a short time at most, even if they
     /// were running on a runner that another request crashed.
-    fn check_others(&mut self, records: &[Word], runs: &[Run], crashes: &[Fall]) {
+    fn check_others(&mut self, records: &[RequestRecord], runs: &[Run], crashes: &[RunnerFailure]) {
         let mut ended: HashMap<&str, Vec<Micros>, RandomState> = HashMap::default();
         let by_id = by_id(records);
         for crash in crashes {
-            let beside = crash.beside.iter();
+            let beside = crash.concurrent.iter();
             for record in beside.filter_map(|id| by_id.get(id.as_str())) {
                 ended
-                    .entry(record.ask.body)
+                    .entry(record.request.body)
                     .or_default()
                     .push(crash.started);
             }
@@ -337,13 +347,13 @@
                 crash.runner == run.runner && run.started <= fell && crash.started < record.done
             });
             let times = under.map(|crash| crash.started);
-            ended.entry(record.ask.body).or_default().extend(times);
+            ended.entry(record.request.body).or_default().extend(times);
         }
         let others = records
             .iter()
-            .filter(|record| OTHER_BODIES.contains(&record.ask.body));
+            .filter(|record| OTHER_BODIES.contains(&record.request.body));
         for record in others {
-            let kind = format!("{:?}", record.ask.kind);
+            let kind = format!("{:?}", record.request.kind);
             let share = self.counts.others.entry(kind).or_default();
             share.sent += 1;
             share.answered += u64::from(is_good(record, true));
@@ -352,10 +362,13 @@
         if crashes.is_empty() {
             return;
         }
-        for record in records.iter().filter(|record| !is_harmful(record.ask.body)) {
+        for record in records
+            .iter()
+            .filter(|record| !is_harmful(record.request.body))
+        {
             self.counts.beside += 1;
             self.counts.beside_answered += u64::from(is_good(record, true));
-            let last = ended.get(record.ask.body).into_iter().flatten();
+            let last = ended.get(record.request.body).into_iter().flatten();
             let last = last.filter(|at| **at < record.sent).max();
             let over = last.is_none_or(|last| last + MAX_QUARANTINE < record.sent);
             if over && is_quarantined(record) {
@@ -366,13 +379,13 @@
 
     /// Checks that all relays together keep to the limit that a runner announced in responses that they
     /// passed on.
-    fn check_rate_limits(&mut self, records: &[Word], runs: &[Run], state: &SoakState) {
+    fn check_rate_limits(&mut self, records: &[RequestRecord], runs: &[Run], state: &SoakState) {
         let by_id = by_id(records);
         let mut told: HashMap<(&str, SocketAddr), Micros, RandomState> = HashMap::default();
         let limited = || runs.iter().filter(|run| run.limit.is_some());
         for run in limited() {
             if let Some(record) = by_id.get(run.id.as_str())
-                && matches!(record.told, Told::Whole { proven: true, .. })
+                && matches!(record.outcome, ResponseOutcome::Whole { proven: true, .. })
             {
                 let first = told
                     .entry((run.runner.as_str(), record.entry))
@@ -415,11 +428,11 @@
     }
 
     /// Checks that keys in force are accepted and others rejected.
-    fn check_key(&mut self, record: &Word, keys: &[Key], state: &SoakState) {
-        let Some(key) = keys.iter().find(|key| key.text == record.ask.key) else {
+    fn check_key(&mut self, record: &RequestRecord, keys: &[Key], state: &SoakState) {
+        let Some(key) = keys.iter().find(|key| key.text == record.request.key) else {
             return;
         };
-        let Told::Whole { status, .. } = record.told else {
+        let ResponseOutcome::Whole { status, .. } = record.outcome else {
             return;
         };
         let is_undisturbed = |since: Micros| {
@@ -439,10 +452,10 @@
     }
 
     /// Checks that a relay without faults that knows that a runner is leaving gives it no new work.
-    fn check_leaving(&mut self, records: &[Word], runs: &Runs<'_>, state: &SoakState) {
+    fn check_leaving(&mut self, records: &[RequestRecord], runs: &Runs<'_>, state: &SoakState) {
         let leaving = state.leaving_intervals();
         for record in records {
-            let runs = runs.get(record.ask.id.as_str()).into_iter().flatten();
+            let runs = runs.get(record.request.id.as_str()).into_iter().flatten();
             for run in runs {
                 let late = |interval: &Interval| {
                     let over = interval.until.is_some_and(|until| run.started >= until);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! The fault switch: what goes wrong with the calls to a stand-in.
+//! Injects faults into the calls to a stand-in.
 
 use crate::options::millis;
 use rand::rngs::SmallRng;
@@ -8,65 +8,66 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Share of calls, from 0 to 1; `true` stands for all and `false` for none.
+/// Fraction of calls that a fault affects, from 0 to 1; `true` means all and `false` none.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Share {
-    /// All or none.
+pub enum Fraction {
+    /// All calls or none.
     All(bool),
-    /// This share.
+    /// This fraction of the calls.
     Part(f64),
 }
 
-/// Answers to lose.
+/// Responses to lose.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Loss {
-    /// Those of the next calls, this many.
+    /// Responses to this many of the next calls.
     Next(u64),
-    /// Those of a share of the calls.
-    Share(Share),
+    /// Responses to a fraction of the calls.
+    Share(Fraction),
 }
 
-/// What goes wrong, as `POST /standin/faults` sets it.
+/// Faults to inject, as set by `POST /standin/faults`.
 ///
 /// # Examples
 ///
 /// ```
 /// let faults: standin::Faults = serde_json::from_str(r#"{"down": true, "cut": 0.1}"#).unwrap();
-/// assert_eq!(faults.down, standin::fault::Share::All(true));
+/// assert_eq!(faults.down, standin::fault::Fraction::All(true));
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answered with `503` before anything is done.
-    pub down: Share,
-    /// Connection closed before anything is done.
-    pub reset: Share,
-    /// Time before each call is looked at, in milliseconds.
+    /// The call is rejected with `503` before it has any effect.
+    pub down: Fraction,
+    /// The connection is closed before the call has any effect.
+    pub reset: Fraction,
+    /// Delay before each call is handled, in milliseconds.
     pub slow_ms: f64,
-    /// Carried out, but the connection is closed without an answer; counts only calls that write
-    /// or run.
+    /// The call is executed, but the connection is closed without a response; affects only calls
+    /// that write or run something.
     pub lose_answers: Loss,
-    /// Times at work are multiplied by this.
+    /// Factor by which execution times are multiplied.
     pub factor: f64,
-    /// Carried out, but answered with `500`.
-    pub fail: Share,
-    /// Answer broken off in the middle.
-    pub cut: Share,
-    /// Stream ended cleanly without its end mark; a JSON answer shorter than its declared length.
-    pub truncate: Share,
-    /// Answer that bears identity and content of another call.
-    pub cross: Share,
-    /// Time before each finished answer is sent, in milliseconds.
+    /// The call is executed, but the response is `500`.
+    pub fail: Fraction,
+    /// The connection is closed in the middle of the response.
+    pub cut: Fraction,
+    /// A stream ends cleanly without its `done` event; a JSON response is shorter than its declared
+    /// length.
+    pub truncate: Fraction,
+    /// The response carries the id and the content of another call.
+    pub cross: Fraction,
+    /// Delay before each finished response is sent, in milliseconds.
     pub late_ms: f64,
-    /// Runners: answered with `503` and `X-Not-Run: 1`.
-    pub refuse: Share,
-    /// Stream with each event sent twice.
-    pub double: Share,
+    /// Runners: the call is rejected with `503` and `X-Not-Run: 1`.
+    pub refuse: Fraction,
+    /// Each event of a stream is sent twice.
+    pub double: Fraction,
 }
 
-const NONE: Share = Share::All(false);
+const NONE: Fraction = Fraction::All(false);
 
 impl Default for Faults {
     fn default() -> Self {
@@ -87,9 +88,9 @@
     }
 }
 
-/// Faults that were drawn for one call.
+/// Faults drawn for one call.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Draw {
+pub(crate) struct CallFaults {
     pub(crate) down: bool,
     pub(crate) reset: bool,
     pub(crate) slow: Duration,
@@ -103,18 +104,18 @@
     pub(crate) double: bool,
 }
 
-/// The faults in force and the generator behind the draws.
+/// The active faults and the random number generator that draws them.
 #[derive(Debug)]
-pub(crate) struct Switch {
-    /// Spares the calls of a sound stand-in the lock.
-    sound: AtomicBool,
+pub(crate) struct FaultInjector {
+    /// Set while no fault is active; calls then need no lock.
+    inactive: AtomicBool,
     state: Mutex<(Faults, SmallRng)>,
 }
 
-impl Switch {
+impl FaultInjector {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            sound: AtomicBool::new(true),
+            inactive: AtomicBool::new(true),
             state: Mutex::new((Faults::default(), SmallRng::seed_from_u64(seed))),
         }
     }
@@ -124,27 +125,27 @@
     }
 
     pub(crate) fn set(&self, faults: Faults) {
-        let sound = faults == Faults::default();
+        let inactive = faults == Faults::default();
         self.state().0 = faults;
-        self.sound.store(sound, Ordering::Release);
+        self.inactive.store(inactive, Ordering::Release);
     }
 
-    /// Factor on times at work.
+    /// Factor by which execution times are multiplied.
     pub(crate) fn factor(&self) -> f64 {
-        if self.sound.load(Ordering::Acquire) {
+        if self.inactive.load(Ordering::Acquire) {
             return 1.0;
         }
         self.state().0.factor
     }
 
-    /// Draws the faults of one call; `effect` says whether it writes or runs something.
-    pub(crate) fn draw(&self, effect: bool) -> Draw {
-        if self.sound.load(Ordering::Acquire) {
-            return Draw::default();
+    /// Draws the faults of one call; `effect` tells whether the call writes or runs something.
+    pub(crate) fn draw(&self, effect: bool) -> CallFaults {
+        if self.inactive.load(Ordering::Acquire) {
+            return CallFaults::default();
         }
         let mut state = self.state();
         let (faults, rng) = &mut *state;
-        Draw {
+        CallFaults {
             down: faults.down.draw(rng),
             reset: faults.reset.draw(rng),
             slow: millis(faults.slow_ms),
@@ -164,7 +165,7 @@
     }
 }
 
-impl Share {
+impl Fraction {
     fn draw(self, rng: &mut SmallRng) -> bool {
         match self {
             Self::All(all) => all,
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers and their bodies, whole or broken.
+//! Responses and their bodies, complete or truncated.
 
 use crate::engine::Stream;
 use bytes::Bytes;
@@ -10,73 +10,73 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Time to come back that a refusal names, in seconds.
-const RETRY_SECONDS: &str = "1";
+/// Value of `Retry-After` in a refusal, in seconds.
+const RETRY_AFTER_SECONDS: &str = "1";
 
-/// An answer, or the order to close the connection without one.
-pub(crate) type Reply = Result<Response<Body>, Broken>;
+/// A response; on an error, the connection is closed without one.
+pub(crate) type Reply = Result<Response<Body>, ConnectionClosed>;
 
-/// The connection is closed at this point.
+/// Error that closes the connection at this point.
 #[derive(Debug)]
-pub(crate) struct Broken;
+pub(crate) struct ConnectionClosed;
 
-impl Display for Broken {
+impl Display for ConnectionClosed {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        formatter.write_str("connection closed by a fault switch")
+        formatter.write_str("connection closed by an injected fault")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionClosed {}
 
-/// Body of an answer.
+/// Body of a response.
 pub(crate) enum Body {
-    /// Sent as it is.
-    Whole(Option<Bytes>),
-    /// The first part is sent, then the connection is closed.
-    Part(Option<Bytes>),
-    /// As `Part`, once the part has been handed over.
-    Gone { flushed: bool },
-    /// Events of an engine.
+    /// Complete body.
+    Full(Option<Bytes>),
+    /// First part of a body; the connection is closed after it.
+    Partial(Option<Bytes>),
+    /// State of `Partial` after the part has been passed to the server.
+    Aborted { flushed: bool },
+    /// Event stream of an engine.
     Stream(Box<Stream>),
-    /// Bytes at a limited rate.
-    Slow(Box<crate::weight::Download>),
+    /// Rate-limited download of weights.
+    Download(Box<crate::weight::Download>),
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = ConnectionClosed;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            Self::Part(bytes) => {
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            Self::Partial(bytes) => {
                 let bytes = bytes.take().unwrap_or_default();
-                *self = Self::Gone { flushed: false };
+                *self = Self::Aborted { flushed: false };
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
-            // The server drops what it has not flushed when a body fails, so the failure waits
-            // until it has been polled once more; otherwise the part would never leave.
-            Self::Gone { flushed } if !*flushed => {
+            // When a body fails, the server drops all data that it has not flushed. The failure is
+            // therefore delayed by one poll; otherwise the part would never be sent.
+            Self::Aborted { flushed } if !*flushed => {
                 *flushed = true;
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
-            Self::Gone { .. } => Poll::Ready(Some(Err(Broken))),
+            Self::Aborted { .. } => Poll::Ready(Some(Err(ConnectionClosed))),
             Self::Stream(stream) => stream.poll(context),
-            Self::Slow(download) => download.poll(context),
+            Self::Download(download) => download.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             _ => SizeHint::default(),
@@ -84,21 +84,21 @@
     }
 }
 
-/// An answer with these bytes.
+/// A response with these bytes as its body.
 pub(crate) fn bytes(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
     let bytes = bytes.into();
     let body = (!bytes.is_empty()).then_some(bytes);
-    let mut response = Response::new(Body::Whole(body));
+    let mut response = Response::new(Body::Full(body));
     *response.status_mut() = status;
     response
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Body> {
     bytes(status, Bytes::new())
 }
 
-/// An answer in JSON.
+/// A JSON response.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let Ok(body) = serde_json::to_vec(value) else {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
@@ -109,15 +109,15 @@
     response
 }
 
-/// A refusal that says when to come back.
+/// A refusal with `Retry-After`.
 pub(crate) fn refusal(status: StatusCode) -> Response<Body> {
     let mut response = empty(status);
-    let wait = hyper::header::HeaderValue::from_static(RETRY_SECONDS);
+    let wait = hyper::header::HeaderValue::from_static(RETRY_AFTER_SECONDS);
     response.headers_mut().insert(RETRY_AFTER, wait);
     response
 }
 
-/// `503` that says that the call did not start.
+/// `503` with `X-Not-Run: 1`, which states that the call did not start.
 pub(crate) fn not_run() -> Response<Body> {
     let mut response = refusal(StatusCode::SERVICE_UNAVAILABLE);
     let one = hyper::header::HeaderValue::from_static("1");
@@ -125,18 +125,18 @@
     response
 }
 
-/// An answer that says in words what is wrong.
+/// A JSON response with an error message.
 pub(crate) fn error(status: StatusCode, reason: impl Display) -> Response<Body> {
     json(status, &serde_json::json!({ "error": reason.to_string() }))
 }
 
-/// Declares the whole length but sends only the first half.
+/// Truncates a response: declares the full length but sends only the first half.
 pub(crate) fn cut(response: Response<Body>) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
-    let Body::Whole(Some(bytes)) = body else {
+    let Body::Full(Some(bytes)) = body else {
         return Response::from_parts(parts, body);
     };
     parts.headers.insert(CONTENT_LENGTH, bytes.len().into());
     let half = bytes.slice(..bytes.len() / 2);
-    Response::from_parts(parts, Body::Part(Some(half)))
+    Response::from_parts(parts, Body::Partial(Some(half)))
 }
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,7 +1,7 @@
 //! The transactional table service.
 
 use crate::options::Options;
-use crate::rate::Rate;
+use crate::rate::RateLimiter;
 use crate::reply::{self, Body};
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 use std::ops::Bound;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Rows of a scan that names no limit.
-const LIMIT: usize = 1_000;
+/// Maximum number of rows of a scan without a limit.
+const DEFAULT_SCAN_LIMIT: usize = 1_000;
 
 /// All tables.
 #[derive(Debug)]
-pub(crate) struct Table {
-    writes: Rate,
-    reads: Rate,
+pub(crate) struct TableService {
+    writes: RateLimiter,
+    reads: RateLimiter,
     state: Mutex<State>,
 }
 
@@ -67,22 +67,22 @@
     rows: Vec<Row>,
 }
 
-/// What a read asks for.
+/// Parameters of a read.
 #[derive(Debug, Default)]
 pub(crate) struct Query {
-    /// One row.
+    /// Key of the row to read; a scan if it is missing.
     pub(crate) key: Option<String>,
-    /// Rows whose keys come after this one.
+    /// Key after which a scan starts.
     pub(crate) after: String,
-    /// Rows at most.
+    /// Maximum number of rows of a scan.
     pub(crate) limit: Option<usize>,
 }
 
-impl Table {
+impl TableService {
     pub(crate) fn new(options: &Options) -> Self {
         Self {
-            writes: Rate::new(options.writes_per_second),
-            reads: Rate::new(options.reads_per_second),
+            writes: RateLimiter::new(options.writes_per_second),
+            reads: RateLimiter::new(options.reads_per_second),
             state: Mutex::default(),
         }
     }
@@ -92,7 +92,7 @@
             Ok(transaction) => transaction,
             Err(error) => return reply::error(StatusCode::BAD_REQUEST, error),
         };
-        if !self.writes.take() {
+        if !self.writes.try_acquire() {
             return reply::refusal(StatusCode::TOO_MANY_REQUESTS);
         }
         match self.state().commit(transaction) {
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn read(&self, table: &str, query: &Query) -> Response<Body> {
-        if !self.reads.take() {
+        if !self.reads.try_acquire() {
             return reply::refusal(StatusCode::TOO_MANY_REQUESTS);
         }
         let state = self.state();
@@ -131,11 +131,11 @@
         let rows = self.tables.get(table).into_iter();
         rows.flat_map(|rows| rows.range::<str, _>((start, Bound::Unbounded)))
             .map(|(_, row)| row.clone())
-            .take(query.limit.unwrap_or(LIMIT))
+            .take(query.limit.unwrap_or(DEFAULT_SCAN_LIMIT))
             .collect()
     }
 
-    /// Writes everything, or gives the rows whose checks failed.
+    /// Writes all rows, or returns the existing rows whose checks failed.
     fn commit(&mut self, transaction: Transaction) -> Result<u64, Vec<Row>> {
         let mut failed = transaction.checks.iter().filter(|check| {
             let row = self.row(&check.table, &check.key);
