--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -177,12 +177,12 @@
     failures: &[(&RunnerFailure, &RequestRecord)],
     state: &SoakState,
 ) -> HarmfulRequestStats {
-    let mut harm = HarmfulRequestStats {
+    let mut stats = HarmfulRequestStats {
         falls: failures.len() as u64,
         ..HarmfulRequestStats::default()
     };
     let Some((third, _)) = failures.get(MAX_CRASHES - 1) else {
-        return harm;
+        return stats;
     };
     for (failure, record) in failures.iter().skip(MAX_CRASHES) {
         let window_start = failure.started.saturating_sub(SETTLE_TIME);
@@ -194,10 +194,10 @@
             SETTLE_TIME
         };
         let is_late = failure.started > third.started + grace;
-        harm.beyond += u64::from(!disturbed);
-        harm.late += u64::from(!disturbed && is_late);
+        stats.beyond += u64::from(!disturbed);
+        stats.late += u64::from(!disturbed && is_late);
     }
-    harm
+    stats
 }
 
 fn by_id(records: &[RequestRecord]) -> HashMap<&str, &RequestRecord, RandomState> {
@@ -304,17 +304,17 @@
                 .filter(|(_, record)| record.request.body == body)
                 .collect();
             found.sort_by_key(|(failure, _)| failure.started);
-            let mut harm = count_failures(&found, state);
+            let mut stats = count_failures(&found, state);
             for record in records.iter().filter(|record| record.request.body == body) {
-                harm.sent += 1;
-                harm.not_run += u64::from(is_not_run(record));
-                harm.held += u64::from(is_quarantined(record));
+                stats.sent += 1;
+                stats.not_run += u64::from(is_not_run(record));
+                stats.held += u64::from(is_quarantined(record));
             }
-            self.counts.harm.insert(body.to_owned(), harm);
+            self.counts.harm.insert(body.to_owned(), stats);
             let counted = if body == SILENCER {
-                harm.beyond
+                stats.beyond
             } else {
-                harm.late
+                stats.late
             };
             if counted > MAX_CRASHES as u64 {
                 let runners: Vec<&str> = found.iter().map(|one| one.0.runner.as_str()).collect();
