--- a/crates/standin/src/engine/fetch.rs
+++ b/crates/standin/src/engine/fetch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Maximum number of attempts to download a model.
-const MAX_ATTEMPTS: u32 = 100;
+const FETCH_ATTEMPT_LIMIT: u32 = 100;
 /// Delay before the next attempt if the store sends no `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
@@ -33,7 +33,7 @@
     /// Downloads the weights of a model, with retries after the time that the store requests;
     /// `false` if all attempts have failed.
     pub(super) async fn download(&self, model: &str) -> bool {
-        for _ in 0..MAX_ATTEMPTS {
+        for _ in 0..FETCH_ATTEMPT_LIMIT {
             match self.try_download(model).await {
                 Ok(()) => return true,
                 Err(wait) => tokio::time::sleep(wait).await,
