--- a/crates/ctl/src/load/caller.rs
+++ b/crates/ctl/src/load/caller.rs
@@ -26,9 +26,9 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Whole and the caller's own.
-    Whole,
+    Complete,
     /// Refused before anything ran.
     NotRun(Option<Duration>),
     /// It may have run.
@@ -43,19 +43,19 @@
 
 /// What became of a request.
 #[derive(Clone, Debug)]
-pub struct Fate {
+pub struct RequestResult {
     /// How it ended.
-    pub end: End,
+    pub outcome: RequestOutcome,
     /// Time from the intended moment of its last submission to its end.
     pub elapsed: Duration,
     /// Time from that moment to the first part of a stream.
-    pub first: Option<Duration>,
+    pub time_to_first: Option<Duration>,
     /// Times between the parts of a stream.
-    pub between: Vec<Duration>,
+    pub intervals: Vec<Duration>,
     /// Times that it was submitted.
     pub submissions: u32,
     /// When it ended.
-    pub ended: Instant,
+    pub finished_at: Instant,
 }
 
 /// Sends requests to entries in turn, as a balancer would.
@@ -71,8 +71,8 @@
 struct Parts {
     due: Instant,
     last: Option<Instant>,
-    first: Option<Duration>,
-    between: Vec<Duration>,
+    time_to_first: Option<Duration>,
+    intervals: Vec<Duration>,
     text: Vec<String>,
 }
 
@@ -91,17 +91,17 @@
     }
 
     /// Sends a request that was due at `due` and waits for its end.
-    pub async fn call(&self, arrival: &Arrival, due: Instant) -> Fate {
+    pub async fn call(&self, arrival: &Arrival, due: Instant) -> RequestResult {
         let mut due = due;
         let mut submissions = 1;
         loop {
-            let mut fate = self.submit(arrival, due).await;
-            fate.submissions = submissions;
-            let End::NotRun(after) = &fate.end else {
-                return fate;
+            let mut result = self.submit(arrival, due).await;
+            result.submissions = submissions;
+            let RequestOutcome::NotRun(after) = &result.outcome else {
+                return result;
             };
             if !self.returns || submissions >= MOST_SUBMISSIONS {
-                return fate;
+                return result;
             }
             due = Instant::now() + after.unwrap_or(PAUSE);
             submissions += 1;
@@ -109,26 +109,26 @@
         }
     }
 
-    async fn submit(&self, arrival: &Arrival, due: Instant) -> Fate {
+    async fn submit(&self, arrival: &Arrival, due: Instant) -> RequestResult {
         let mut parts = Parts::new(due);
         let exchange = self.exchange(arrival, &mut parts);
-        let end = tokio::time::timeout(PATIENCE, exchange).await;
-        Fate {
-            end: end.unwrap_or(End::Lost),
+        let outcome = tokio::time::timeout(PATIENCE, exchange).await;
+        RequestResult {
+            outcome: outcome.unwrap_or(RequestOutcome::Lost),
             elapsed: due.elapsed(),
-            first: parts.first,
-            between: parts.between,
+            time_to_first: parts.time_to_first,
+            intervals: parts.intervals,
             submissions: 1,
-            ended: Instant::now(),
+            finished_at: Instant::now(),
         }
     }
 
-    async fn exchange(&self, arrival: &Arrival, parts: &mut Parts) -> End {
+    async fn exchange(&self, arrival: &Arrival, parts: &mut Parts) -> RequestOutcome {
         let Ok(request) = self.request(arrival) else {
-            return End::Lost;
+            return RequestOutcome::Lost;
         };
         let Ok(response) = self.client.request(request).await else {
-            return End::Lost;
+            return RequestOutcome::Lost;
         };
         let streamed = is_stream(&response);
         let status = response.status();
@@ -138,9 +138,9 @@
             read_whole(response, status).await
         };
         match read {
-            Ok(text) if is_own(&arrival.work, &arrival.text, &text) => End::Whole,
-            Ok(_) => End::Wrong,
-            Err(end) => end,
+            Ok(text) if is_own(&arrival.work, &arrival.text, &text) => RequestOutcome::Complete,
+            Ok(_) => RequestOutcome::Wrong,
+            Err(outcome) => outcome,
         }
     }
 
@@ -176,22 +176,28 @@
     kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"))
 }
 
-async fn read_whole(response: Response<Incoming>, status: StatusCode) -> Result<String, End> {
+async fn read_whole(
+    response: Response<Incoming>,
+    status: StatusCode,
+) -> Result<String, RequestOutcome> {
     let body = response.into_body().collect().await;
-    let body = body.map_err(|_| End::Lost)?.to_bytes();
+    let body = body.map_err(|_| RequestOutcome::Lost)?.to_bytes();
     if status != StatusCode::OK {
         return Err(problem(&body));
     }
-    let answer: Value = serde_json::from_slice(&body).map_err(|_| End::Wrong)?;
+    let answer: Value = serde_json::from_slice(&body).map_err(|_| RequestOutcome::Wrong)?;
     let text = answer["output"]["text"].as_str();
     Ok(text.unwrap_or_default().to_owned())
 }
 
-async fn read_stream(response: Response<Incoming>, parts: &mut Parts) -> Result<String, End> {
+async fn read_stream(
+    response: Response<Incoming>,
+    parts: &mut Parts,
+) -> Result<String, RequestOutcome> {
     let mut parser = Parser::default();
     let mut body = response.into_body();
     while let Some(frame) = body.frame().await {
-        let bytes = frame.map_err(|_| End::Lost)?.into_data();
+        let bytes = frame.map_err(|_| RequestOutcome::Lost)?.into_data();
         for event in parser.push(&bytes.unwrap_or_default()) {
             match event.name.as_str() {
                 "done" => return Ok(parts.text.join(" ")),
@@ -200,16 +206,16 @@
             }
         }
     }
-    Err(End::Lost)
+    Err(RequestOutcome::Lost)
 }
 
-fn problem(body: &[u8]) -> End {
+fn problem(body: &[u8]) -> RequestOutcome {
     let problem: Problem = serde_json::from_slice(body).unwrap_or_default();
     match problem.outcome {
-        Some(Outcome::NotRun) => End::NotRun(problem.wait()),
-        Some(Outcome::Unknown) => End::Unknown,
-        Some(Outcome::Failed) => End::Failed,
-        None => End::Lost,
+        Some(Outcome::NotRun) => RequestOutcome::NotRun(problem.wait()),
+        Some(Outcome::Unknown) => RequestOutcome::Unknown,
+        Some(Outcome::Failed) => RequestOutcome::Failed,
+        None => RequestOutcome::Lost,
     }
 }
 
@@ -218,8 +224,8 @@
         Self {
             due,
             last: None,
-            first: None,
-            between: Vec::new(),
+            time_to_first: None,
+            intervals: Vec::new(),
             text: Vec::new(),
         }
     }
@@ -227,8 +233,8 @@
     fn add(&mut self, event: &Event) {
         let now = Instant::now();
         match self.last.replace(now) {
-            Some(last) => self.between.push(now - last),
-            None => self.first = Some(now - self.due),
+            Some(last) => self.intervals.push(now - last),
+            None => self.time_to_first = Some(now - self.due),
         }
         let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
         let token = data.get("token").unwrap_or(&data);
--- a/crates/ctl/src/load/drive.rs
+++ b/crates/ctl/src/load/drive.rs
@@ -18,8 +18,8 @@
         tokio::time::sleep_until(due).await;
         let caller = caller.clone();
         tasks.spawn(async move {
-            let fate = caller.call(&arrival, due).await;
-            (arrival, fate)
+            let result = caller.call(&arrival, due).await;
+            (arrival, result)
         });
         while let Some(ended) = tasks.try_join_next() {
             count(&mut tally, ended, warm_up, start);
@@ -33,14 +33,14 @@
 
 fn count(
     tally: &mut Tally,
-    ended: Result<(Arrival, super::caller::Fate), tokio::task::JoinError>,
+    ended: Result<(Arrival, super::caller::RequestResult), tokio::task::JoinError>,
     warm_up: Duration,
     start: Instant,
 ) {
-    // A task can only end in an error if it panicked, which no caller's fate does.
-    if let Ok((arrival, fate)) = ended
+    // A task can only end in an error if it panicked, which no caller's result does.
+    if let Ok((arrival, result)) = ended
         && arrival.at >= warm_up
     {
-        tally.add(&arrival, &fate, fate.ended - start);
+        tally.add(&arrival, &result, result.finished_at - start);
     }
 }
--- a/crates/ctl/src/load/tally.rs
+++ b/crates/ctl/src/load/tally.rs
@@ -1,7 +1,7 @@
 //! Counts and histograms of a run.
 
 use super::arrival::Arrival;
-use super::caller::{End, Fate};
+use super::caller::{RequestOutcome, RequestResult};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -107,17 +107,17 @@
 }
 
 impl Counts {
-    fn add(&mut self, end: &End, on_time: bool, submissions: u32) {
+    fn add(&mut self, outcome: &RequestOutcome, on_time: bool, submissions: u32) {
         self.offered += 1;
         self.submitted += u64::from(submissions);
-        let count = match end {
-            End::Whole if on_time => &mut self.on_time,
-            End::Whole => &mut self.late,
-            End::NotRun(_) => &mut self.not_run,
-            End::Unknown => &mut self.unknown,
-            End::Failed => &mut self.failed,
-            End::Lost => &mut self.lost,
-            End::Wrong => &mut self.crossed,
+        let count = match outcome {
+            RequestOutcome::Complete if on_time => &mut self.on_time,
+            RequestOutcome::Complete => &mut self.late,
+            RequestOutcome::NotRun(_) => &mut self.not_run,
+            RequestOutcome::Unknown => &mut self.unknown,
+            RequestOutcome::Failed => &mut self.failed,
+            RequestOutcome::Lost => &mut self.lost,
+            RequestOutcome::Wrong => &mut self.crossed,
         };
         *count += 1;
         self.attainment = self.on_time as f64 / self.offered as f64;
@@ -139,9 +139,9 @@
 
 impl Tally {
     /// Counts a request that ended at this time since the start.
-    pub fn add(&mut self, arrival: &Arrival, fate: &Fate, ended: Duration) {
-        let on_time = fate.elapsed <= arrival.work.deadline;
-        let met = on_time && fate.end == End::Whole;
+    pub fn add(&mut self, arrival: &Arrival, result: &RequestResult, ended: Duration) {
+        let on_time = result.elapsed <= arrival.work.deadline;
+        let met = on_time && result.outcome == RequestOutcome::Complete;
         let due = self.second(arrival.at);
         due.due += 1;
         due.met += u64::from(met);
@@ -153,15 +153,17 @@
             workspace.or_default(),
             pipeline.or_default(),
         ] {
-            counts.add(&fate.end, on_time, fate.submissions);
+            counts.add(&result.outcome, on_time, result.submissions);
         }
-        if fate.end == End::Whole {
-            record(&mut self.latency, fate.elapsed);
+        if result.outcome == RequestOutcome::Complete {
+            record(&mut self.latency, result.elapsed);
         }
-        fate.first
+        result
+            .time_to_first
             .iter()
             .for_each(|first| record(&mut self.first, *first));
-        fate.between
+        result
+            .intervals
             .iter()
             .for_each(|between| record(&mut self.between, *between));
     }
--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -115,14 +115,14 @@
         let mut runner = Runner {
             vm,
             address,
-            relay: None,
+            proxy: None,
             kind: plan.kind,
             options: plan.options,
             settings,
             server: Some(server),
             past: Vec::new(),
         };
-        if plan.relay {
+        if plan.proxy {
             runner.interpose(ready.listen).await?;
         }
         self.list(&runner.vm).await?;
@@ -152,7 +152,7 @@
         let runner = &mut self.runners[index];
         runner.vm.address = ready.listen;
         runner.vm.leaving = false;
-        if runner.relay.is_some() {
+        if runner.proxy.is_some() {
             runner.interpose(ready.listen).await?;
         }
         let vm = runner.vm.clone();
@@ -181,7 +181,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if it does not serve.
-    pub async fn revive_runner(&mut self, id: &str) -> Result<(), Error> {
+    pub async fn restart_runner(&mut self, id: &str) -> Result<(), Error> {
         let index = self.index(id)?;
         let runner = &mut self.runners[index];
         let end = Instant::now() + LIMIT;
@@ -217,7 +217,7 @@
     /// [`Error::Failed`] if there is no such process.
     pub async fn kill(&mut self, id: &str) -> Result<(), Error> {
         self.fleet.signal(id, Signal::Kill)?;
-        self.gone(id).await.map(drop)
+        self.wait_for_exit(id).await.map(drop)
     }
 
     /// Waits until a process has ended and says whether it ended with 0.
@@ -225,7 +225,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if it goes on.
-    pub async fn gone(&mut self, id: &str) -> Result<bool, Error> {
+    pub async fn wait_for_exit(&mut self, id: &str) -> Result<bool, Error> {
         let end = Instant::now() + LIMIT;
         while Instant::now() < end {
             if let Some(status) = self.fleet.ended(id)? {
@@ -325,11 +325,11 @@
     ///
     /// [`Error::Failed`] if one does not get there.
     pub async fn ready(&mut self) -> Result<(), Error> {
-        self.readable().await?;
+        self.wait_for_configuration().await?;
         let first = self.entries[0].address;
         let revision = self.apply(first, &record::all(64)).await?;
-        self.in_force(revision).await?;
-        self.linked().await
+        self.wait_for_revision(revision).await?;
+        self.wait_for_links().await
     }
 
     /// Waits until the first entry reads the configuration.
@@ -337,7 +337,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if it does not.
-    pub async fn readable(&self) -> Result<(), Error> {
+    pub async fn wait_for_configuration(&self) -> Result<(), Error> {
         let first = self.entries[0].address;
         until("an entry reads the configuration", || async {
             status(first)
@@ -352,7 +352,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if one does not get there.
-    pub async fn in_force(&self, revision: u64) -> Result<(), Error> {
+    pub async fn wait_for_revision(&self, revision: u64) -> Result<(), Error> {
         for entry in &self.entries {
             until("a revision is in force", || async {
                 let status = status(entry.address).await;
@@ -368,7 +368,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if one does not get there.
-    pub async fn linked(&self) -> Result<(), Error> {
+    pub async fn wait_for_links(&self) -> Result<(), Error> {
         for entry in &self.entries {
             for runner in &self.runners {
                 target(entry.address, &runner.vm.id, "live").await?;
--- a/crates/ctl/src/rig/caller.rs
+++ b/crates/ctl/src/rig/caller.rs
@@ -23,7 +23,7 @@
 
 /// What a caller wants.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Pipeline, one of those in [`record`].
     pub pipeline: &'static str,
     /// Workspace of the caller.
@@ -40,7 +40,7 @@
     pub deadline: Duration,
 }
 
-impl Ask {
+impl ClientRequest {
     /// A request for a whole answer.
     pub fn new(pipeline: &'static str, text: impl Into<String>) -> Self {
         Self {
@@ -112,15 +112,15 @@
     }
 
     /// Asks one entry once.
-    pub async fn once(&self, entry: SocketAddr) -> Told {
+    pub async fn once(&self, entry: SocketAddr) -> ResponseOutcome {
         match self.send(entry).await {
             Ok(response) => self.read(entry, response).await,
-            Err(error) => Told::from_error(&error),
+            Err(error) => ResponseOutcome::from_error(&error),
         }
     }
 
     /// Asks for the answer to a request by its identity, once.
-    pub async fn again(&self, entry: SocketAddr, request: &str) -> Told {
+    pub async fn again(&self, entry: SocketAddr, request: &str) -> ResponseOutcome {
         let path = format!("/v1/requests/{request}");
         let client = Client::plain(entry);
         match client
@@ -128,7 +128,7 @@
             .await
         {
             Ok(response) => self.read(entry, response).await,
-            Err(error) => Told::from_error(&error),
+            Err(error) => ResponseOutcome::from_error(&error),
         }
     }
 
@@ -137,15 +137,15 @@
     /// # Errors
     ///
     /// What the caller is told instead.
-    pub async fn open(&self, entry: SocketAddr) -> Result<Stream, Told> {
+    pub async fn open(&self, entry: SocketAddr) -> Result<Stream, ResponseOutcome> {
         let response = self
             .send(entry)
             .await
-            .map_err(|error| Told::from_error(&error))?;
+            .map_err(|error| ResponseOutcome::from_error(&error))?;
         Stream::new(self.clone(), entry, response).await
     }
 
-    async fn read(&self, entry: SocketAddr, response: Response<Incoming>) -> Told {
+    async fn read(&self, entry: SocketAddr, response: Response<Incoming>) -> ResponseOutcome {
         if is_stream(&response) {
             return match Stream::new(self.clone(), entry, response).await {
                 Ok(stream) => stream.finish().await,
@@ -154,13 +154,13 @@
         }
         match collect(response).await {
             Ok(answer) => self.judge(&answer),
-            Err(error) => Told::from_error(&error),
+            Err(error) => ResponseOutcome::from_error(&error),
         }
     }
 
-    pub(crate) fn judge(&self, answer: &Answer) -> Told {
+    pub(crate) fn judge(&self, answer: &Answer) -> ResponseOutcome {
         if !answer.status.is_success() {
-            return Told::Problem(answer.problem());
+            return ResponseOutcome::Problem(answer.problem());
         }
         let whole: Value = answer.json().unwrap_or_default();
         let output = &whole["output"];
@@ -171,45 +171,50 @@
         self.compare(found, &output["serial"], whole["late"] == true)
     }
 
-    pub(crate) fn compare(&self, found: String, serial: &Value, late: bool) -> Told {
+    pub(crate) fn compare(&self, found: String, serial: &Value, late: bool) -> ResponseOutcome {
         if found != self.expected() {
-            return Told::Wrong(found);
+            return ResponseOutcome::Wrong(found);
         }
         let serial = serial.as_u64();
-        Told::Whole { late, serial }
+        ResponseOutcome::Whole { late, serial }
     }
 
-    /// Asks in turn at the entries until there is a final word; see [`Ask::persist_at`].
-    pub async fn persist(&self, entries: &[SocketAddr], patience: Duration) -> Word {
+    /// Asks in turn at the entries until there is a final word; see [`ClientRequest::send_until_final_at`].
+    pub async fn send_until_final(
+        &self,
+        entries: &[SocketAddr],
+        patience: Duration,
+    ) -> RequestRecord {
         let mut entries = entries.iter().copied().cycle();
-        self.persist_at(|| entries.next(), patience).await
+        self.send_until_final_at(|| entries.next(), patience).await
     }
 
     /// Asks at the entries that `next` names until there is a final word, as a patient caller does:
     /// again after *not run* and where nothing was sent, by the request's identity where a stream
     /// broke off, and anew after a lost answer if the call may be repeated or bears a key.
-    pub async fn persist_at(
+    pub async fn send_until_final_at(
         &self,
         mut next: impl FnMut() -> Option<SocketAddr>,
         patience: Duration,
-    ) -> Word {
+    ) -> RequestRecord {
         let end = Instant::now() + patience;
-        let mut word = Word::default();
+        let mut word = RequestRecord::default();
         while Instant::now() < end
             && let Some(entry) = next()
         {
             let asked = tokio::time::timeout_at(end, self.attempt(entry, &mut next, &mut word));
             if asked.await.is_err() {
-                word.told.push(Told::Silent);
+                word.outcomes.push(ResponseOutcome::Silent);
             }
             word.tries += 1;
             let told = word.last();
-            let over = told
-                .is_some_and(|told| told.is_final() || (*told == Told::Lost && !self.may_resend()));
+            let over = told.is_some_and(|told| {
+                told.is_final() || (*told == ResponseOutcome::Lost && !self.may_resend())
+            });
             if over {
                 break;
             }
-            tokio::time::sleep(told.map_or(PAUSE, Told::pause)).await;
+            tokio::time::sleep(told.map_or(PAUSE, ResponseOutcome::pause)).await;
         }
         word
     }
@@ -223,19 +228,19 @@
         &self,
         entry: SocketAddr,
         next: &mut impl FnMut() -> Option<SocketAddr>,
-        word: &mut Word,
+        word: &mut RequestRecord,
     ) {
         if !self.stream {
-            return word.told.push(self.once(entry).await);
+            return word.outcomes.push(self.once(entry).await);
         }
         let mut stream = match self.open(entry).await {
             Ok(stream) => stream,
-            Err(told) => return word.told.push(told),
+            Err(told) => return word.outcomes.push(told),
         };
         loop {
             let told = stream.drive().await;
-            let lost = told == Told::Lost;
-            word.told.push(told);
+            let lost = told == ResponseOutcome::Lost;
+            word.outcomes.push(told);
             if !lost {
                 return;
             }
@@ -251,15 +256,15 @@
 async fn resume(
     stream: &mut Stream,
     next: &mut impl FnMut() -> Option<SocketAddr>,
-    word: &mut Word,
+    word: &mut RequestRecord,
 ) -> bool {
     for _ in 0..RESUMES {
         let Some(entry) = next() else { break };
         match stream.resume(entry).await {
             Ok(()) => return true,
-            Err(told) => word.told.push(told),
+            Err(told) => word.outcomes.push(told),
         }
-        if word.last().is_some_and(Told::is_final) {
+        if word.last().is_some_and(ResponseOutcome::is_final) {
             break;
         }
         tokio::time::sleep(PAUSE).await;
@@ -269,26 +274,26 @@
 
 /// What a caller was told, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Word {
+pub struct RequestRecord {
     /// Every answer.
-    pub told: Vec<Told>,
+    pub outcomes: Vec<ResponseOutcome>,
     /// Times that it asked.
     pub tries: u32,
     /// Entries at which a stream broke off.
     pub cut: Vec<SocketAddr>,
 }
 
-impl Word {
+impl RequestRecord {
     /// The last answer.
     #[must_use]
-    pub fn last(&self) -> Option<&Told> {
-        self.told.last()
+    pub fn last(&self) -> Option<&ResponseOutcome> {
+        self.outcomes.last()
     }
 }
 
 /// What a caller was told once.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ResponseOutcome {
     /// Its own whole answer.
     Whole {
         /// Whether it came after its deadline.
@@ -308,7 +313,7 @@
     Silent,
 }
 
-impl Told {
+impl ResponseOutcome {
     pub(crate) fn from_error(error: &Error) -> Self {
         match error {
             Error::Unreachable { .. } => Self::Unreachable,
--- a/crates/ctl/src/rig/runner.rs
+++ b/crates/ctl/src/rig/runner.rs
@@ -22,7 +22,7 @@
     /// Where the runner serves.
     pub address: SocketAddr,
     /// Between the entries and the agent, if they do not speak directly.
-    pub relay: Option<Proxy>,
+    pub proxy: Option<Proxy>,
     pub(crate) kind: Kind,
     pub(crate) options: Options,
     pub(crate) settings: setting::Agent,
@@ -41,7 +41,7 @@
     /// Calls given to the runner at once.
     pub concurrency: u32,
     /// Whether a relay stands between the entries and the agent.
-    pub relay: bool,
+    pub proxy: bool,
 }
 
 impl Plan {
@@ -61,7 +61,7 @@
             kind,
             options,
             concurrency,
-            relay: false,
+            proxy: false,
         }
     }
 
@@ -75,8 +75,8 @@
 
     /// The same behind a relay.
     #[must_use]
-    pub fn relayed(mut self) -> Self {
-        self.relay = true;
+    pub fn behind_proxy(mut self) -> Self {
+        self.proxy = true;
         self
     }
 }
@@ -98,7 +98,7 @@
         let relay = Proxy::start(agent).await;
         let relay = relay.map_err(|error| failed(error.to_string()))?;
         self.vm.address = relay.address();
-        self.relay = Some(relay);
+        self.proxy = Some(relay);
         Ok(())
     }
 }
--- a/crates/ctl/src/rig/stream.rs
+++ b/crates/ctl/src/rig/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{Client, collect};
 use crate::event::{Event, Parser};
-use crate::rig::caller::{Ask, Told};
+use crate::rig::caller::{ClientRequest, ResponseOutcome};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -15,7 +15,7 @@
 /// A streamed answer that is read event by event.
 #[derive(Debug)]
 pub struct Stream {
-    ask: Ask,
+    ask: ClientRequest,
     /// Identity of the request.
     pub request: String,
     /// Entry that it is read from.
@@ -28,13 +28,13 @@
 
 impl Stream {
     pub(crate) async fn new(
-        ask: Ask,
+        ask: ClientRequest,
         entry: SocketAddr,
         response: Response<Incoming>,
-    ) -> Result<Self, Told> {
+    ) -> Result<Self, ResponseOutcome> {
         if !is_stream(&response) {
             let answer = collect(response).await;
-            let answer = answer.map_err(|error| Told::from_error(&error))?;
+            let answer = answer.map_err(|error| ResponseOutcome::from_error(&error))?;
             return Err(ask.judge(&answer));
         }
         let request = response.headers().get("linnetdrift-request");
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// What the caller is told at the end.
-    pub async fn token(&mut self) -> Result<(), Told> {
+    pub async fn token(&mut self) -> Result<(), ResponseOutcome> {
         let event = self.event().await?;
         let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
         match event.name.as_str() {
@@ -75,10 +75,10 @@
                 let found = std::mem::take(&mut self.tokens).join(" ");
                 Err(self.ask.compare(found, &Value::Null, data["late"] == true))
             }
-            "problem" => Err(Told::Problem(
+            "problem" => Err(ResponseOutcome::Problem(
                 serde_json::from_value(data).unwrap_or_default(),
             )),
-            _ if event.id != self.tokens.len().to_string() => Err(Told::Wrong(format!(
+            _ if event.id != self.tokens.len().to_string() => Err(ResponseOutcome::Wrong(format!(
                 "event {} where {} was due",
                 event.id,
                 self.tokens.len()
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// What the caller is told at an earlier end.
-    pub async fn read(&mut self, tokens: usize) -> Result<(), Told> {
+    pub async fn read(&mut self, tokens: usize) -> Result<(), ResponseOutcome> {
         while self.len() < tokens {
             self.token().await?;
         }
@@ -103,12 +103,12 @@
     }
 
     /// Reads to the end.
-    pub async fn finish(mut self) -> Told {
+    pub async fn finish(mut self) -> ResponseOutcome {
         self.drive().await
     }
 
     /// Reads to the end, or to where it breaks off.
-    pub async fn drive(&mut self) -> Told {
+    pub async fn drive(&mut self) -> ResponseOutcome {
         loop {
             if let Err(told) = self.token().await {
                 return told;
@@ -121,7 +121,7 @@
     /// # Errors
     ///
     /// What the caller is told instead.
-    pub async fn resume(&mut self, entry: SocketAddr) -> Result<(), Told> {
+    pub async fn resume(&mut self, entry: SocketAddr) -> Result<(), ResponseOutcome> {
         let path = format!("/v1/requests/{}", self.request);
         let mut headers = self.ask.headers();
         if let Some(last) = self.tokens.len().checked_sub(1) {
@@ -129,20 +129,20 @@
         }
         let client = Client::plain(entry);
         let response = client.send(Method::GET, &path, headers, Bytes::new()).await;
-        let response = response.map_err(|error| Told::from_error(&error))?;
+        let response = response.map_err(|error| ResponseOutcome::from_error(&error))?;
         let resumed = Self::new(self.ask.clone(), entry, response).await?;
         let tokens = std::mem::take(&mut self.tokens);
         *self = Self { tokens, ..resumed };
         Ok(())
     }
 
-    async fn event(&mut self) -> Result<Event, Told> {
+    async fn event(&mut self) -> Result<Event, ResponseOutcome> {
         loop {
             if let Some(event) = self.events.pop_front() {
                 return Ok(event);
             }
             let Some(Ok(frame)) = self.body.frame().await else {
-                return Err(Told::Lost);
+                return Err(ResponseOutcome::Lost);
             };
             let bytes = frame.into_data().unwrap_or_default();
             self.events.extend(self.parser.push(&bytes));
--- a/crates/ctl/src/torture/command.rs
+++ b/crates/ctl/src/torture/command.rs
@@ -311,7 +311,7 @@
     }
     for (service, count) in deployment.runners {
         for number in 1..=count {
-            let plan = Plan::new(service, CONCURRENCY).time(TIME_MS).relayed();
+            let plan = Plan::new(service, CONCURRENCY).time(TIME_MS).behind_proxy();
             bench.runner(&format!("{service}-{number}"), plan).await?;
         }
     }
--- a/crates/ctl/src/torture/demand.rs
+++ b/crates/ctl/src/torture/demand.rs
@@ -1,6 +1,6 @@
 //! Open-loop demand from a seed: callers arrive whether or not earlier ones were answered.
 
-use crate::rig::caller::{Ask, Word};
+use crate::rig::caller::{ClientRequest, RequestRecord};
 use crate::rig::record::{CHECK, DRAFT, PRINT, READ};
 use crate::torture::world::World;
 use rand::rngs::StdRng;
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct Trail {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: ClientRequest,
     /// What each of its callers was told.
-    pub words: Vec<Word>,
+    pub words: Vec<RequestRecord>,
 }
 
 /// Sends demand for a time and gives what became of it once every caller has its word.
@@ -73,7 +73,7 @@
     callers.join_all().await
 }
 
-fn draw(rng: &mut StdRng, mix: Mix, number: usize) -> (Ask, usize) {
+fn draw(rng: &mut StdRng, mix: Mix, number: usize) -> (ClientRequest, usize) {
     let kind: f64 = rng.random();
     let shares = [mix.print, mix.read, mix.draft, mix.streamed];
     let bounds = shares.iter().scan(0.0, |sum, share| {
@@ -82,11 +82,13 @@
     });
     let tokens = rng.random_range(4..60);
     let mut ask = match bounds.into_iter().position(|bound| kind < bound) {
-        Some(0) => Ask::new(PRINT, format!("label {number}")).key(format!("key-{number}")),
-        Some(1) => Ask::new(READ, format!("pin {number}")),
-        Some(2) => Ask::new(DRAFT, format!("note {number}")).streamed(tokens),
-        Some(_) => Ask::new(CHECK, format!("drawing {number}")).streamed(tokens),
-        None => Ask::new(CHECK, format!("drawing {number}")),
+        Some(0) => {
+            ClientRequest::new(PRINT, format!("label {number}")).key(format!("key-{number}"))
+        }
+        Some(1) => ClientRequest::new(READ, format!("pin {number}")),
+        Some(2) => ClientRequest::new(DRAFT, format!("note {number}")).streamed(tokens),
+        Some(_) => ClientRequest::new(CHECK, format!("drawing {number}")).streamed(tokens),
+        None => ClientRequest::new(CHECK, format!("drawing {number}")),
     };
     ask.workspace = format!("workspace-{}", rng.random_range(0..5));
     ask.deadline = Duration::from_millis(rng.random_range(200..5_000));
@@ -94,7 +96,7 @@
     (ask, 1 + usize::from(raced))
 }
 
-async fn call(world: Arc<World>, ask: Ask, count: usize, first: usize) -> Trail {
+async fn call(world: Arc<World>, ask: ClientRequest, count: usize, first: usize) -> Trail {
     let callers = (0..count).map(|number| {
         let (world, ask) = (&world, &ask);
         let mut turn = first + number;
@@ -103,7 +105,7 @@
             turn += 1;
             entries.get(turn % entries.len().max(1)).copied()
         };
-        async move { ask.persist_at(next, PATIENCE).await }
+        async move { ask.send_until_final_at(next, PATIENCE).await }
     });
     let words = futures::future::join_all(callers).await;
     Trail { ask, words }
--- a/crates/ctl/src/torture/engines.rs
+++ b/crates/ctl/src/torture/engines.rs
@@ -7,7 +7,7 @@
 use crate::error::Outcome;
 use crate::fleet::Signal;
 use crate::rig::bench::Bench;
-use crate::rig::caller::{Ask, Told};
+use crate::rig::caller::{ClientRequest, ResponseOutcome};
 use crate::rig::record::{ASSISTANT, model_pipeline, model_service};
 use crate::rig::runner::Plan;
 use foldhash::fast::RandomState;
@@ -127,8 +127,8 @@
 /// One call, with what its caller was told.
 #[derive(Debug)]
 struct Call {
-    ask: Ask,
-    told: Told,
+    ask: ClientRequest,
+    told: ResponseOutcome,
     took: Duration,
 }
 
@@ -204,14 +204,14 @@
         for _ in 0..ENGINES {
             cluster.add_engine().await?;
         }
-        cluster.bench.readable().await?;
+        cluster.bench.wait_for_configuration().await?;
         let pipelines = MODELS.iter().map(|model| model_pipeline(model));
         let records: Vec<_> = std::iter::once(model_service(&MODELS))
             .chain(pipelines)
             .collect();
         let first = lock(&cluster.addresses)[0];
         let revision = cluster.bench.apply(first, &records).await?;
-        cluster.bench.in_force(revision).await?;
+        cluster.bench.wait_for_revision(revision).await?;
         Ok(cluster)
     }
 
@@ -276,7 +276,7 @@
             Fault::CrashRunner => {
                 self.bench.crash_runner(&id).await?;
                 self.away().await;
-                self.bench.revive_runner(&id).await?;
+                self.bench.restart_runner(&id).await?;
             }
             Fault::FreezeAgent => self.freeze(&id).await?,
             Fault::FreezeEntry => self.freeze(entry).await?,
@@ -305,9 +305,9 @@
             .flat_map(|one| MODELS.map(|model| (one, model)))
         {
             let left = end.saturating_duration_since(Instant::now());
-            let ask = Ask::new(model, format!("after {model} {entry}"));
-            let word = ask.persist(&[*entry], left).await;
-            if !word.last().is_some_and(Told::is_whole) {
+            let ask = ClientRequest::new(model, format!("after {model} {entry}"));
+            let word = ask.send_until_final(&[*entry], left).await;
+            if !word.last().is_some_and(ResponseOutcome::is_whole) {
                 let text = format!("{model} not served at {entry} after the faults: {word:?}");
                 verdict.trails.push(text);
             }
@@ -319,7 +319,7 @@
         let addresses = lock(&self.addresses).clone();
         let mut callers = JoinSet::new();
         for number in 0..LAST_CALLS {
-            let ask = Ask::new(MODELS[number % MODELS.len()], format!("last {number}"));
+            let ask = ClientRequest::new(MODELS[number % MODELS.len()], format!("last {number}"));
             callers.spawn(call(ask, addresses[number % addresses.len()]));
         }
         sleep(BEFORE_END).await;
@@ -354,7 +354,7 @@
             break;
         }
         let model = MODELS[rng.random_range(0..MODELS.len())];
-        let mut ask = Ask::new(model, format!("call {number}"));
+        let mut ask = ClientRequest::new(model, format!("call {number}"));
         ask.stream = rng.random_bool(0.3);
         let entry = lock(&addresses)[rng.random_range(0..ENTRIES.len())];
         callers.spawn(call(ask, entry));
@@ -363,11 +363,11 @@
     callers.join_all().await
 }
 
-async fn call(ask: Ask, entry: SocketAddr) -> Call {
+async fn call(ask: ClientRequest, entry: SocketAddr) -> Call {
     let sent = Instant::now();
     let told = timeout(ANSWER, ask.once(entry)).await;
     Call {
-        told: told.unwrap_or(Told::Silent),
+        told: told.unwrap_or(ResponseOutcome::Silent),
         took: sent.elapsed(),
         ask,
     }
@@ -387,21 +387,21 @@
         counts.sent += 1;
         counts.slowest_ms = millis(call.took).max(counts.slowest_ms);
         let wrong = match &call.told {
-            Told::Whole { .. } => {
+            ResponseOutcome::Whole { .. } => {
                 counts.answered += 1;
                 (ran == 0).then_some("answered, though it never ran")
             }
-            Told::Silent => Some("never answered"),
-            Told::Wrong(_) => Some("answer of another call"),
-            Told::Problem(problem) if problem.outcome == Some(Outcome::NotRun) => {
+            ResponseOutcome::Silent => Some("never answered"),
+            ResponseOutcome::Wrong(_) => Some("answer of another call"),
+            ResponseOutcome::Problem(problem) if problem.outcome == Some(Outcome::NotRun) => {
                 counts.not_run += 1;
                 (ran > 0).then_some("told not run, though it ran")
             }
-            Told::Problem(_) => {
+            ResponseOutcome::Problem(_) => {
                 counts.unsure += 1;
                 None
             }
-            Told::Unreachable | Told::Lost => {
+            ResponseOutcome::Unreachable | ResponseOutcome::Lost => {
                 counts.closed += 1;
                 None
             }
--- a/crates/ctl/src/torture/fault.rs
+++ b/crates/ctl/src/torture/fault.rs
@@ -242,7 +242,7 @@
     }
 
     fn link(&self, subject: &str, mode: Mode) -> Result<(), Error> {
-        if let Some(relay) = &self.bench.get(subject)?.relay {
+        if let Some(relay) = &self.bench.get(subject)?.proxy {
             relay.set(mode);
         }
         Ok(())
@@ -365,7 +365,7 @@
                 id
             }
             Undo::Revive(id) => {
-                self.bench.revive_runner(id).await?;
+                self.bench.restart_runner(id).await?;
                 id
             }
             Undo::Undrain(id) => {
--- a/crates/ctl/src/torture/tally.rs
+++ b/crates/ctl/src/torture/tally.rs
@@ -1,7 +1,7 @@
 //! What came of a soak: counts, and the trail of everything that must not happen.
 
 use crate::error::Outcome;
-use crate::rig::caller::{Ask, Told, Word};
+use crate::rig::caller::{ClientRequest, RequestRecord, ResponseOutcome};
 use crate::rig::record::PRINT;
 use crate::torture::demand::Trail;
 use crate::torture::operators::Findings;
@@ -115,7 +115,7 @@
         let none = trail
             .words
             .iter()
-            .all(|word| word.told.iter().all(says_not_run));
+            .all(|word| word.outcomes.iter().all(says_not_run));
         if none && !runs.is_empty() {
             self.counts.not_run_ran += 1;
             self.note("not run, but ran", trail, runs);
@@ -131,15 +131,21 @@
         }
     }
 
-    fn count(&mut self, ask: &Ask, word: &Word, trail: &Trail, runs: &[&(String, Execution)]) {
+    fn count(
+        &mut self,
+        ask: &ClientRequest,
+        word: &RequestRecord,
+        trail: &Trail,
+        runs: &[&(String, Execution)],
+    ) {
         let counts = &mut self.counts;
         counts.sent += 1;
         match word.last() {
-            Some(Told::Whole { late, .. }) => {
+            Some(ResponseOutcome::Whole { late, .. }) => {
                 counts.answered += 1;
                 counts.late += u64::from(*late);
             }
-            Some(Told::Wrong(found)) => {
+            Some(ResponseOutcome::Wrong(found)) => {
                 let cut = ask.expected().starts_with(found.as_str());
                 let (count, name) = match cut {
                     true => (&mut counts.truncated, "truncated"),
@@ -148,12 +154,14 @@
                 *count += 1;
                 self.note(name, trail, runs);
             }
-            Some(Told::Problem(problem)) => match problem.outcome {
+            Some(ResponseOutcome::Problem(problem)) => match problem.outcome {
                 Some(Outcome::NotRun) => counts.not_run += 1,
                 Some(Outcome::Unknown) => counts.unknown += 1,
                 _ => counts.failed += 1,
             },
-            Some(Told::Lost) if ask.key.is_none() && ask.pipeline == PRINT => counts.broken += 1,
+            Some(ResponseOutcome::Lost) if ask.key.is_none() && ask.pipeline == PRINT => {
+                counts.broken += 1;
+            }
             _ => {
                 counts.lost += 1;
                 self.note("lost", trail, runs);
@@ -181,6 +189,6 @@
     }
 }
 
-fn says_not_run(told: &Told) -> bool {
-    *told == Told::Unreachable || told.outcome() == Some(Outcome::NotRun)
+fn says_not_run(told: &ResponseOutcome) -> bool {
+    *told == ResponseOutcome::Unreachable || told.outcome() == Some(Outcome::NotRun)
 }
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use ctl::error::Outcome;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told, Word};
+use ctl::rig::caller::{ClientRequest, RequestRecord, ResponseOutcome};
 use ctl::rig::probe::until;
 use standin::log::Ended;
 use std::path::{Path, PathBuf};
@@ -53,10 +53,10 @@
 }
 
 /// Checks what a caller was told against what ran.
-pub(crate) async fn check(bench: &Bench, service: &str, ask: &Ask, word: &Word) {
+pub(crate) async fn check(bench: &Bench, service: &str, ask: &ClientRequest, word: &RequestRecord) {
     let runs = bench.runs(service, &ask.input()).await;
     let right = match word.last() {
-        Some(Told::Whole { .. }) => runs == 1,
+        Some(ResponseOutcome::Whole { .. }) => runs == 1,
         Some(told) if told.outcome() == Some(Outcome::NotRun) => runs == 0,
         Some(told) if told.outcome() == Some(Outcome::Unknown) => runs <= 1,
         _ => false,
@@ -66,13 +66,13 @@
 
 /// Starts callers that keep asking.
 pub(crate) fn spawn(
-    asks: impl IntoIterator<Item = Ask>,
+    asks: impl IntoIterator<Item = ClientRequest>,
     entries: &[std::net::SocketAddr],
-) -> Vec<tokio::task::JoinHandle<(Ask, Word)>> {
-    let caller = |ask: Ask| {
+) -> Vec<tokio::task::JoinHandle<(ClientRequest, RequestRecord)>> {
+    let caller = |ask: ClientRequest| {
         let entries = entries.to_vec();
         tokio::spawn(async move {
-            let word = ask.persist(&entries, PATIENCE).await;
+            let word = ask.send_until_final(&entries, PATIENCE).await;
             (ask, word)
         })
     };
--- a/crates/ctl/tests/experiment_plans.rs
+++ b/crates/ctl/tests/experiment_plans.rs
@@ -5,7 +5,7 @@
 use ctl::experiment::outcome::{ArmOutcome, Outcome};
 use ctl::experiment::scenario::Scenario;
 use ctl::load::arrival::draw;
-use ctl::load::caller::{End, Fate};
+use ctl::load::caller::{RequestOutcome, RequestResult};
 use ctl::load::tally::Tally;
 use std::time::Duration;
 
@@ -64,21 +64,21 @@
     let arrivals = draw(&Scenario::Steady.plan(&DEPLOYMENTS[0], 1).sources, 1);
     let arrival = arrivals.iter().find(|one| one.work.stream).unwrap();
     let mut tally = Tally::default();
-    for (end, millis) in [
-        (End::Whole, 900),
-        (End::Whole, 1_001),
-        (End::NotRun(None), 1),
-        (End::Lost, 1),
+    for (outcome, millis) in [
+        (RequestOutcome::Complete, 900),
+        (RequestOutcome::Complete, 1_001),
+        (RequestOutcome::NotRun(None), 1),
+        (RequestOutcome::Lost, 1),
     ] {
         tally.add(
             arrival,
-            &Fate {
-                end,
+            &RequestResult {
+                outcome,
                 elapsed: Duration::from_millis(millis),
-                first: None,
-                between: Vec::new(),
+                time_to_first: None,
+                intervals: Vec::new(),
                 submissions: 1,
-                ended: tokio::time::Instant::now(),
+                finished_at: tokio::time::Instant::now(),
             },
             Duration::from_secs(4),
         );
--- a/crates/ctl/tests/failure_answers.rs
+++ b/crates/ctl/tests/failure_answers.rs
@@ -6,7 +6,7 @@
 
 use common::{PATIENCE, run, spawn, until_runs};
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
 use ctl::rig::probe::{fault, target};
 use ctl::rig::proxy::Mode;
 use ctl::rig::record::{ASSISTANT, CHECK, DRAFT, POOLS, PRINT, READ, REPORT, drain};
@@ -19,7 +19,7 @@
 async fn pair(bench: &mut Bench, service: &str, time: f64) -> SocketAddr {
     let entry = bench.entry("entry-1").await.unwrap();
     for id in ["one", "two"] {
-        let plan = Plan::new(service, 8).time(time).relayed();
+        let plan = Plan::new(service, 8).time(time).behind_proxy();
         bench.runner(id, plan).await.unwrap();
     }
     bench.ready().await.unwrap();
@@ -45,12 +45,12 @@
 }
 
 /// Breaks the answers of one runner of a pair, and asks until it has given one.
-async fn all_whole(bench: &Bench, entry: SocketAddr, kind: &str, ask: Ask) {
+async fn all_whole(bench: &Bench, entry: SocketAddr, kind: &str, ask: ClientRequest) {
     break_runner(bench, "one", json!({kind: true})).await;
     let broken = bench.get("one").unwrap();
     let before = broken.log().await.len();
     while broken.log().await.len() == before {
-        let word = ask.persist(&[entry], PATIENCE).await;
+        let word = ask.send_until_final(&[entry], PATIENCE).await;
         assert!(word.last().unwrap().is_whole(), "{kind}: {word:?}");
     }
 }
@@ -63,7 +63,7 @@
     run("broken-answers", async |mut bench| {
         let entry = pair(&mut bench, REPORT, 1.0).await;
         for kind in ["cross", "cut", "truncate", "lose_answers"] {
-            all_whole(&bench, entry, kind, Ask::new(READ, kind)).await;
+            all_whole(&bench, entry, kind, ClientRequest::new(READ, kind)).await;
         }
     });
 }
@@ -77,10 +77,13 @@
         for id in ["one", "two"] {
             break_runner(&bench, id, json!({"late_ms": 400})).await;
         }
-        let mut ask = Ask::new(READ, "late");
+        let mut ask = ClientRequest::new(READ, "late");
         ask.deadline = Duration::from_millis(50);
         let told = ask.once(entry).await;
-        assert!(matches!(told, Told::Whole { late: true, .. }), "{told:?}");
+        assert!(
+            matches!(told, ResponseOutcome::Whole { late: true, .. }),
+            "{told:?}"
+        );
     });
 }
 
@@ -92,7 +95,7 @@
     run("broken-streams", async |mut bench| {
         let entry = pair(&mut bench, ASSISTANT, 2.0).await;
         for kind in ["cut", "truncate", "double", "cross"] {
-            let ask = Ask::new(DRAFT, kind).streamed(20);
+            let ask = ClientRequest::new(DRAFT, kind).streamed(20);
             all_whole(&bench, entry, kind, ask).await;
         }
     });
@@ -105,7 +108,7 @@
     run("engine-dies", async |mut bench| {
         let entry = pair(&mut bench, ASSISTANT, 10.0).await;
         only(&mut bench, entry, "two").await;
-        let ask = Ask::new(DRAFT, "half way").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "half way").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(10).await.unwrap();
         both(&mut bench, entry, "two").await;
@@ -123,7 +126,7 @@
     run("agent-dies", async |mut bench| {
         let entry = pair(&mut bench, ASSISTANT, 10.0).await;
         only(&mut bench, entry, "two").await;
-        let ask = Ask::new(DRAFT, "half way").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "half way").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(10).await.unwrap();
         both(&mut bench, entry, "two").await;
@@ -139,7 +142,7 @@
     run("caller-returns", async |mut bench| {
         let other = bench.entry("entry-2").await.unwrap();
         let entry = pair(&mut bench, ASSISTANT, 10.0).await;
-        let ask = Ask::new(DRAFT, "broken off").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "broken off").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         stream.resume(other).await.unwrap();
@@ -158,15 +161,15 @@
         let entry = pair(&mut bench, ASSISTANT, 20.0).await;
         only(&mut bench, entry, "two").await;
         for mode in [Mode::Cut, Mode::Freeze] {
-            let ask = Ask::new(DRAFT, format!("{mode:?}")).streamed(40);
+            let ask = ClientRequest::new(DRAFT, format!("{mode:?}")).streamed(40);
             let mut stream = ask.open(entry).await.unwrap();
             stream.read(5).await.unwrap();
-            bench.get("one").unwrap().relay.as_ref().unwrap().set(mode);
+            bench.get("one").unwrap().proxy.as_ref().unwrap().set(mode);
             target(entry, "one", "unlinked").await.unwrap();
             bench
                 .get("one")
                 .unwrap()
-                .relay
+                .proxy
                 .as_ref()
                 .unwrap()
                 .set(Mode::Pass);
@@ -183,17 +186,17 @@
 fn label_link_lost() {
     run("label-link-lost", async |mut bench| {
         let entry = bench.entry("entry-1").await.unwrap();
-        let plan = Plan::new("label", 4).time(300.0).relayed();
+        let plan = Plan::new("label", 4).time(300.0).behind_proxy();
         bench.runner("printer", plan).await.unwrap();
         bench.ready().await.unwrap();
         for (runs, mode) in [(1, Mode::Cut), (2, Mode::Freeze)] {
-            let ask = Ask::new(PRINT, format!("{mode:?}")).key(format!("{mode:?}"));
+            let ask = ClientRequest::new(PRINT, format!("{mode:?}")).key(format!("{mode:?}"));
             let callers = spawn([ask.clone()], &[entry]);
             until_runs(&bench, "label", runs).await;
             bench
                 .get("printer")
                 .unwrap()
-                .relay
+                .proxy
                 .as_ref()
                 .unwrap()
                 .set(mode);
@@ -201,7 +204,7 @@
             bench
                 .get("printer")
                 .unwrap()
-                .relay
+                .proxy
                 .as_ref()
                 .unwrap()
                 .set(Mode::Pass);
@@ -228,17 +231,17 @@
             ("reranker-1", reranker),
             ("assistant-1", ASSISTANT),
         ] {
-            let plan = Plan::new(service, 8).time(1.0).relayed();
+            let plan = Plan::new(service, 8).time(1.0).behind_proxy();
             bench.runner(id, plan).await.unwrap();
         }
         bench.ready().await.unwrap();
         for runner in &bench.runners {
             let delay = Mode::Delay(Duration::from_millis(2));
-            runner.relay.as_ref().unwrap().set(delay);
+            runner.proxy.as_ref().unwrap().set(delay);
         }
         break_runner(&bench, "retriever-1", json!({"cross": true})).await;
         let asks = (0..10).map(|number| {
-            let ask = Ask::new(CHECK, format!("loom {number}"));
+            let ask = ClientRequest::new(CHECK, format!("loom {number}"));
             if number % 2 == 0 {
                 ask.streamed(8)
             } else {
@@ -246,7 +249,7 @@
             }
         });
         for ask in asks {
-            let word = ask.persist(&[entry], PATIENCE).await;
+            let word = ask.send_until_final(&[entry], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
         }
     });
--- a/crates/ctl/tests/failure_durable.rs
+++ b/crates/ctl/tests/failure_durable.rs
@@ -35,7 +35,7 @@
     bench.runner("reporter", plan).await.unwrap();
     bench.ready().await.unwrap();
     let revision = bench.apply(first, &[durable()]).await.unwrap();
-    bench.in_force(revision).await.unwrap();
+    bench.wait_for_revision(revision).await.unwrap();
     [first, second]
 }
 
--- a/crates/ctl/tests/failure_once.rs
+++ b/crates/ctl/tests/failure_once.rs
@@ -8,7 +8,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
 use ctl::rig::probe::{fault, status, until};
 use ctl::rig::record::{LABEL, PRINT};
 use ctl::rig::runner::Plan;
@@ -17,8 +17,8 @@
 use standin::{Kind, Options};
 use std::net::SocketAddr;
 
-fn print(name: &str) -> Ask {
-    Ask::new(PRINT, name).key(name)
+fn print(name: &str) -> ClientRequest {
+    ClientRequest::new(PRINT, name).key(name)
 }
 
 /// Two entries and one label runner that prints for so many milliseconds.
@@ -66,7 +66,7 @@
             assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
             check(&bench, LABEL, &ask, &word).await;
         }
-        let again = printing.persist(&[other], PATIENCE).await;
+        let again = printing.send_until_final(&[other], PATIENCE).await;
         assert_eq!(again.last().unwrap().outcome(), Some(Outcome::Unknown));
         check(&bench, LABEL, &printing, &again).await;
     });
@@ -98,7 +98,7 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        bench.linked().await.unwrap();
+        bench.wait_for_links().await.unwrap();
         until_idle(&bench, LABEL).await;
         assert_eq!(bench.executions(LABEL).await.len(), 5);
     });
@@ -160,7 +160,7 @@
         for told in join_all(callers).await {
             assert_eq!(
                 told,
-                Told::Whole {
+                ResponseOutcome::Whole {
                     late: false,
                     serial: Some(1)
                 }
@@ -202,14 +202,14 @@
             let ask = print(name);
             fault(bench.table.address(), &faults).await.unwrap();
             let told = ask.once(first).await;
-            let Told::Problem(problem) = told else {
+            let ResponseOutcome::Problem(problem) = told else {
                 panic!("{told:?}")
             };
             assert_eq!(problem.outcome, Some(Outcome::NotRun));
             assert!(problem.retry_after.is_some());
             assert_eq!(bench.runs(LABEL, &ask.input()).await, 0);
             fault(bench.table.address(), &json!({})).await.unwrap();
-            let word = ask.persist(&[second, first], PATIENCE).await;
+            let word = ask.send_until_final(&[second, first], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
--- a/crates/ctl/tests/failure_outage.rs
+++ b/crates/ctl/tests/failure_outage.rs
@@ -6,7 +6,7 @@
 
 use common::{PATIENCE, run, spawn, until_runs};
 use ctl::fleet::Signal;
-use ctl::rig::caller::Ask;
+use ctl::rig::caller::ClientRequest;
 use ctl::rig::probe::{fault, until};
 use ctl::rig::record::{LABEL, PRINT};
 use ctl::rig::runner::Plan;
@@ -24,7 +24,7 @@
             .await
             .unwrap();
         bench.ready().await.unwrap();
-        let callers = spawn([Ask::new(PRINT, "w-1").key("w-1")], &[first]);
+        let callers = spawn([ClientRequest::new(PRINT, "w-1").key("w-1")], &[first]);
         until_runs(&bench, LABEL, 1).await;
         for address in [bench.table.address(), bench.objects.address()] {
             fault(address, &json!({"down": true})).await.unwrap();
--- a/crates/ctl/tests/failure_pairs.rs
+++ b/crates/ctl/tests/failure_pairs.rs
@@ -8,7 +8,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
 use ctl::rig::probe::{fault, get, status, target, until};
 use ctl::rig::proxy::Mode;
 use ctl::rig::record::{ASSISTANT, DRAFT, LABEL, PRINT};
@@ -16,15 +16,15 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-fn print(name: &str) -> Ask {
-    Ask::new(PRINT, name).key(name)
+fn print(name: &str) -> ClientRequest {
+    ClientRequest::new(PRINT, name).key(name)
 }
 
 /// Two entries and a label printer behind a relay.
 async fn start(bench: &mut Bench, time: f64) -> [SocketAddr; 2] {
     let first = bench.entry("entry-1").await.unwrap();
     let second = bench.entry("entry-2").await.unwrap();
-    let plan = Plan::new(LABEL, 1).time(time).relayed();
+    let plan = Plan::new(LABEL, 1).time(time).behind_proxy();
     bench.runner("printer", plan).await.unwrap();
     bench.ready().await.unwrap();
     [first, second]
@@ -67,7 +67,7 @@
         }
         fault(bench.table.address(), &json!({})).await.unwrap();
         for entry in [first, second] {
-            let word = print("waiting").persist(&[entry], PATIENCE).await;
+            let word = print("waiting").send_until_final(&[entry], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
         }
         until_idle(&bench, LABEL).await;
@@ -99,7 +99,7 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        let after = print("after").persist(&[second], PATIENCE).await;
+        let after = print("after").send_until_final(&[second], PATIENCE).await;
         assert!(after.last().unwrap().is_whole(), "{after:?}");
         assert_eq!(bench.executions(LABEL).await.len(), 2);
     });
@@ -118,7 +118,7 @@
         let callers = spawn(asks, &entries);
         for runs in [2, 5, 8, 11] {
             until_runs(&bench, LABEL, runs).await;
-            let relay = bench.get("printer").unwrap().relay.as_ref().unwrap();
+            let relay = bench.get("printer").unwrap().proxy.as_ref().unwrap();
             relay.set(Mode::Cut);
             for entry in entries {
                 target(entry, "printer", "unlinked").await.unwrap();
@@ -142,7 +142,7 @@
         let plan = Plan::new(ASSISTANT, 8).time(10.0);
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = Ask::new(DRAFT, "held up").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "held up").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench.fleet.signal("one", Signal::Stop).unwrap();
@@ -150,7 +150,7 @@
         bench.runner("two", plan).await.unwrap();
         let told = stream.finish().await;
         assert!(told.is_whole(), "{told:?}");
-        assert!(bench.gone("entry-1").await.unwrap());
+        assert!(bench.wait_for_exit("entry-1").await.unwrap());
         bench.fleet.signal("one", Signal::Continue).unwrap();
     });
 }
@@ -161,16 +161,16 @@
 fn stop_and_cut() {
     run("stop-and-cut", async |mut bench| {
         let entry = bench.entry("entry-1").await.unwrap();
-        let plan = Plan::new(ASSISTANT, 8).time(10.0).relayed();
+        let plan = Plan::new(ASSISTANT, 8).time(10.0).behind_proxy();
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = Ask::new(DRAFT, "cut off").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "cut off").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench
             .get("one")
             .unwrap()
-            .relay
+            .proxy
             .as_ref()
             .unwrap()
             .set(Mode::Freeze);
@@ -178,7 +178,7 @@
         bench.runner("two", plan).await.unwrap();
         let told = stream.finish().await;
         assert!(told.is_whole(), "{told:?}");
-        assert!(bench.gone("one").await.unwrap());
+        assert!(bench.wait_for_exit("one").await.unwrap());
     });
 }
 
@@ -207,7 +207,7 @@
         let told = ask.once(second).await;
         assert_eq!(
             told,
-            Told::Whole {
+            ResponseOutcome::Whole {
                 late: false,
                 serial: Some(1)
             }
--- a/crates/ctl/tests/failure_records.rs
+++ b/crates/ctl/tests/failure_records.rs
@@ -85,7 +85,7 @@
                 conflict["document"]["share"],
                 10 * (round + 1) + winner as u32
             );
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
             for entry in entries {
                 let stored = record(entry, "workspace/yard").await;
                 assert_eq!(stored["document"]["share"], conflict["document"]["share"]);
@@ -115,7 +115,7 @@
             let accepted = revision(&apply(first, OPERATORS[0], &change).await.unwrap());
             let again = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
             assert_eq!(accepted, again);
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
             let history: Value = get(second, "/v1/history").await.unwrap();
             let changes = history["changes"].as_array().unwrap().iter();
             let token = &change["token"];
@@ -136,7 +136,7 @@
         let entries = start(&mut bench).await;
         let change = share("before", "yard", 5, &Value::Null);
         let before = revision(&apply(entries[0], OPERATORS[0], &change).await.unwrap());
-        bench.in_force(before).await.unwrap();
+        bench.wait_for_revision(before).await.unwrap();
         let faults = [
             json!({"down": true}),
             json!({"slow_ms": 2500}),
@@ -161,7 +161,7 @@
                 assert!(!text.contains(&format!("during-{round}")), "{text}");
             }
             let accepted = revision(&apply(entries[1], OPERATORS[0], &change).await.unwrap());
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
         }
     });
 }
@@ -187,7 +187,7 @@
         let stale = share("stale", "yard", 8, &Value::Null);
         let answer = apply(first, OPERATORS[1], &stale).await.unwrap();
         assert_eq!(answer.status, StatusCode::CONFLICT);
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
     });
 }
 
@@ -200,7 +200,7 @@
         let [_, second] = start(&mut bench).await;
         let change = share("latest", "yard", 9, &Value::Null);
         let accepted = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
         fault(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
@@ -245,11 +245,11 @@
         newer.body.insert("attainment".into(), 0.9.into());
         let accepted = bench.apply(first, &[newer]).await.unwrap();
         // The second operator looks at the record before changing it.
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
         let mut older = all(64).pop().unwrap();
         older.body.insert("deadline_ms".into(), 1234.into());
         let accepted = bench.apply(second, &[older]).await.unwrap();
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
         for entry in [first, second] {
             let stored = record(entry, "pipeline/check@1").await;
             assert_eq!(stored["document"]["deadline_ms"], 1234);
--- a/crates/ctl/tests/failure_stops.rs
+++ b/crates/ctl/tests/failure_stops.rs
@@ -8,7 +8,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
 use ctl::rig::probe::{status, target, until};
 use ctl::rig::record::{ASSISTANT, DRAFT, drain};
 use ctl::rig::runner::Plan;
@@ -29,7 +29,7 @@
 
 /// A stream that has begun.
 async fn begun(entry: SocketAddr, name: &str) -> Stream {
-    let ask = Ask::new(DRAFT, name).streamed(80);
+    let ask = ClientRequest::new(DRAFT, name).streamed(80);
     let mut stream = ask.open(entry).await.unwrap();
     stream.read(3).await.unwrap();
     stream
@@ -54,8 +54,8 @@
 async fn none_at(bench: &Bench, id: &str, entries: &[SocketAddr]) {
     let before = runs(bench, id).await;
     for number in 0..12 {
-        let ask = Ask::new(DRAFT, format!("later-{number}")).streamed(2);
-        let word = ask.persist(&entries[number % 2..], PATIENCE).await;
+        let ask = ClientRequest::new(DRAFT, format!("later-{number}")).streamed(2);
+        let word = ask.send_until_final(&entries[number % 2..], PATIENCE).await;
         assert!(word.last().unwrap().is_whole(), "{word:?}");
     }
     assert_eq!(runs(bench, id).await, before);
@@ -80,8 +80,8 @@
         })
         .await
         .unwrap();
-        let told = Ask::new(DRAFT, "new").once(first).await;
-        let Told::Problem(problem) = told else {
+        let told = ClientRequest::new(DRAFT, "new").once(first).await;
+        let ResponseOutcome::Problem(problem) = told else {
             panic!("{told:?}")
         };
         assert_eq!(problem.outcome, Some(Outcome::NotRun));
@@ -90,7 +90,7 @@
             let told = stream.finish().await;
             assert!(told.is_whole(), "{told:?}");
         }
-        assert!(bench.gone("entry-1").await.unwrap());
+        assert!(bench.wait_for_exit("entry-1").await.unwrap());
         assert_eq!(bench.executions(ASSISTANT).await.len(), 3);
     });
 }
@@ -117,7 +117,7 @@
             let told = stream.finish().await;
             assert!(told.is_whole(), "{told:?}");
         }
-        assert!(bench.gone("one").await.unwrap());
+        assert!(bench.wait_for_exit("one").await.unwrap());
         assert_eq!(runs(&bench, "one").await, 2);
         none_at(&bench, "one", &entries).await;
     });
@@ -167,7 +167,7 @@
             streams.push(begun(entries[0], &format!("draft-{}", streams.len())).await);
         }
         let revision = bench.apply(entries[0], &[drain("one")]).await.unwrap();
-        bench.in_force(revision).await.unwrap();
+        bench.wait_for_revision(revision).await.unwrap();
         none_at(&bench, "one", &entries).await;
         for stream in streams {
             assert!(stream.finish().await.is_whole());
@@ -179,6 +179,6 @@
         }
         none_at(&bench, "one", &entries).await;
         bench.delete(entries[1], &["drain/one"]).await.unwrap();
-        bench.linked().await.unwrap();
+        bench.wait_for_links().await.unwrap();
     });
 }
--- a/crates/ctl/tests/failure_waits.rs
+++ b/crates/ctl/tests/failure_waits.rs
@@ -8,7 +8,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
 use ctl::rig::record::{READ, REPORT};
 use ctl::rig::runner::Plan;
 use std::net::SocketAddr;
@@ -23,8 +23,11 @@
 const WAITING: usize = 8;
 
 /// Callers that ask once.
-fn ask_once(names: impl IntoIterator<Item = String>, entry: SocketAddr) -> Vec<JoinHandle<Told>> {
-    let ask = |name| tokio::spawn(async move { Ask::new(READ, name).once(entry).await });
+fn ask_once(
+    names: impl IntoIterator<Item = String>,
+    entry: SocketAddr,
+) -> Vec<JoinHandle<ResponseOutcome>> {
+    let ask = |name| tokio::spawn(async move { ClientRequest::new(READ, name).once(entry).await });
     names.into_iter().map(ask).collect()
 }
 
@@ -57,7 +60,7 @@
         assert!(!running[0].is_finished());
         for call in running {
             let told = call.await.unwrap();
-            assert!(matches!(told, Told::Whole { .. }), "{told:?}");
+            assert!(matches!(told, ResponseOutcome::Whole { .. }), "{told:?}");
         }
         until_idle(&bench, REPORT).await;
         assert_eq!(bench.executions(REPORT).await.len(), 1);
@@ -72,7 +75,7 @@
         let entry = start(&mut bench, 1.0).await;
         bench.kill("reader").await.unwrap();
         bench.move_agent("reader").await.unwrap();
-        let callers = spawn([Ask::new(READ, "after")], &[entry]);
+        let callers = spawn([ClientRequest::new(READ, "after")], &[entry]);
         for caller in callers {
             let (_, word) = caller.await.unwrap();
             assert!(word.last().unwrap().is_whole(), "{word:?}");
