--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -1,9 +1,9 @@
-//! A small deployment: entries and agents as processes of their own, stand-ins in this one.
+//! A small deployment: entries and agents run as separate processes, stand-ins in this process.
 
 use crate::client::Client;
 use crate::fleet::{Fleet, Signal};
 use crate::rig::probe::{LIMIT, LOOK, apply, failed, get, post, status, target, until};
-use crate::rig::runner::{Plan, Runner, free, place, serve};
+use crate::rig::runner::{Plan, Runner, any_port, place, serve};
 use crate::{Error, listing, rig::record};
 use ::record::Document;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 use store::{Role, Vm};
 use tokio::time::Instant;
 
-/// How often entries read the list of VMs and the change log, in milliseconds.
+/// Interval at which entries read the list of VMs and the change log, in milliseconds.
 const POLL_MS: u64 = 50;
 /// Shared key between entries and agents.
 const KEY: &str = "bench";
@@ -26,7 +26,7 @@
 /// Tokens of the two operators.
 pub const OPERATORS: [&str; 2] = ["anna-token", "bert-token"];
 
-/// The deployment.
+/// A small deployment for tests.
 #[derive(Debug)]
 pub struct Bench {
     /// The processes.
@@ -41,13 +41,13 @@
     pub runners: Vec<Runner>,
     /// All entries.
     pub entries: Vec<Vm>,
-    /// How entries that are started from now on place models.
+    /// Placement settings of the entries started from now on.
     pub placement: Placement,
     changes: u64,
 }
 
 impl Bench {
-    /// The platform alone; settings and logs go into a directory.
+    /// Starts the platform's stand-ins only. Settings and logs are written to `directory`.
     ///
     /// # Errors
     ///
@@ -55,9 +55,9 @@
     pub async fn new(directory: PathBuf, programs: PathBuf) -> Result<Self, Error> {
         Ok(Self {
             fleet: Fleet::of(directory, programs)?,
-            table: serve(Kind::Table, free(), Options::default()).await?,
-            objects: serve(Kind::Object, free(), Options::default()).await?,
-            vms: serve(Kind::Vm, free(), Options::default()).await?,
+            table: serve(Kind::Table, any_port(), Options::default()).await?,
+            objects: serve(Kind::Object, any_port(), Options::default()).await?,
+            vms: serve(Kind::Vm, any_port(), Options::default()).await?,
             runners: Vec::new(),
             entries: Vec::new(),
             placement: Placement::default(),
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Starts an entry and lists it.
+    /// Starts an entry and adds it to the platform's list of VMs.
     ///
     /// # Errors
     ///
@@ -87,20 +87,20 @@
         Ok(ready.listen)
     }
 
-    /// Starts a runner with an agent beside it and lists it.
+    /// Starts a runner and its agent, and adds the agent to the platform's list of VMs.
     ///
     /// # Errors
     ///
     /// [`Error::Failed`] if either does not serve.
     pub async fn runner(&mut self, id: &str, plan: Plan) -> Result<(), Error> {
-        let server = serve(plan.kind, free(), plan.options.clone()).await?;
+        let server = serve(plan.kind, any_port(), plan.options.clone()).await?;
         let address = server.address();
         let place = place(self.runners.len());
         let settings = setting::Agent {
             id: id.to_owned(),
             place,
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform(),
             key: KEY.to_owned(),
             service: plan.options.name.clone(),
@@ -120,17 +120,17 @@
             options: plan.options,
             settings,
             server: Some(server),
-            past: Vec::new(),
+            earlier_executions: Vec::new(),
         };
         if plan.proxy {
-            runner.interpose(ready.listen).await?;
+            runner.insert_proxy(ready.listen).await?;
         }
         self.list(&runner.vm).await?;
         self.runners.push(runner);
         Ok(())
     }
 
-    /// Starts an agent again that has ended, in its VM's next life.
+    /// Restarts an agent that has exited, as the next incarnation of its VM.
     ///
     /// # Errors
     ///
@@ -141,7 +141,7 @@
         self.move_agent(id).await
     }
 
-    /// Starts an agent again that has ended, at another address in the same life of its VM.
+    /// Restarts an agent that has exited, at another address in the same incarnation of its VM.
     ///
     /// # Errors
     ///
@@ -153,13 +153,13 @@
         runner.vm.address = ready.listen;
         runner.vm.leaving = false;
         if runner.proxy.is_some() {
-            runner.interpose(ready.listen).await?;
+            runner.insert_proxy(ready.listen).await?;
         }
         let vm = runner.vm.clone();
         self.list(&vm).await
     }
 
-    /// Breaks off a runner and everything that it has under way.
+    /// Stops a runner and cuts all its running executions.
     ///
     /// # Errors
     ///
@@ -167,16 +167,16 @@
     pub async fn crash_runner(&mut self, id: &str) -> Result<(), Error> {
         let index = self.index(id)?;
         let mut log = self.runners[index].log().await;
-        // What was under way ends with the runner.
+        // Running executions end with the runner.
         let running = log.iter_mut().filter(|one| one.ended == Ended::Running);
         running.for_each(|one| one.ended = Ended::Cut);
         let runner = &mut self.runners[index];
-        runner.past = log;
+        runner.earlier_executions = log;
         runner.server.take();
         Ok(())
     }
 
-    /// Starts a runner again at the address that it had.
+    /// Restarts a runner at its previous address.
     ///
     /// # Errors
     ///
@@ -185,7 +185,7 @@
         let index = self.index(id)?;
         let runner = &mut self.runners[index];
         let end = Instant::now() + LIMIT;
-        // The connections of the last life may hold the port for a moment.
+        // The connections of the previous incarnation may hold the port for a moment.
         loop {
             match serve(runner.kind, runner.address, runner.options.clone()).await {
                 Ok(server) => break runner.server = Some(server),
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    /// A runner by the name of its VM.
+    /// Returns the runner whose VM has this id.
     ///
     /// # Errors
     ///
@@ -207,10 +207,10 @@
 
     fn index(&self, id: &str) -> Result<usize, Error> {
         let index = self.runners.iter().position(|runner| runner.vm.id == id);
-        index.ok_or_else(|| failed(format!("there is no runner {id}")))
+        index.ok_or_else(|| failed(format!("no runner `{id}`")))
     }
 
-    /// Kills a process and waits until it is gone.
+    /// Kills a process and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -220,11 +220,11 @@
         self.wait_for_exit(id).await.map(drop)
     }
 
-    /// Waits until a process has ended and says whether it ended with 0.
+    /// Waits until a process has exited and returns whether its exit status was 0.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it goes on.
+    /// [`Error::Failed`] if it does not exit in time.
     pub async fn wait_for_exit(&mut self, id: &str) -> Result<bool, Error> {
         let end = Instant::now() + LIMIT;
         while Instant::now() < end {
@@ -233,14 +233,14 @@
             }
             tokio::time::sleep(LOOK).await;
         }
-        Err(failed(format!("{id} does not end")))
+        Err(failed(format!("{id} did not exit in time")))
     }
 
-    /// Whether a process goes on.
+    /// Whether a process is running.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it has ended with anything but 0.
+    /// [`Error::Failed`] if it has exited with a status other than 0.
     pub fn is_running(&mut self, id: &str) -> Result<bool, Error> {
         if !self.fleet.has(id) {
             return Ok(false);
@@ -248,11 +248,11 @@
         match self.fleet.ended(id)? {
             None => Ok(true),
             Some(status) if status.success() => Ok(false),
-            Some(status) => Err(failed(format!("{id} ended with {status}"))),
+            Some(status) => Err(failed(format!("{id} exited with {status}"))),
         }
     }
 
-    /// Puts a VM on the platform's list as it is given.
+    /// Adds a VM to the platform's list, or replaces it there.
     ///
     /// # Errors
     ///
@@ -262,7 +262,7 @@
         post(self.vms.address(), "/standin/vm", &body).await
     }
 
-    /// Takes a VM off the platform's list.
+    /// Removes a VM from the platform's list.
     ///
     /// # Errors
     ///
@@ -274,7 +274,7 @@
         answer.await.map(drop)
     }
 
-    /// Applies records at an entry as the first operator and gives the revision.
+    /// Applies records at an entry as the first operator and returns the revision.
     ///
     /// # Errors
     ///
@@ -283,7 +283,7 @@
         self.change(entry, documents, &[]).await
     }
 
-    /// Deletes records at an entry as the first operator and gives the revision.
+    /// Deletes records at an entry as the first operator and returns the revision.
     ///
     /// # Errors
     ///
@@ -323,7 +323,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if one does not get there.
+    /// [`Error::Failed`] if that takes too long.
     pub async fn ready(&mut self) -> Result<(), Error> {
         self.wait_for_configuration().await?;
         let first = self.entries[0].address;
@@ -332,14 +332,14 @@
         self.wait_for_links().await
     }
 
-    /// Waits until the first entry reads the configuration.
+    /// Waits until the first entry has read the configuration.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it does not.
+    /// [`Error::Failed`] if that takes too long.
     pub async fn wait_for_configuration(&self) -> Result<(), Error> {
         let first = self.entries[0].address;
-        until("an entry reads the configuration", || async {
+        until("an entry has read the configuration", || async {
             status(first)
                 .await
                 .is_some_and(|status| status["ready"] == true)
@@ -347,11 +347,11 @@
         .await
     }
 
-    /// Waits until every entry has a revision in force.
+    /// Waits until a revision is in force at every entry.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if one does not get there.
+    /// [`Error::Failed`] if that takes too long.
     pub async fn wait_for_revision(&self, revision: u64) -> Result<(), Error> {
         for entry in &self.entries {
             until("a revision is in force", || async {
@@ -363,11 +363,11 @@
         Ok(())
     }
 
-    /// Waits until every entry may give work to every agent.
+    /// Waits until every entry may send work to every agent.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if one does not get there.
+    /// [`Error::Failed`] if that takes too long.
     pub async fn wait_for_links(&self) -> Result<(), Error> {
         for entry in &self.entries {
             for runner in &self.runners {
@@ -377,7 +377,7 @@
         Ok(())
     }
 
-    /// All executions of a service's runners, in no order.
+    /// Returns all executions of a service's runners, in no particular order.
     pub async fn executions(&self, service: &str) -> Vec<Execution> {
         let mut all = Vec::new();
         for runner in &self.runners {
@@ -388,7 +388,7 @@
         all
     }
 
-    /// How often a service ran an input.
+    /// Returns how many times a service executed an input.
     pub async fn runs(&self, service: &str, input: &[u8]) -> usize {
         let hash = standin::answer::input_hash(input);
         let executions = self.executions(service).await;
@@ -414,8 +414,8 @@
         setting::Entry {
             id: id.to_owned(),
             place: place(self.entries.len()),
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform(),
             key: KEY.to_owned(),
             operators: operators.collect(),
@@ -431,7 +431,7 @@
     }
 }
 
-/// Revision of a record in a listing; null if it is not there.
+/// Returns the revision of a record in a listing, or null if it has no such record.
 fn revision(listing: &Value, key: &str) -> Value {
     let records = listing["records"].as_array().into_iter().flatten();
     let mut found = records.filter(|stored| {
--- a/crates/ctl/src/rig/caller.rs
+++ b/crates/ctl/src/rig/caller.rs
@@ -1,4 +1,5 @@
-//! A caller: asks, checks that what comes is its own and whole, and asks again while it may.
+//! A client that sends requests, checks that each answer is complete and its own, and retries where
+//! that is allowed.
 
 use crate::Error;
 use crate::client::{Answer, Client, collect};
@@ -14,34 +15,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Wait before the next try where the entry names none.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Times that a broken stream is asked for again before the request is sent anew.
-const RESUMES: u32 = 6;
-/// Longest wait before the next try.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
+/// Wait before the next attempt if the entry specifies none.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Attempts to resume an interrupted stream before the request is sent anew.
+const MAX_RESUMES: u32 = 6;
+/// Longest wait before the next attempt.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a caller wants.
+/// A request and its options.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Pipeline, one of those in [`record`].
     pub pipeline: &'static str,
-    /// Workspace of the caller.
+    /// Workspace of the client.
     pub workspace: String,
     /// Idempotency key.
     pub key: Option<String>,
     /// Text of the input.
     pub text: String,
-    /// Tokens of the answer, where an engine gives it.
+    /// Number of tokens of the answer, if an engine produces it.
     pub tokens: u32,
-    /// Whether the answer is wanted as a stream.
+    /// Whether the answer is requested as a stream.
     pub stream: bool,
-    /// When the answer is due.
+    /// Time within which the answer is due.
     pub deadline: Duration,
 }
 
 impl ClientRequest {
-    /// A request for a whole answer.
+    /// Creates a request for an answer that is not streamed.
     pub fn new(pipeline: &'static str, text: impl Into<String>) -> Self {
         Self {
             pipeline,
@@ -54,14 +55,14 @@
         }
     }
 
-    /// The same under an idempotency key.
+    /// Sets an idempotency key.
     #[must_use]
     pub fn key(mut self, key: impl Into<String>) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// The same as a stream of so many tokens.
+    /// Requests the answer as a stream of `tokens` tokens.
     #[must_use]
     pub fn streamed(mut self, tokens: u32) -> Self {
         self.stream = true;
@@ -69,14 +70,14 @@
         self
     }
 
-    /// The input as it is sent.
+    /// Returns the request body.
     #[must_use]
     pub fn input(&self) -> Bytes {
         let input = json!({"text": self.text, "max_tokens": self.tokens});
         input.to_string().into()
     }
 
-    /// The only right answer.
+    /// Returns the only correct answer.
     #[must_use]
     pub fn expected(&self) -> String {
         record::expected(self.pipeline, &self.text, self.tokens)
@@ -111,7 +112,7 @@
             .await
     }
 
-    /// Asks one entry once.
+    /// Sends the request once to one entry.
     pub async fn once(&self, entry: SocketAddr) -> ResponseOutcome {
         match self.send(entry).await {
             Ok(response) => self.read(entry, response).await,
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Asks for the answer to a request by its identity, once.
-    pub async fn again(&self, entry: SocketAddr, request: &str) -> ResponseOutcome {
+    /// Requests the answer to an earlier request once, by the id of that request.
+    pub async fn fetch_result(&self, entry: SocketAddr, request: &str) -> ResponseOutcome {
         let path = format!("/v1/requests/{request}");
         let client = Client::plain(entry);
         match client
@@ -132,11 +133,11 @@
         }
     }
 
-    /// Opens the answer as a stream.
+    /// Sends the request and opens the answer as a stream.
     ///
     /// # Errors
     ///
-    /// What the caller is told instead.
+    /// The outcome if no stream is opened.
     pub async fn open(&self, entry: SocketAddr) -> Result<Stream, ResponseOutcome> {
         let response = self
             .send(entry)
@@ -149,29 +150,34 @@
         if is_stream(&response) {
             return match Stream::new(self.clone(), entry, response).await {
                 Ok(stream) => stream.finish().await,
-                Err(told) => told,
+                Err(outcome) => outcome,
             };
         }
         match collect(response).await {
-            Ok(answer) => self.judge(&answer),
+            Ok(answer) => self.check_answer(&answer),
             Err(error) => ResponseOutcome::from_error(&error),
         }
     }
 
-    pub(crate) fn judge(&self, answer: &Answer) -> ResponseOutcome {
+    pub(crate) fn check_answer(&self, answer: &Answer) -> ResponseOutcome {
         if !answer.status.is_success() {
             return ResponseOutcome::Problem(answer.problem());
         }
-        let whole: Value = answer.json().unwrap_or_default();
-        let output = &whole["output"];
+        let answer_json: Value = answer.json().unwrap_or_default();
+        let output = &answer_json["output"];
         let found = match output.as_array() {
             Some(tokens) => join(tokens.iter()),
             None => output["text"].as_str().unwrap_or_default().to_owned(),
         };
-        self.compare(found, &output["serial"], whole["late"] == true)
+        self.check_output(found, &output["serial"], answer_json["late"] == true)
     }
 
-    pub(crate) fn compare(&self, found: String, serial: &Value, late: bool) -> ResponseOutcome {
+    pub(crate) fn check_output(
+        &self,
+        found: String,
+        serial: &Value,
+        late: bool,
+    ) -> ResponseOutcome {
         if found != self.expected() {
             return ResponseOutcome::Wrong(found);
         }
@@ -179,47 +185,52 @@
         ResponseOutcome::Whole { late, serial }
     }
 
-    /// Asks in turn at the entries until there is a final word; see [`ClientRequest::send_until_final_at`].
+    /// Sends the request to the entries in turn until the outcome is final; see
+    /// [`ClientRequest::send_until_final_at`].
     pub async fn send_until_final(
         &self,
         entries: &[SocketAddr],
-        patience: Duration,
+        timeout: Duration,
     ) -> RequestRecord {
         let mut entries = entries.iter().copied().cycle();
-        self.send_until_final_at(|| entries.next(), patience).await
+        self.send_until_final_at(|| entries.next(), timeout).await
     }
 
-    /// Asks at the entries that `next` names until there is a final word, as a patient caller does:
-    /// again after *not run* and where nothing was sent, by the request's identity where a stream
-    /// broke off, and anew after a lost answer if the call may be repeated or bears a key.
+    /// Sends the request to the entries that `next` returns until the outcome is final or `timeout`
+    /// has passed.
+    ///
+    /// The request is sent again after *not run* and if nothing was sent. An interrupted stream is
+    /// resumed by the id of the request. After a lost answer the request is sent anew if the call may
+    /// be repeated or carries an idempotency key.
     pub async fn send_until_final_at(
         &self,
         mut next: impl FnMut() -> Option<SocketAddr>,
-        patience: Duration,
+        timeout: Duration,
     ) -> RequestRecord {
-        let end = Instant::now() + patience;
-        let mut word = RequestRecord::default();
+        let end = Instant::now() + timeout;
+        let mut history = RequestRecord::default();
         while Instant::now() < end
             && let Some(entry) = next()
         {
-            let asked = tokio::time::timeout_at(end, self.attempt(entry, &mut next, &mut word));
-            if asked.await.is_err() {
-                word.outcomes.push(ResponseOutcome::Silent);
+            let attempt =
+                tokio::time::timeout_at(end, self.attempt(entry, &mut next, &mut history));
+            if attempt.await.is_err() {
+                history.outcomes.push(ResponseOutcome::Silent);
             }
-            word.tries += 1;
-            let told = word.last();
-            let over = told.is_some_and(|told| {
-                told.is_final() || (*told == ResponseOutcome::Lost && !self.may_resend())
+            history.attempts += 1;
+            let outcome = history.last();
+            let done = outcome.is_some_and(|outcome| {
+                outcome.is_final() || (*outcome == ResponseOutcome::Lost && !self.may_resend())
             });
-            if over {
+            if done {
                 break;
             }
-            tokio::time::sleep(told.map_or(PAUSE, ResponseOutcome::pause)).await;
+            tokio::time::sleep(outcome.map_or(RETRY_DELAY, ResponseOutcome::retry_delay)).await;
         }
-        word
+        history
     }
 
-    /// A call that may not be repeated is sent again only under its key.
+    /// Whether the request may be sent again: a call that may not be repeated needs an idempotency key.
     fn may_resend(&self) -> bool {
         self.key.is_some() || self.pipeline != record::PRINT
     }
@@ -228,88 +239,89 @@
         &self,
         entry: SocketAddr,
         next: &mut impl FnMut() -> Option<SocketAddr>,
-        word: &mut RequestRecord,
+        history: &mut RequestRecord,
     ) {
         if !self.stream {
-            return word.outcomes.push(self.once(entry).await);
+            return history.outcomes.push(self.once(entry).await);
         }
         let mut stream = match self.open(entry).await {
             Ok(stream) => stream,
-            Err(told) => return word.outcomes.push(told),
+            Err(outcome) => return history.outcomes.push(outcome),
         };
         loop {
-            let told = stream.drive().await;
-            let lost = told == ResponseOutcome::Lost;
-            word.outcomes.push(told);
+            let outcome = stream.read_to_end().await;
+            let lost = outcome == ResponseOutcome::Lost;
+            history.outcomes.push(outcome);
             if !lost {
                 return;
             }
-            word.cut.push(stream.entry);
-            if !resume(&mut stream, next, word).await {
+            history.cut.push(stream.entry);
+            if !resume(&mut stream, next, history).await {
                 return;
             }
         }
     }
 }
 
-/// Asks for the rest of a stream until an entry gives it or says why not.
+/// Requests the rest of a stream until an entry sends it or the outcome is final, and returns whether
+/// the stream was resumed.
 async fn resume(
     stream: &mut Stream,
     next: &mut impl FnMut() -> Option<SocketAddr>,
-    word: &mut RequestRecord,
+    history: &mut RequestRecord,
 ) -> bool {
-    for _ in 0..RESUMES {
+    for _ in 0..MAX_RESUMES {
         let Some(entry) = next() else { break };
         match stream.resume(entry).await {
             Ok(()) => return true,
-            Err(told) => word.outcomes.push(told),
+            Err(outcome) => history.outcomes.push(outcome),
         }
-        if word.last().is_some_and(ResponseOutcome::is_final) {
+        if history.last().is_some_and(ResponseOutcome::is_final) {
             break;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     false
 }
 
-/// What a caller was told, in order.
+/// The outcomes of all attempts of a request, in order.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRecord {
-    /// Every answer.
+    /// The outcome of each response.
     pub outcomes: Vec<ResponseOutcome>,
-    /// Times that it asked.
-    pub tries: u32,
-    /// Entries at which a stream broke off.
+    /// Number of attempts.
+    pub attempts: u32,
+    /// Entries at which a stream was interrupted.
     pub cut: Vec<SocketAddr>,
 }
 
 impl RequestRecord {
-    /// The last answer.
+    /// Returns the last outcome.
     #[must_use]
     pub fn last(&self) -> Option<&ResponseOutcome> {
         self.outcomes.last()
     }
 }
 
-/// What a caller was told once.
+/// How a client's request to an entry ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseOutcome {
-    /// Its own whole answer.
+    /// The complete and correct answer.
     Whole {
-        /// Whether it came after its deadline.
+        /// Whether it arrived after its deadline.
         late: bool,
-        /// Number of the execution at a plain service.
+        /// Serial number of the execution at a plain service.
         serial: Option<u64>,
     },
-    /// An answer that is not its own, or not whole though it says so.
+    /// An answer to another request, or one that is marked complete but is not.
     Wrong(String),
     /// A problem document.
     Problem(Problem),
-    /// No connection; nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreachable,
-    /// The connection broke without an answer, or in the middle of one.
+    /// The connection broke before or during the answer.
     Lost,
-    /// No answer in all the time that the caller had.
+    /// No answer arrived before the client's timeout.
     Silent,
 }
 
@@ -321,7 +333,7 @@
         }
     }
 
-    /// What a problem says about the work.
+    /// Returns what a problem document says about the execution of the request.
     #[must_use]
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
@@ -330,13 +342,13 @@
         }
     }
 
-    /// Whether it is the caller's own whole answer.
+    /// Whether it is the complete and correct answer.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         matches!(self, Self::Whole { .. })
     }
 
-    /// Whether asking again may change it.
+    /// Whether it is final, so that another attempt cannot change it.
     #[must_use]
     pub fn is_final(&self) -> bool {
         match self {
@@ -348,10 +360,10 @@
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn retry_delay(&self) -> Duration {
         match self {
-            Self::Problem(problem) => problem.wait().unwrap_or(PAUSE).min(PAUSE_MOST),
-            _ => PAUSE,
+            Self::Problem(problem) => problem.wait().unwrap_or(RETRY_DELAY).min(MAX_RETRY_DELAY),
+            _ => RETRY_DELAY,
         }
     }
 }
--- a/crates/ctl/src/rig/probe.rs
+++ b/crates/ctl/src/rig/probe.rs
@@ -1,4 +1,4 @@
-//! Calls to the processes and stand-ins of a bench, and waiting for what they show.
+//! Calls to the processes and stand-ins of a test bench, and waits for conditions on their state.
 
 use crate::Error;
 use crate::client::{Answer, Client};
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for a condition.
+/// Longest time that a condition is waited for.
 pub const LIMIT: Duration = Duration::from_secs(30);
-/// Wait between two looks.
+/// Interval between two checks of a condition.
 pub const LOOK: Duration = Duration::from_millis(10);
 
-/// Sets what goes wrong with the calls to a stand-in.
+/// Sets the faults of a stand-in.
 ///
 /// # Errors
 ///
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// Those of the call; a refusal is an answer.
+/// Those of the call. A refused change is returned as an answer.
 pub async fn apply(entry: SocketAddr, token: &str, change: &Value) -> Result<Answer, Error> {
     let bearer = HeaderValue::from_str(&format!("Bearer {token}"));
     let bearer = bearer.map_err(|error| failed(error.to_string()))?;
@@ -37,16 +37,16 @@
     client.call(Method::POST, "/v1/apply", headers, body).await
 }
 
-/// What an entry says of itself, if it can be reached.
+/// Returns an entry's status, if the entry can be reached.
 pub async fn status(entry: SocketAddr) -> Option<Value> {
     get(entry, "/v1/status").await.ok()
 }
 
-/// Waits until an entry has this to say of a target.
+/// Waits until an entry reports this state for a target.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if it does not get there.
+/// [`Error::Failed`] if that takes longer than [`LIMIT`].
 pub async fn target(entry: SocketAddr, id: &str, state: &str) -> Result<(), Error> {
     until(&format!("{id} is {state}"), || async {
         let status = status(entry).await.unwrap_or_default();
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] with its name if it does not.
+/// [`Error::Failed`] with its name if it does not hold within [`LIMIT`].
 pub async fn until<F: Future<Output = bool>>(
     what: &str,
     mut holds: impl FnMut() -> F,
@@ -70,7 +70,7 @@
     let end = Instant::now() + LIMIT;
     while !holds().await {
         if Instant::now() > end {
-            return Err(failed(format!("it does not come about that {what}")));
+            return Err(failed(format!("timed out waiting until {what}")));
         }
         tokio::time::sleep(LOOK).await;
     }
--- a/crates/ctl/src/rig/proxy.rs
+++ b/crates/ctl/src/rig/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that can be cut, frozen and delayed.
+//! A TCP proxy that can cut, freeze and delay its connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes passed on at once at most.
+/// Size of the buffer for forwarded data, in bytes.
 const BUFFER: usize = 16 << 10;
 
-/// What the proxy does with what reaches it.
+/// What the proxy does with the data that it receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Passes everything on after a while.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// Keeps connections open and passes nothing on, as a cut without a reset does.
+    /// Keeps connections open and forwards nothing, as in a network partition without a reset.
     Freeze,
-    /// Keeps connections open and passes on only what callers send.
+    /// Keeps connections open and forwards only what clients send.
     NoAnswers,
-    /// Keeps connections open and passes on only what comes back.
+    /// Keeps connections open and forwards only what the target sends.
     NoCalls,
-    /// Closes all connections, new ones at once.
+    /// Closes all connections, and new ones as soon as they are accepted.
     Cut,
 }
 
-/// A relay to one address; dropping it closes all its connections.
+/// A proxy to one address. Dropping it closes all its connections.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -55,13 +55,13 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the proxy listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does from now on.
+    /// Sets the mode for new and existing connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -75,34 +75,34 @@
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         if *mode.borrow() != Mode::Cut {
-            tokio::spawn(join(near, target, mode.clone()));
+            tokio::spawn(connect(client, target, mode.clone()));
         }
     }
 }
 
-async fn join(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn connect(client: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Held-back small writes would only be slower.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    // Nagle's algorithm would only delay small writes.
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::join!(
-        pump(near_read, far_write, mode.clone(), Mode::NoCalls),
-        pump(far_read, near_write, mode, Mode::NoAnswers),
+        forward(client_read, server_write, mode.clone(), Mode::NoCalls),
+        forward(server_read, client_write, mode, Mode::NoAnswers),
     );
 }
 
-/// Passes one direction on, which `held` holds up; an end of it is passed on too, and the other
-/// direction goes on.
-async fn pump(
+/// Forwards one direction of a connection, except in the mode `blocked`. The end of the stream is
+/// forwarded as well, and leaves the other direction open.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    held: Mode,
+    blocked: Mode,
 ) {
     let mut buffer = vec![0; BUFFER];
     let mut cut = mode.clone();
@@ -113,7 +113,7 @@
         };
         let Ok(count) = read else { return };
         let Ok(now) = mode
-            .wait_for(|mode| *mode != Mode::Freeze && *mode != held)
+            .wait_for(|mode| *mode != Mode::Freeze && *mode != blocked)
             .await
             .map(|now| *now)
         else {
--- a/crates/ctl/src/rig/record.rs
+++ b/crates/ctl/src/rig/record.rs
@@ -1,4 +1,4 @@
-//! Records that the bench applies, and what its runners answer under them.
+//! Records that the test bench applies, and the answers that its pipelines give.
 
 use record::Document;
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
 /// Pool services in the order in which the pipeline of four stages calls them.
 pub const POOLS: [&str; 3] = ["encoder", "retriever", "reranker"];
 
-/// A service with the kind of its runners.
+/// Creates a service record with the kind of its runners.
 #[must_use]
 pub fn service(name: &str, runner: &str, concurrency: u32) -> Document {
     document(json!({
@@ -29,7 +29,7 @@
     }))
 }
 
-/// A pipeline's first version.
+/// Creates the record of a pipeline's first version.
 #[must_use]
 pub fn pipeline(name: &str, stages: &Value) -> Document {
     document(json!({
@@ -38,19 +38,19 @@
     }))
 }
 
-/// A mark that a VM is to get no new work.
+/// Creates a record that drains a VM: it gets no new work.
 #[must_use]
 pub fn drain(vm: &str) -> Document {
     document(json!({"schema": 1, "kind": "drain", "name": vm}))
 }
 
-/// A customer's share.
+/// Creates a workspace record with the workspace's share.
 #[must_use]
 pub fn workspace(name: &str, share: u32) -> Document {
     document(json!({"schema": 1, "kind": "workspace", "name": name, "share": share}))
 }
 
-/// All services and pipelines of the bench.
+/// Creates the records of all services and pipelines of the test bench.
 #[must_use]
 pub fn all(concurrency: u32) -> Vec<Document> {
     let [encoder, retriever, reranker] = POOLS;
@@ -82,7 +82,7 @@
     ]
 }
 
-/// The service of engines with these models, the first of which is loaded at all times.
+/// Creates the record of an engine service with these models. The first one is always loaded.
 #[must_use]
 pub fn model_service(models: &[&str]) -> Document {
     let model = |(number, name): (usize, &&str)| {
@@ -96,7 +96,7 @@
     }))
 }
 
-/// A pipeline of one stage that is answered by the model of the same name.
+/// Creates the record of a pipeline with one stage, which uses the model of the same name.
 #[must_use]
 pub fn model_pipeline(model: &str) -> Document {
     document(json!({
@@ -105,7 +105,7 @@
     }))
 }
 
-/// What a pipeline answers to a text whose runners bear the names of their services.
+/// Returns a pipeline's answer to a text if its runners have the names of their services.
 #[must_use]
 pub fn expected(pipeline: &str, text: &str, tokens: u32) -> String {
     match pipeline {
--- a/crates/ctl/src/rig/runner.rs
+++ b/crates/ctl/src/rig/runner.rs
@@ -1,4 +1,4 @@
-//! A runner of a bench and the agent beside it.
+//! A runner of a test bench and its agent.
 
 use crate::Error;
 use crate::rig::probe::{failed, get};
@@ -10,42 +10,42 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use store::Vm;
 
-/// Region of the bench.
+/// Region of the test bench.
 const REGION: &str = "test";
-/// Its failure domains.
+/// Failure domains of the test bench.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-/// A runner with the agent beside it.
+/// A runner and its agent.
 #[derive(Debug)]
 pub struct Runner {
-    /// The agent's VM as the platform lists it.
+    /// The agent's VM as it stands in the platform's list.
     pub vm: Vm,
-    /// Where the runner serves.
+    /// Address of the runner.
     pub address: SocketAddr,
-    /// Between the entries and the agent, if they do not speak directly.
+    /// Proxy between the entries and the agent, if they do not connect directly.
     pub proxy: Option<Proxy>,
     pub(crate) kind: Kind,
     pub(crate) options: Options,
     pub(crate) settings: setting::Agent,
     pub(crate) server: Option<Server>,
-    /// Executions of earlier lives of the runner.
-    pub(crate) past: Vec<Execution>,
+    /// Executions of earlier incarnations of the runner.
+    pub(crate) earlier_executions: Vec<Execution>,
 }
 
-/// What a runner and its agent are like.
+/// Configuration of a runner and its agent.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Kind of the runner.
     pub kind: Kind,
-    /// Timings of the runner; its name is that of the service.
+    /// Options of the stand-in; their `name` is that of the service.
     pub options: Options,
-    /// Calls given to the runner at once.
+    /// Number of concurrent calls to the runner.
     pub concurrency: u32,
-    /// Whether a relay stands between the entries and the agent.
+    /// Whether there is a proxy between the entries and the agent.
     pub proxy: bool,
 }
 
 impl Plan {
-    /// A runner of a service of [`record`] that takes so many calls at once.
+    /// Creates a plan for a runner of a service of [`record`] with this concurrency.
     #[must_use]
     pub fn new(service: &str, concurrency: u32) -> Self {
         let kind = match service {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The same with this median time for a call, or for a token of an engine, in milliseconds.
+    /// Sets the median time of a call, or of a token of an engine, in milliseconds.
     #[must_use]
     pub fn time(mut self, millis: f64) -> Self {
         self.options.service_ms = millis;
@@ -73,7 +73,7 @@
         self
     }
 
-    /// The same behind a relay.
+    /// Puts a proxy between the entries and the agent.
     #[must_use]
     pub fn behind_proxy(mut self) -> Self {
         self.proxy = true;
@@ -82,9 +82,9 @@
 }
 
 impl Runner {
-    /// Executions in all its lives.
+    /// Returns the executions of all incarnations of the runner.
     pub async fn log(&self) -> Vec<Execution> {
-        let mut all = self.past.clone();
+        let mut all = self.earlier_executions.clone();
         if self.server.is_some()
             && let Ok(page) = get::<Page>(self.address, "/standin/log").await
         {
@@ -93,12 +93,12 @@
         all
     }
 
-    /// Puts a new relay before the agent.
-    pub(crate) async fn interpose(&mut self, agent: SocketAddr) -> Result<(), Error> {
-        let relay = Proxy::start(agent).await;
-        let relay = relay.map_err(|error| failed(error.to_string()))?;
-        self.vm.address = relay.address();
-        self.proxy = Some(relay);
+    /// Starts a new proxy to the agent.
+    pub(crate) async fn insert_proxy(&mut self, agent: SocketAddr) -> Result<(), Error> {
+        let proxy = Proxy::start(agent).await;
+        let proxy = proxy.map_err(|error| failed(error.to_string()))?;
+        self.vm.address = proxy.address();
+        self.proxy = Some(proxy);
         Ok(())
     }
 }
@@ -119,6 +119,6 @@
     }
 }
 
-pub(crate) fn free() -> SocketAddr {
+pub(crate) fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
--- a/crates/ctl/src/rig/stream.rs
+++ b/crates/ctl/src/rig/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer as a caller reads it.
+//! A streamed answer that a client reads.
 
 use crate::client::{Client, collect};
 use crate::event::{Event, Parser};
@@ -15,10 +15,10 @@
 /// A streamed answer that is read event by event.
 #[derive(Debug)]
 pub struct Stream {
-    ask: ClientRequest,
-    /// Identity of the request.
+    client_request: ClientRequest,
+    /// Id of the request.
     pub request: String,
-    /// Entry that it is read from.
+    /// Entry that sends the stream.
     pub entry: SocketAddr,
     body: Incoming,
     parser: Parser,
@@ -28,19 +28,19 @@
 
 impl Stream {
     pub(crate) async fn new(
-        ask: ClientRequest,
+        client_request: ClientRequest,
         entry: SocketAddr,
         response: Response<Incoming>,
     ) -> Result<Self, ResponseOutcome> {
         if !is_stream(&response) {
             let answer = collect(response).await;
             let answer = answer.map_err(|error| ResponseOutcome::from_error(&error))?;
-            return Err(ask.judge(&answer));
+            return Err(client_request.check_answer(&answer));
         }
         let request = response.headers().get("linnetdrift-request");
         let request = request.and_then(|request| request.to_str().ok());
         Ok(Self {
-            ask,
+            client_request,
             entry,
             request: request.unwrap_or_default().to_owned(),
             body: response.into_body(),
@@ -50,36 +50,38 @@
         })
     }
 
-    /// Number of tokens that have arrived.
+    /// Returns the number of tokens received so far.
     #[must_use]
     pub fn len(&self) -> usize {
         self.tokens.len()
     }
 
-    /// Whether no token has arrived yet.
+    /// Whether no token has been received yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.tokens.is_empty()
     }
 
-    /// Reads the next token, or what the stream ended with.
+    /// Reads the next token.
     ///
     /// # Errors
     ///
-    /// What the caller is told at the end.
+    /// The outcome if the stream ended instead.
     pub async fn token(&mut self) -> Result<(), ResponseOutcome> {
         let event = self.event().await?;
         let data: Value = serde_json::from_str(&event.data).unwrap_or_default();
         match event.name.as_str() {
             "done" => {
                 let found = std::mem::take(&mut self.tokens).join(" ");
-                Err(self.ask.compare(found, &Value::Null, data["late"] == true))
+                Err(self
+                    .client_request
+                    .check_output(found, &Value::Null, data["late"] == true))
             }
             "problem" => Err(ResponseOutcome::Problem(
                 serde_json::from_value(data).unwrap_or_default(),
             )),
             _ if event.id != self.tokens.len().to_string() => Err(ResponseOutcome::Wrong(format!(
-                "event {} where {} was due",
+                "received event {} where {} was expected",
                 event.id,
                 self.tokens.len()
             ))),
@@ -90,11 +92,11 @@
         }
     }
 
-    /// Reads until so many tokens have arrived.
+    /// Reads until the total number of received tokens is `tokens`.
     ///
     /// # Errors
     ///
-    /// What the caller is told at an earlier end.
+    /// The outcome if the stream ended earlier.
     pub async fn read(&mut self, tokens: usize) -> Result<(), ResponseOutcome> {
         while self.len() < tokens {
             self.token().await?;
@@ -102,35 +104,35 @@
         Ok(())
     }
 
-    /// Reads to the end.
+    /// Reads the stream to its end.
     pub async fn finish(mut self) -> ResponseOutcome {
-        self.drive().await
+        self.read_to_end().await
     }
 
-    /// Reads to the end, or to where it breaks off.
-    pub async fn drive(&mut self) -> ResponseOutcome {
+    /// Reads the stream to its end or until it is interrupted.
+    pub async fn read_to_end(&mut self) -> ResponseOutcome {
         loop {
-            if let Err(told) = self.token().await {
-                return told;
+            if let Err(outcome) = self.token().await {
+                return outcome;
             }
         }
     }
 
-    /// Gives the connection up and goes on at an entry behind the last token that arrived.
+    /// Closes the connection and resumes at an entry after the last token received.
     ///
     /// # Errors
     ///
-    /// What the caller is told instead.
+    /// The outcome if the stream is not resumed.
     pub async fn resume(&mut self, entry: SocketAddr) -> Result<(), ResponseOutcome> {
         let path = format!("/v1/requests/{}", self.request);
-        let mut headers = self.ask.headers();
+        let mut headers = self.client_request.headers();
         if let Some(last) = self.tokens.len().checked_sub(1) {
             headers.insert("last-event-id", HeaderValue::from(last));
         }
         let client = Client::plain(entry);
         let response = client.send(Method::GET, &path, headers, Bytes::new()).await;
         let response = response.map_err(|error| ResponseOutcome::from_error(&error))?;
-        let resumed = Self::new(self.ask.clone(), entry, response).await?;
+        let resumed = Self::new(self.client_request.clone(), entry, response).await?;
         let tokens = std::mem::take(&mut self.tokens);
         *self = Self { tokens, ..resumed };
         Ok(())
@@ -150,13 +152,13 @@
     }
 }
 
-/// Whether an answer comes as a stream.
+/// Whether a response is a stream.
 pub(crate) fn is_stream(response: &Response<Incoming>) -> bool {
     let kind = response.headers().get("content-type");
     kind.is_some_and(|kind| kind == "text/event-stream")
 }
 
-/// Text of one token.
+/// Returns the text of a token.
 pub(crate) fn token(data: &Value) -> String {
     data["token"].as_str().unwrap_or_default().to_owned()
 }
