--- a/crates/ctl/src/experiment/deployment.rs
+++ b/crates/ctl/src/experiment/deployment.rs
@@ -5,52 +5,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tokens of each streamed answer.
+/// Number of tokens of each streamed answer.
 const TOKENS: u32 = 16;
-/// Sequences that an engine batches.
+/// Maximum sequences in an engine's batch.
 const BATCH: usize = 8;
-/// Time of an engine's step with one sequence, in milliseconds.
+/// Duration of an engine's step with one sequence, in milliseconds.
 const STEP_MS: f64 = 10.0;
-/// Growth of the step with each further sequence.
+/// Relative growth of the step's duration with each further sequence.
 const STEP_GROWTH: f64 = 0.1;
-/// Load in scenarios without a burst, as a share of the capacity.
+/// Load without a burst, as a fraction of the capacity.
 const USUAL_LOAD: f64 = 0.6;
 
-/// A pool of runners.
+/// A service with its pool of runners.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
     /// Name in the records.
     pub name: &'static str,
-    /// Stage that it runs, and operation of its stand-ins.
+    /// Name of the stage that it runs, and of the operation of its stand-ins.
     pub stage: &'static str,
     /// Kind of its runners.
     pub kind: Kind,
     /// Number of runners.
     pub runners: usize,
-    /// Calls given to one runner at once.
+    /// Number of concurrent calls to one runner.
     pub concurrency: u32,
-    /// Median time at work for one call in milliseconds; engines go by their steps.
+    /// Median service time of a call in milliseconds. The time of an engine depends on its steps.
     pub service_ms: f64,
 }
 
-/// Requests to one pipeline.
+/// The requests to one pipeline.
 #[derive(Clone, Copy, Debug)]
 pub struct Flow {
     /// Name of the pipeline.
     pub pipeline: &'static str,
     /// Operations of its stages.
     pub operations: &'static [&'static str],
-    /// Whether it ends in a stream.
+    /// Whether the answers are streamed.
     pub stream: bool,
-    /// Whether its calls may run at most once.
+    /// Whether the calls may run at most once.
     pub once: bool,
     /// Deadline in milliseconds.
     pub deadline_ms: u64,
-    /// Requests a second; `None` for the usual share of what the engines can do.
+    /// Requests per second; `None` for the usual fraction of the engines' capacity.
     pub rate: Option<f64>,
 }
 
-/// One deployment.
+/// A deployment and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// Name of its directory in `examples/`.
@@ -59,11 +59,11 @@
     pub region: &'static str,
     /// Failure domains.
     pub domains: &'static [&'static str],
-    /// Pools.
+    /// Services.
     pub services: &'static [Service],
     /// Requests.
     pub flows: &'static [Flow],
-    /// Workspaces with their shares in percent.
+    /// Workspaces with their shares of the requests, in percent.
     pub workspaces: &'static [(&'static str, f64)],
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// Both deployments. The load-reporting services are left out: they share nothing with the rest.
+/// Both deployments, without the load-reporting services, which share nothing with the others.
 pub const DEPLOYMENTS: [Deployment; 2] = [
     Deployment {
         name: "harness",
@@ -182,7 +182,7 @@
 ];
 
 impl Service {
-    /// Options of its stand-ins.
+    /// Returns the options of its stand-ins.
     #[must_use]
     pub fn options(&self, seed: u64) -> Options {
         Options {
@@ -207,7 +207,7 @@
 }
 
 impl Deployment {
-    /// The pool of engines.
+    /// Returns the service of the engines.
     #[must_use]
     pub fn engines(&self) -> &Service {
         let mut services = self.services.iter();
@@ -215,7 +215,7 @@
         engines.unwrap_or(&self.services[0])
     }
 
-    /// Streamed requests a second that the engines can answer, with all batches full.
+    /// Returns the streamed requests per second that the engines can answer with full batches.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let step_ms = STEP_MS * (1.0 + STEP_GROWTH * (BATCH - 1) as f64);
@@ -223,13 +223,13 @@
         self.engines().runners as f64 * BATCH as f64 * 1_000.0 / answer_ms
     }
 
-    /// Requests of all workspaces over `span`; `crowd` is the part of it in which one workspace
-    /// brings so much that all streamed requests are twice the capacity.
+    /// Returns the requests of all workspaces over `span`. During `burst`, one workspace sends so many
+    /// requests that the total of streamed requests is twice the capacity.
     #[must_use]
     pub fn sources(
         &self,
         span: Duration,
-        crowd: Option<&std::ops::Range<Duration>>,
+        burst: Option<&std::ops::Range<Duration>>,
         prefixes: u32,
     ) -> Vec<Source> {
         let flows = self.flows.iter();
@@ -237,10 +237,10 @@
             .flat_map(|flow| {
                 let work = Arc::new(self.work(flow, prefixes));
                 let workspaces = self.workspaces.iter().enumerate();
-                workspaces.map(move |(place, (name, share))| Source {
+                workspaces.map(move |(index, (name, share))| Source {
                     work: work.clone(),
                     workspace: (*name).into(),
-                    phases: self.phases(flow, place, share / 100.0, span, crowd),
+                    phases: self.phases(flow, index, share / 100.0, span, burst),
                 })
             })
             .collect()
@@ -261,26 +261,26 @@
     fn phases(
         &self,
         flow: &Flow,
-        place: usize,
+        index: usize,
         share: f64,
         span: Duration,
-        crowd: Option<&std::ops::Range<Duration>>,
+        burst: Option<&std::ops::Range<Duration>>,
     ) -> Vec<(std::ops::Range<Duration>, f64)> {
         let usual = flow.rate.unwrap_or(self.capacity() * USUAL_LOAD);
-        let own = usual * share;
-        match crowd {
-            Some(crowd) if place == CROWD && flow.stream => {
-                let burst = 2.0 * self.capacity() - (usual - own);
+        let rate = usual * share;
+        match burst {
+            Some(burst) if index == BURST_WORKSPACE && flow.stream => {
+                let burst_rate = 2.0 * self.capacity() - (usual - rate);
                 vec![
-                    (Duration::ZERO..crowd.start, own),
-                    (crowd.clone(), burst),
-                    (crowd.end..span, own),
+                    (Duration::ZERO..burst.start, rate),
+                    (burst.clone(), burst_rate),
+                    (burst.end..span, rate),
                 ]
             }
-            _ => vec![(Duration::ZERO..span, own)],
+            _ => vec![(Duration::ZERO..span, rate)],
         }
     }
 }
 
-/// Place of the workspace that the crowd comes from.
-const CROWD: usize = 2;
+/// Index of the workspace that sends the burst.
+const BURST_WORKSPACE: usize = 2;
--- a/crates/ctl/src/experiment/ground.rs
+++ b/crates/ctl/src/experiment/execution.rs
@@ -1,4 +1,4 @@
-//! What the runners say that they ran.
+//! The executions that the runners have logged.
 
 use super::system::System;
 use crate::Error;
@@ -8,32 +8,32 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Executions of a run, by service.
+/// Statistics of the executions of a run.
 #[derive(Debug, Default)]
-pub struct Ground {
-    /// Runs of each input of calls that may run at most once.
+pub struct ExecutionStats {
+    /// Executions of each input of the calls that may run at most once, by stage and hash of the input.
     once: HashMap<(&'static str, String), u64>,
-    /// Work for each stage since the counted part began, in microseconds.
+    /// Busy time of each stage since the end of the warm-up, in microseconds.
     busy_us: BTreeMap<&'static str, u64>,
-    /// Executions for each stage since then that brought no answer.
+    /// Executions without an answer since the end of the warm-up, by stage.
     wasted: BTreeMap<&'static str, u64>,
-    /// Executions of each runner since then.
+    /// Executions of each runner since the end of the warm-up.
     runs: BTreeMap<String, u64>,
     prefix: Prefix,
     since_us: u64,
 }
 
-/// Prefix blocks of the calls that engines ran.
+/// Prefix blocks of the calls that engines executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Prefix {
-    /// All of them.
+    /// All prefix blocks.
     pub blocks: usize,
-    /// Those that were in the cache.
+    /// Prefix blocks that were in the cache.
     pub hits: usize,
 }
 
-impl Ground {
-    /// Counts the work of executions that start after `warm_up` from now.
+impl ExecutionStats {
+    /// Creates statistics that count the work of executions started at least `warm_up` from now.
     #[must_use]
     pub fn new(warm_up: Duration) -> Self {
         let since = SystemTime::now() + warm_up;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in the log of one runner.
+    /// Adds the log of one runner.
     ///
     /// # Errors
     ///
@@ -70,13 +70,13 @@
         Ok(())
     }
 
-    /// Calls that ran more often than the once that they may.
+    /// Returns the number of executions beyond the first of calls that may run at most once.
     #[must_use]
     pub fn doubled(&self) -> u64 {
         self.once.values().map(|runs| runs - 1).sum()
     }
 
-    /// Runners' busy milliseconds for each request answered, by stage.
+    /// Returns the busy time of the runners per answered request in milliseconds, by stage.
     #[must_use]
     pub fn cost(&self, answered: impl Fn(&str) -> Counts) -> BTreeMap<String, f64> {
         let cost = self.busy_us.iter().map(|(stage, busy_us)| {
@@ -90,7 +90,7 @@
         cost.collect()
     }
 
-    /// Executions that brought no answer, by stage.
+    /// Returns the executions without an answer, by stage.
     #[must_use]
     pub fn wasted(&self) -> BTreeMap<String, u64> {
         let wasted = self.wasted.iter();
@@ -99,13 +99,13 @@
             .collect()
     }
 
-    /// Prefix blocks and those that were in the caches.
+    /// Returns the numbers of prefix blocks and of cache hits.
     #[must_use]
     pub fn prefix(&self) -> Prefix {
         self.prefix
     }
 
-    /// Executions of each runner.
+    /// Returns the executions of each runner.
     #[must_use]
     pub fn runs(&self) -> &BTreeMap<String, u64> {
         &self.runs
--- a/crates/ctl/src/experiment/fault.rs
+++ b/crates/ctl/src/experiment/fault.rs
@@ -1,65 +1,65 @@
-//! Carries out what goes wrong.
+//! Injects faults into a deployment.
 
-use super::ground::Ground;
+use super::execution::ExecutionStats;
 use super::system::System;
 use crate::Error;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Something that happens to a deployment.
+/// A fault of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
-    /// A runner works slower by this factor; 1 makes it well.
+pub enum Fault {
+    /// Slows a runner down by a factor; 1 restores its speed.
     Slow {
         /// Service of the runner.
         service: &'static str,
-        /// Its place among the service's runners.
-        place: usize,
-        /// The factor.
+        /// Its index among the service's runners.
+        index: usize,
+        /// Factor by which it is slower.
         factor: f64,
     },
-    /// A runner dies.
+    /// Kills a runner.
     Kill {
         /// Service of the runner.
         service: &'static str,
-        /// Its place among the service's runners.
-        place: usize,
+        /// Its index among the service's runners.
+        index: usize,
     },
-    /// All runners and agents of a failure domain die.
+    /// Kills all runners and agents of a failure domain.
     KillDomain {
         /// The failure domain.
         domain: &'static str,
     },
-    /// The table service is away from now on.
+    /// Makes the table service unavailable for the rest of the run.
     StoreDown,
 }
 
-/// Something that happens at a moment.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Event {
-    /// When, from the start of the run.
+pub struct FaultEvent {
+    /// Time of the fault, from the start of the run.
     pub at: Duration,
-    /// What happens.
-    pub change: Change,
+    /// The fault.
+    pub fault: Fault,
 }
 
-/// Carries out events at their times; logs of runners that die are taken before.
+/// Injects faults at their times and collects the log of each runner before it is killed.
 ///
 /// # Errors
 ///
-/// [`Error`] if a stand-in cannot be reached or a process cannot be ended.
+/// [`Error`] if a stand-in cannot be reached or a process cannot be killed.
 pub async fn run(
     system: &mut System,
-    ground: &mut Ground,
-    events: &[Event],
+    executions: &mut ExecutionStats,
+    events: &[FaultEvent],
     start: Instant,
 ) -> Result<(), Error> {
     for event in events {
         tokio::time::sleep_until(start + event.at).await;
-        match event.change {
-            Change::Slow {
+        match event.fault {
+            Fault::Slow {
                 service,
-                place,
+                index,
                 factor,
             } => {
                 let faults = standin::Faults {
@@ -67,30 +67,35 @@
                     ..standin::Faults::default()
                 };
                 system
-                    .set_faults(system.runner(service, place), &faults)
+                    .set_faults(system.runner(service, index), &faults)
                     .await?;
             }
-            Change::Kill { service, place } => {
-                let number = system.runner(service, place);
-                kill(system, ground, number).await?;
+            Fault::Kill { service, index } => {
+                let number = system.runner(service, index);
+                kill(system, executions, number).await?;
             }
-            Change::KillDomain { domain } => {
-                for number in system.in_domain(domain) {
-                    kill(system, ground, number).await?;
+            Fault::KillDomain { domain } => {
+                for number in system.runners_in_domain(domain) {
+                    kill(system, executions, number).await?;
                     system.kill_agent(number)?;
                 }
             }
-            Change::StoreDown => system.store_down().await?,
+            Fault::StoreDown => system.fail_table_service().await?,
         }
     }
     Ok(())
 }
 
-/// The log of what a runner ran dies with it, and its cost would be missing from the sum.
-async fn kill(system: &mut System, ground: &mut Ground, number: usize) -> Result<(), Error> {
-    if system.is_dead(number) {
+/// Collects the log of a runner and kills it. The log is lost with the runner, and its cost would be
+/// missing from the total.
+async fn kill(
+    system: &mut System,
+    executions: &mut ExecutionStats,
+    number: usize,
+) -> Result<(), Error> {
+    if system.is_killed(number) {
         return Ok(());
     }
-    ground.collect(system, number).await?;
+    executions.collect(system, number).await?;
     system.kill_runner(number)
 }
--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -1,21 +1,21 @@
-//! `experiment`: the naive and the shipped decisions, side by side, under load and faults.
+//! `experiment`: compares the naive and the shipped policy under load and faults.
 //!
 //! Each arm starts both deployments of `examples/` as separate processes on this machine, one after
-//! the other, and sends them the same requests at the same times.
+//! the other, and sends each the same requests at the same times.
 //!
-//! * [`scenario`]: what is sent, and what goes wrong when
+//! * [`scenario`]: which requests are sent, and which faults occur when
 //! * [`deployment`]: services, runners and requests of the two deployments
 //! * [`system`]: the processes of one deployment
-//! * `settings`: what they are set to
-//! * [`fault`]: carries out what goes wrong
-//! * [`arm`]: one deployment under one policy, from its start to its figures
-//! * [`ground`]: what the runners say that they ran
-//! * [`outcome`]: the figures
+//! * `settings`: their settings
+//! * [`fault`]: injects faults
+//! * [`arm`]: runs one deployment under one policy and collects its results
+//! * [`execution`]: the executions that the runners have logged
+//! * [`outcome`]: the results
 
 pub mod arm;
 pub mod deployment;
+pub mod execution;
 pub mod fault;
-pub mod ground;
 pub mod outcome;
 pub mod scenario;
 mod settings;
@@ -31,10 +31,10 @@
 use setting::Policy;
 use std::path::PathBuf;
 
-/// Arms of every experiment and their names.
+/// Arms of every experiment, with their names and policies.
 const ARMS: [(&str, Policy); 2] = [("naive", Policy::Naive), ("shipped", Policy::Shipped)];
 
-/// Runs one scenario under both policies and prints one JSON object.
+/// Runs one scenario under both policies and prints the results as one JSON object.
 #[derive(Debug)]
 pub struct Experiment {
     scenario: Scenario,
@@ -51,7 +51,7 @@
     };
 
     fn declare(options: &mut Options) {
-        options.optopt("", "seed", "seed of all draws (1)", "N");
+        options.optopt("", "seed", "seed of all random draws (1)", "N");
         options.optopt(
             "",
             "examples",
@@ -75,7 +75,9 @@
         if let Some(name) = &only
             && !DEPLOYMENTS.iter().any(|one| one.name == name)
         {
-            return Err(Error::usage(format!("--deployment `{name}`: no such one")));
+            return Err(Error::usage(format!(
+                "--deployment `{name}`: there is no such deployment"
+            )));
         }
         Ok(Self {
             scenario,
@@ -88,12 +90,12 @@
         })
     }
 
-    /// A run that is broken off ends its processes first; they would go on unseen otherwise.
+    /// Ends the child processes when it is interrupted by a signal, since they would go on otherwise.
     async fn run(self, _common: &Common) -> Result<(), Error> {
         tokio::select! {
             result = self.arms() => result,
             () = signal::stop() => Err(Error::Failed {
-                reason: "broken off by a signal".to_owned(),
+                reason: "interrupted by a signal".to_owned(),
             }),
         }
     }
--- a/crates/ctl/src/experiment/outcome.rs
+++ b/crates/ctl/src/experiment/outcome.rs
@@ -1,47 +1,47 @@
-//! The figures of an experiment, as they are printed.
+//! The results of an experiment, as they are printed.
 
 use super::deployment::Deployment;
-use super::ground::{Ground, Prefix};
+use super::execution::{ExecutionStats, Prefix};
 use crate::load::tally::{Counts, Quantiles, Second, Tally};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an experiment has come to.
+/// The results of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// Name of the scenario.
     pub scenario: String,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// One for each policy.
+    /// Results of each policy.
     pub arms: Vec<ArmOutcome>,
 }
 
-/// What one policy has come to over all deployments.
+/// The results of one policy, over all deployments.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArmOutcome {
     /// `naive` or `shipped`.
     pub name: String,
-    /// What became of the requests.
+    /// Numbers of requests by outcome.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Runs beyond the first of calls that may run at most once.
+    /// Executions beyond the first of calls that may run at most once.
     pub doubled: u64,
-    /// Runners' busy milliseconds for each request answered, by deployment and stage.
+    /// Busy time of the runners per answered request in milliseconds, by deployment and stage.
     pub cost_by_stage: BTreeMap<String, f64>,
-    /// Executions that brought no answer, by deployment and stage.
+    /// Executions without an answer, by deployment and stage.
     pub wasted_by_stage: BTreeMap<String, u64>,
-    /// From the intended time to the whole answer.
+    /// From the scheduled time to the complete answer.
     pub latency_ms: Quantiles,
-    /// From the intended time to the first token.
+    /// From the scheduled time to the first token.
     pub ttft_ms: Quantiles,
-    /// Between tokens.
+    /// Between two tokens.
     pub itl_ms: Quantiles,
-    /// By workspace.
+    /// Counts by workspace.
     pub by_workspace: BTreeMap<String, Counts>,
-    /// By pipeline.
+    /// Counts by pipeline.
     pub by_pipeline: BTreeMap<String, Counts>,
-    /// By second since the start.
+    /// Counts by second since the start.
     #[serde(default)]
     pub by_second: Vec<Second>,
     /// Longest backlogs of the engines, by deployment.
@@ -53,18 +53,18 @@
     pub runs: BTreeMap<String, u64>,
 }
 
-/// Longest backlogs that the engines of a deployment had.
+/// Longest backlogs of the engines of a deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Backlog {
-    /// Of the engine with the longest.
+    /// Maximum over the engines.
     pub most: u32,
-    /// Of the middle one.
+    /// Median over the engines.
     pub median: u32,
 }
 
-/// What one policy has come to in one deployment.
+/// The results of one policy in one deployment.
 #[derive(Debug)]
-pub struct Part {
+pub struct DeploymentOutcome {
     name: &'static str,
     tally: Tally,
     doubled: u64,
@@ -75,10 +75,15 @@
     prefix: Prefix,
 }
 
-impl Part {
-    /// The figures of one deployment; `peaks` are the longest backlogs of its engines.
+impl DeploymentOutcome {
+    /// Creates the results of one deployment; `peaks` are the longest backlogs of its engines.
     #[must_use]
-    pub fn new(deployment: &Deployment, tally: Tally, ground: &Ground, peaks: Vec<u32>) -> Self {
+    pub fn new(
+        deployment: &Deployment,
+        tally: Tally,
+        executions: &ExecutionStats,
+        peaks: Vec<u32>,
+    ) -> Self {
         let summary = tally.summary();
         let answered = |stage: &str| {
             let mut flows = deployment.flows.iter();
@@ -88,12 +93,12 @@
         };
         Self {
             name: deployment.name,
-            doubled: ground.doubled(),
-            cost: ground.cost(answered),
-            wasted: ground.wasted(),
-            runs: ground.runs().clone(),
+            doubled: executions.doubled(),
+            cost: executions.cost(answered),
+            wasted: executions.wasted(),
+            runs: executions.runs().clone(),
             backlog: backlog(peaks),
-            prefix: ground.prefix(),
+            prefix: executions.prefix(),
             tally,
         }
     }
@@ -108,9 +113,9 @@
 }
 
 impl ArmOutcome {
-    /// Puts the deployments' figures together.
+    /// Combines the results of the deployments.
     #[must_use]
-    pub fn new(name: &str, parts: Vec<Part>) -> Self {
+    pub fn new(name: &str, parts: Vec<DeploymentOutcome>) -> Self {
         let mut tally = Tally::default();
         let mut arm = Self {
             name: name.to_owned(),
@@ -118,7 +123,7 @@
         };
         for part in parts {
             tally.merge(&part.tally);
-            arm.take_in(part);
+            arm.add_deployment(part);
         }
         let summary = tally.summary();
         Self {
@@ -133,8 +138,8 @@
         }
     }
 
-    /// Adds what the runners of one deployment say, under the deployment's name.
-    fn take_in(&mut self, part: Part) {
+    /// Adds the figures from the runners of one deployment, under the deployment's name.
+    fn add_deployment(&mut self, part: DeploymentOutcome) {
         let path = |key: String| format!("{}/{key}", part.name);
         let cost = part.cost.into_iter().map(|(key, cost)| (path(key), cost));
         let wasted = part.wasted.into_iter().map(|(key, runs)| (path(key), runs));
--- a/crates/ctl/src/experiment/scenario.rs
+++ b/crates/ctl/src/experiment/scenario.rs
@@ -1,7 +1,7 @@
-//! What is sent, and what goes wrong when.
+//! Scenarios: which requests are sent, and which faults occur when.
 
 use super::deployment::Deployment;
-use super::fault::{Change, Event};
+use super::fault::{Fault, FaultEvent};
 use crate::load::arrival::Source;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -11,23 +11,23 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Time in which the arms learn and nothing is counted.
+/// Time for the policies to adapt, in which nothing is counted.
 pub const WARM_UP: Duration = Duration::from_secs(3);
 /// Time from the start of a run to its last request.
 pub const SPAN: Duration = Duration::from_secs(15);
-/// Start of what goes wrong.
-const TROUBLE: Duration = Duration::from_secs(5);
-/// End of what goes wrong.
-const RELIEF: Duration = Duration::from_secs(11);
-/// When the failure domain is lost, after the first runners.
-const DOMAIN_LOST: Duration = Duration::from_secs(9);
+/// When faults and bursts start.
+const FAULT_START: Duration = Duration::from_secs(5);
+/// When faults and bursts end.
+const FAULT_END: Duration = Duration::from_secs(11);
+/// When the failure domain is lost, which is after the first runners.
+const DOMAIN_LOSS_TIME: Duration = Duration::from_secs(9);
 /// Age of load reports and cache events in the stale scenario, in milliseconds.
 const STALE_MS: f64 = 2_000.0;
-/// Long prefixes that requests share in the prefix scenario.
+/// Number of long prefixes that requests share in the prefix scenario.
 const PREFIXES: u32 = 12;
-/// Blocks that an engine's cache holds in the prefix scenario, about four of the prefixes.
+/// Capacity of an engine's cache in blocks in the prefix scenario, enough for about four prefixes.
 const CACHE_BLOCKS: usize = 64;
-/// Time for each block that is not in the cache in the prefix scenario, in milliseconds.
+/// Time to compute a block that is not in the cache in the prefix scenario, in milliseconds.
 const PREFILL_MS: f64 = 2.0;
 /// Failure domain that is lost.
 const LOST_DOMAIN: &str = "b";
@@ -35,23 +35,23 @@
 /// A scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing goes wrong.
+    /// Steady load without faults.
     Steady,
-    /// One workspace brings ten times its share and more; twice the capacity in all.
+    /// One workspace sends more than ten times its share, which makes twice the capacity in total.
     Flash,
-    /// One engine is ten times slower for a while.
+    /// One engine is temporarily ten times slower.
     Straggler,
-    /// A fifth of the engines die, then a failure domain.
+    /// A fifth of the engines crash, and then a whole failure domain.
     Failstop,
-    /// Load reports are two seconds late and a third of the cache events is lost.
+    /// Load reports are two seconds late, and a third of the cache events are lost.
     Stale,
-    /// Few long prefixes are shared, and the caches are too small for all.
+    /// Requests share a few long prefixes, and the caches are too small for all of them.
     Prefix,
-    /// As flash, with callers who come back after every refusal.
+    /// As flash, with callers that retry after every refusal.
     Retrystorm,
-    /// The table service is away all the time.
+    /// The table service is unavailable all the time.
     Storedown,
-    /// Two of the others, drawn from the seed.
+    /// Two of the other scenarios, drawn from the seed.
     Mixed,
 }
 
@@ -68,7 +68,7 @@
     (Scenario::Mixed, "mixed"),
 ];
 
-/// Scenarios that two of which make a mixed one.
+/// Scenarios from which a mixed one draws two.
 const MIXABLE: [Scenario; 6] = [
     Scenario::Flash,
     Scenario::Straggler,
@@ -78,18 +78,18 @@
     Scenario::Storedown,
 ];
 
-/// A scenario worked out for one deployment.
+/// A scenario applied to one deployment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Requests.
+    /// The requests to send.
     pub sources: Vec<Source>,
-    /// Whether callers come back after a refusal.
-    pub returns: bool,
-    /// What goes wrong, in order of time.
-    pub events: Vec<Event>,
-    /// Whether reports and cache events are stale.
+    /// Whether callers retry after a refusal.
+    pub retries: bool,
+    /// Faults, in order of time.
+    pub events: Vec<FaultEvent>,
+    /// Whether load reports are late and cache events are lost.
     stale: bool,
-    /// Whether caches are small and misses costly.
+    /// Whether caches are small and cache misses are expensive.
     small_caches: bool,
 }
 
@@ -113,22 +113,22 @@
 }
 
 impl Scenario {
-    /// What happens to a deployment in this scenario.
+    /// Returns the requests and faults of a deployment in this scenario.
     #[must_use]
     pub fn plan(self, deployment: &Deployment, seed: u64) -> Plan {
         let parts = self.parts(seed);
         let has = |scenario| parts.contains(&scenario);
-        let crowd = TROUBLE..RELIEF;
-        let crowded = has(Scenario::Flash) || has(Scenario::Retrystorm);
+        let burst = FAULT_START..FAULT_END;
+        let has_burst = has(Scenario::Flash) || has(Scenario::Retrystorm);
         let prefixes = if has(Scenario::Prefix) { PREFIXES } else { 0 };
-        let mut events: Vec<Event> = parts
+        let mut events: Vec<FaultEvent> = parts
             .iter()
             .flat_map(|part| part.events(deployment, seed))
             .collect();
         events.sort_by_key(|event| event.at);
         Plan {
-            sources: deployment.sources(SPAN, crowded.then_some(&crowd), prefixes),
-            returns: has(Scenario::Retrystorm),
+            sources: deployment.sources(SPAN, has_burst.then_some(&burst), prefixes),
+            retries: has(Scenario::Retrystorm),
             events,
             stale: has(Scenario::Stale),
             small_caches: has(Scenario::Prefix),
@@ -143,40 +143,40 @@
         MIXABLE.choose_multiple(&mut rng, 2).copied().collect()
     }
 
-    fn events(self, deployment: &Deployment, seed: u64) -> Vec<Event> {
+    fn events(self, deployment: &Deployment, seed: u64) -> Vec<FaultEvent> {
         let engines = deployment.engines();
         let mut rng = SmallRng::seed_from_u64(seed);
-        let at = |at, change| Event { at, change };
+        let at = |at, fault| FaultEvent { at, fault };
         match self {
             Scenario::Straggler => {
-                let place = rng.random_range(0..engines.runners);
-                let slow = |factor| Change::Slow {
+                let index = rng.random_range(0..engines.runners);
+                let slow = |factor| Fault::Slow {
                     service: engines.name,
-                    place,
+                    index,
                     factor,
                 };
-                vec![at(TROUBLE, slow(10.0)), at(RELIEF, slow(1.0))]
+                vec![at(FAULT_START, slow(10.0)), at(FAULT_END, slow(1.0))]
             }
             Scenario::Failstop => {
                 let fifth = engines.runners.div_ceil(5);
-                let kills = (0..fifth).map(|place| Change::Kill {
+                let kills = (0..fifth).map(|index| Fault::Kill {
                     service: engines.name,
-                    place,
+                    index,
                 });
-                let domain = Change::KillDomain {
+                let domain = Fault::KillDomain {
                     domain: LOST_DOMAIN,
                 };
-                let kills = kills.map(|kill| at(TROUBLE, kill));
-                kills.chain([at(DOMAIN_LOST, domain)]).collect()
+                let kills = kills.map(|kill| at(FAULT_START, kill));
+                kills.chain([at(DOMAIN_LOSS_TIME, domain)]).collect()
             }
-            Scenario::Storedown => vec![at(Duration::ZERO, Change::StoreDown)],
+            Scenario::Storedown => vec![at(Duration::ZERO, Fault::StoreDown)],
             _ => Vec::new(),
         }
     }
 }
 
 impl Plan {
-    /// Options of a runner under this plan.
+    /// Returns the options of a runner under this plan.
     #[must_use]
     pub fn options(&self, options: Options) -> Options {
         let mut options = options;
--- a/crates/ctl/src/experiment/settings.rs
+++ b/crates/ctl/src/experiment/settings.rs
@@ -8,12 +8,12 @@
 use standin::{Kind, Options};
 use std::net::SocketAddr;
 
-/// How often entries read the list of VMs and the change log, in milliseconds.
+/// Interval at which entries read the list of VMs and the change log, in milliseconds.
 const POLL_MS: u64 = 500;
-/// Calls that wait for a runner.
+/// Maximum calls that wait for a runner.
 const QUEUE: u32 = 32;
 
-/// What all processes of a deployment share.
+/// Settings that all processes of a deployment share.
 #[derive(Debug)]
 pub(super) struct Shared {
     region: &'static str,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Settings of an entry.
+    /// Returns the settings of an entry.
     pub(super) fn entry(&self, id: &str, domain: &str) -> setting::Entry {
         setting::Entry {
             id: id.to_owned(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Settings of an agent.
+    /// Returns the settings of an agent.
     pub(super) fn agent(
         &self,
         id: &str,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Starts the platform's stand-ins and draws the secrets.
+/// Starts the platform's stand-ins and generates the secrets.
 pub(super) fn start(
     fleet: &mut Fleet,
     deployment: &Deployment,
--- a/crates/ctl/src/experiment/system.rs
+++ b/crates/ctl/src/experiment/system.rs
@@ -19,26 +19,26 @@
 use store::Role;
 use tokio::time::Instant;
 
-/// Entries of a deployment, each in a failure domain of its own.
+/// Number of entries of a deployment, each in a different failure domain.
 const ENTRIES: usize = 2;
 /// Longest wait until the entries know all targets and the records.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Wait between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two checks of a status.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A runner with its agent.
+/// A runner and its agent.
 #[derive(Clone, Debug)]
 pub struct Runner {
     /// Name of its VM.
     pub id: String,
     /// Service that it serves.
     pub service: &'static Service,
-    /// Where the stand-in serves.
+    /// Address of the stand-in.
     pub address: SocketAddr,
     domain: &'static str,
 }
 
-/// A deployment that serves.
+/// A running deployment.
 #[derive(Debug)]
 pub struct System {
     fleet: Fleet,
@@ -46,11 +46,11 @@
     shared: Shared,
     entries: Vec<SocketAddr>,
     runners: Vec<Runner>,
-    dead: HashSet<usize>,
+    killed: HashSet<usize>,
 }
 
 impl System {
-    /// Starts all processes, applies the records and waits until every entry serves every target.
+    /// Starts all processes, applies the records and waits until every target is live at every entry.
     ///
     /// # Errors
     ///
@@ -72,7 +72,7 @@
             shared,
             entries: Vec::new(),
             runners: Vec::new(),
-            dead: HashSet::new(),
+            killed: HashSet::new(),
         };
         system.start_runners(deployment, plan, seed).await?;
         system.start_entries(deployment).await?;
@@ -85,19 +85,19 @@
         Ok(system)
     }
 
-    /// Where the entries serve.
+    /// Returns the addresses of the entries.
     #[must_use]
     pub fn entries(&self) -> &[SocketAddr] {
         &self.entries
     }
 
-    /// All runners, those that have died included.
+    /// Returns all runners, including those that have been killed.
     #[must_use]
     pub fn runners(&self) -> &[Runner] {
         &self.runners
     }
 
-    /// Number of the runner at this place among those of its service.
+    /// Returns the number of the runner with this index among those of its service.
     #[must_use]
     pub fn runner(&self, service: &str, place: usize) -> usize {
         let runners = self.runners.iter().enumerate();
@@ -105,9 +105,9 @@
         own.nth(place).map_or(0, |(number, _)| number)
     }
 
-    /// Numbers of the runners in a failure domain.
+    /// Returns the numbers of the runners in a failure domain.
     #[must_use]
-    pub fn in_domain(&self, domain: &str) -> Vec<usize> {
+    pub fn runners_in_domain(&self, domain: &str) -> Vec<usize> {
         let runners = self.runners.iter().enumerate();
         runners
             .filter(|(_, runner)| runner.domain == domain)
@@ -115,28 +115,28 @@
             .collect()
     }
 
-    /// Whether a runner has been ended.
+    /// Whether a runner has been killed.
     #[must_use]
-    pub fn is_dead(&self, number: usize) -> bool {
-        self.dead.contains(&number)
+    pub fn is_killed(&self, number: usize) -> bool {
+        self.killed.contains(&number)
     }
 
-    /// Ends a runner at once.
+    /// Kills a runner.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it cannot be ended.
+    /// [`Error::Failed`] if it cannot be killed.
     pub fn kill_runner(&mut self, number: usize) -> Result<(), Error> {
-        self.dead.insert(number);
+        self.killed.insert(number);
         let name = runner_name(&self.runners[number].id);
         self.fleet.kill(&name)
     }
 
-    /// Ends the agent beside a runner at once.
+    /// Kills the agent of a runner.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it cannot be ended.
+    /// [`Error::Failed`] if it cannot be killed.
     pub fn kill_agent(&mut self, number: usize) -> Result<(), Error> {
         let name = self.runners[number].id.clone();
         self.fleet.kill(&name)
@@ -151,12 +151,12 @@
         post(self.runners[number].address, "/standin/faults", faults).await
     }
 
-    /// Makes the table service answer nothing but `503`.
+    /// Makes the table service answer every request with `503`.
     ///
     /// # Errors
     ///
     /// [`Error`] if it cannot be reached.
-    pub async fn store_down(&self) -> Result<(), Error> {
+    pub async fn fail_table_service(&self) -> Result<(), Error> {
         let faults = Faults {
             down: standin::fault::Share::All(true),
             ..Faults::default()
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] if it cannot be reached or answers something else.
+    /// [`Error`] if it cannot be reached or its answer is not the expected JSON.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -177,11 +177,11 @@
         Client::plain(address).get(path).await
     }
 
-    /// Ends all processes that are left, at once: what they ran is known by now, and graceful stops
-    /// of all agents would take longer than the run.
+    /// Kills all remaining processes. Their executions have been collected, and graceful shutdowns of
+    /// all agents would take longer than the run.
     pub fn end(self) {
         drop(self.fleet);
-        // Settings and logs of a run that went well are of no use.
+        // The settings and logs of a successful run are not needed.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 
@@ -227,7 +227,7 @@
         Ok(())
     }
 
-    /// Applies the records as an operator does and gives their revision.
+    /// Applies the records as an operator would and returns their revision.
     fn apply(&self, records: &Path) -> Result<Value, Error> {
         let entry = self.entries[0].to_string();
         let run = Command::new(self.fleet.program("linnetdrift"))
@@ -245,7 +245,7 @@
         Ok(answer["revision"].clone())
     }
 
-    /// Waits until the status of every entry is as it should be.
+    /// Waits until the status of every entry meets a condition.
     async fn wait(&self, done: impl Fn(&Value) -> bool) -> Result<(), Error> {
         let end = Instant::now() + READY_TIMEOUT;
         for entry in &self.entries {
@@ -255,9 +255,11 @@
                     break;
                 }
                 if Instant::now() > end {
-                    return Err(failed(format!("{entry} did not get ready: {status}")));
+                    return Err(failed(format!(
+                        "{entry} did not become ready; its status is {status}"
+                    )));
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
--- a/crates/ctl/src/load/arrival.rs
+++ b/crates/ctl/src/load/arrival.rs
@@ -1,4 +1,4 @@
-//! When which request is to be sent.
+//! The schedule of requests.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,42 +6,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Characters of a shared prefix.
+/// Nominal length of a shared prefix, in characters.
 const PREFIX_LENGTH: usize = 4_096;
 
-/// What all requests of one kind have in common.
+/// Properties that all requests of one kind share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// Name of the pipeline; its version 1 is called.
+    /// Name of the pipeline. Version 1 of it is called.
     pub pipeline: String,
-    /// Operations of the stand-ins of its stages, in order, by which the answer is checked; none
-    /// if it is not to be checked.
+    /// Operations of the stand-ins of its stages, in order, from which the expected answer is
+    /// computed. If it is empty, the answer is not checked.
     pub operations: Vec<&'static str>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the request may run at most once and bears an idempotency key.
+    /// Whether the request may run at most once and carries an idempotency key.
     pub once: bool,
-    /// Deadline from the intended time.
+    /// Deadline, from the scheduled time.
     pub deadline: Duration,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub tokens: u32,
-    /// Long prefixes that the inputs share; 0 for short inputs that share none.
+    /// Number of long prefixes that the inputs share; 0 for short inputs without a shared prefix.
     pub prefixes: u32,
 }
 
-/// Requests of one kind from one workspace.
+/// The requests of one kind from one workspace.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// What is asked for.
+    /// Properties of the requests.
     pub work: Arc<Work>,
-    /// Workspace of the callers.
+    /// Workspace of the requests.
     pub workspace: Arc<str>,
-    /// Spans of time and the requests a second in each.
+    /// Time spans with the rate in each, in requests per second.
     pub phases: Vec<(Range<Duration>, f64)>,
 }
 
 impl Source {
-    /// A source with one rate, in requests a second, from the start to `span`.
+    /// Creates a source with a constant rate, in requests per second, from the start to `span`.
     #[must_use]
     pub fn steady(work: Work, workspace: &str, rate: f64, span: Duration) -> Self {
         Self {
@@ -52,20 +52,20 @@
     }
 }
 
-/// One request to send.
+/// One scheduled request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it is to be sent, from the start of the run.
+    /// Scheduled time, from the start of the run.
     pub at: Duration,
-    /// What is asked for.
+    /// Properties of the request.
     pub work: Arc<Work>,
-    /// Workspace of the caller.
+    /// Workspace of the request.
     pub workspace: Arc<str>,
-    /// Text of the input; differs from request to request.
+    /// Text of the input, which is unique in the run.
     pub text: String,
 }
 
-/// Draws all requests of the sources, in order of time; the same seed gives the same requests.
+/// Draws the requests of all sources, ordered by time. The same seed gives the same requests.
 ///
 /// # Examples
 ///
@@ -92,11 +92,11 @@
     let mut arrivals = Vec::new();
     for (number, source) in sources.iter().enumerate() {
         for (span, rate) in &source.phases {
-            let mut at = span.start + pause(*rate, &mut rng);
+            let mut at = span.start + interarrival_time(*rate, &mut rng);
             while at < span.end {
                 let name = format!("{seed}-{number}-{}", arrivals.len());
                 arrivals.push(arrival(source, at, &name, &mut rng));
-                at += pause(*rate, &mut rng);
+                at += interarrival_time(*rate, &mut rng);
             }
         }
     }
@@ -121,8 +121,8 @@
     format!("rule {number}. ").repeat(PREFIX_LENGTH / 8)
 }
 
-/// Time to the next arrival of a Poisson process.
-fn pause(rate: f64, rng: &mut SmallRng) -> Duration {
+/// Draws the time to the next arrival of a Poisson process.
+fn interarrival_time(rate: f64, rng: &mut SmallRng) -> Duration {
     let seconds = -(1.0 - rng.random::<f64>()).ln() / rate;
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX / 4)
 }
--- a/crates/ctl/src/load/caller.rs
+++ b/crates/ctl/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request and says what became of it.
+//! Sends one request and returns its outcome.
 
 use super::arrival::{Arrival, Work};
 use crate::error::{Outcome, Problem};
@@ -17,19 +17,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for an answer; a request without one by then is lost.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Submissions of one request by a caller that comes back after each refusal.
-const MOST_SUBMISSIONS: u32 = 20;
-/// Wait before a caller comes back that was not told when.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Longest wait for an answer. A request without an answer by then counts as lost.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum submissions of one request by a caller that retries after each refusal.
+const MAX_SUBMISSIONS: u32 = 20;
+/// Wait before a retry if the refusal specifies none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// Whole and the caller's own.
+    /// Complete and correct.
     Complete,
-    /// Refused before anything ran.
+    /// Refused before anything ran, with the wait that the refusal specifies.
     NotRun(Option<Duration>),
     /// It may have run.
     Unknown,
@@ -37,38 +37,38 @@
     Failed,
     /// Neither an answer nor a problem arrived.
     Lost,
-    /// Whole, but the answer to something else.
+    /// Complete, but the answer to another request.
     Wrong,
 }
 
-/// What became of a request.
+/// The outcome of a request, with its times.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
     /// How it ended.
     pub outcome: RequestOutcome,
-    /// Time from the intended moment of its last submission to its end.
+    /// Time from the scheduled time of its last submission to its end.
     pub elapsed: Duration,
-    /// Time from that moment to the first part of a stream.
+    /// Time from that scheduled time to the first part of a stream.
     pub time_to_first: Option<Duration>,
     /// Times between the parts of a stream.
     pub intervals: Vec<Duration>,
-    /// Times that it was submitted.
+    /// Number of submissions.
     pub submissions: u32,
     /// When it ended.
     pub finished_at: Instant,
 }
 
-/// Sends requests to entries in turn, as a balancer would.
+/// Sends requests to the entries in turn, as a load balancer would.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
     entries: Arc<[SocketAddr]>,
-    turn: Arc<AtomicUsize>,
-    returns: bool,
+    next_entry: Arc<AtomicUsize>,
+    retries: bool,
 }
 
-/// Parts of an answer as they arrive.
-struct Parts {
+/// The parts of an answer received so far.
+struct StreamParts {
     due: Instant,
     last: Option<Instant>,
     time_to_first: Option<Duration>,
@@ -77,20 +77,20 @@
 }
 
 impl Caller {
-    /// A caller of these entries that comes back after a refusal if `returns`.
+    /// Creates a caller of these entries that retries after a refusal if `retries` is true.
     #[must_use]
-    pub fn new(entries: &[SocketAddr], returns: bool) -> Self {
+    pub fn new(entries: &[SocketAddr], retries: bool) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
             entries: entries.into(),
-            turn: Arc::default(),
-            returns,
+            next_entry: Arc::default(),
+            retries,
         }
     }
 
-    /// Sends a request that was due at `due` and waits for its end.
+    /// Sends a request that is scheduled for `due`, and waits for its outcome.
     pub async fn call(&self, arrival: &Arrival, due: Instant) -> RequestResult {
         let mut due = due;
         let mut submissions = 1;
@@ -100,19 +100,19 @@
             let RequestOutcome::NotRun(after) = &result.outcome else {
                 return result;
             };
-            if !self.returns || submissions >= MOST_SUBMISSIONS {
+            if !self.retries || submissions >= MAX_SUBMISSIONS {
                 return result;
             }
-            due = Instant::now() + after.unwrap_or(PAUSE);
+            due = Instant::now() + after.unwrap_or(DEFAULT_RETRY_DELAY);
             submissions += 1;
             tokio::time::sleep_until(due).await;
         }
     }
 
     async fn submit(&self, arrival: &Arrival, due: Instant) -> RequestResult {
-        let mut parts = Parts::new(due);
+        let mut parts = StreamParts::new(due);
         let exchange = self.exchange(arrival, &mut parts);
-        let outcome = tokio::time::timeout(PATIENCE, exchange).await;
+        let outcome = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
         RequestResult {
             outcome: outcome.unwrap_or(RequestOutcome::Lost),
             elapsed: due.elapsed(),
@@ -123,7 +123,7 @@
         }
     }
 
-    async fn exchange(&self, arrival: &Arrival, parts: &mut Parts) -> RequestOutcome {
+    async fn exchange(&self, arrival: &Arrival, parts: &mut StreamParts) -> RequestOutcome {
         let Ok(request) = self.request(arrival) else {
             return RequestOutcome::Lost;
         };
@@ -135,18 +135,20 @@
         let read = if streamed {
             read_stream(response, parts).await
         } else {
-            read_whole(response, status).await
+            read_complete(response, status).await
         };
         match read {
-            Ok(text) if is_own(&arrival.work, &arrival.text, &text) => RequestOutcome::Complete,
+            Ok(text) if is_expected(&arrival.work, &arrival.text, &text) => {
+                RequestOutcome::Complete
+            }
             Ok(_) => RequestOutcome::Wrong,
             Err(outcome) => outcome,
         }
     }
 
     fn request(&self, arrival: &Arrival) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let entry = self.entries[turn % self.entries.len()];
+        let next_entry = self.next_entry.fetch_add(1, Ordering::Relaxed);
+        let entry = self.entries[next_entry % self.entries.len()];
         let work = &arrival.work;
         let path = format!(
             "http://{entry}/v1/pipelines/{}/versions/1/run",
@@ -176,7 +178,7 @@
     kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"))
 }
 
-async fn read_whole(
+async fn read_complete(
     response: Response<Incoming>,
     status: StatusCode,
 ) -> Result<String, RequestOutcome> {
@@ -192,7 +194,7 @@
 
 async fn read_stream(
     response: Response<Incoming>,
-    parts: &mut Parts,
+    parts: &mut StreamParts,
 ) -> Result<String, RequestOutcome> {
     let mut parser = Parser::default();
     let mut body = response.into_body();
@@ -219,7 +221,7 @@
     }
 }
 
-impl Parts {
+impl StreamParts {
     fn new(due: Instant) -> Self {
         Self {
             due,
@@ -243,8 +245,8 @@
     }
 }
 
-/// Whether the answer is what the stand-ins make of this request's own text.
-fn is_own(work: &Work, text: &str, answer: &str) -> bool {
+/// Whether the answer is the one that the stand-ins compute from the text of this request.
+fn is_expected(work: &Work, text: &str, answer: &str) -> bool {
     let Some((last, before)) = work.operations.split_last() else {
         return true;
     };
--- a/crates/ctl/src/load/drive.rs
+++ b/crates/ctl/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Sends all requests at their times.
+//! Sends all requests at their scheduled times.
 
 use super::arrival::Arrival;
 use super::caller::Caller;
@@ -7,8 +7,8 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Sends each request at its time, in a task of its own, and waits for all to end. Those due before
-/// `warm_up` are sent but not counted.
+/// Sends each request at its scheduled time, in a separate task, and waits until all have finished.
+/// Requests that are due before `warm_up` are sent but not counted.
 pub async fn run(caller: &Caller, arrivals: Vec<Arrival>, warm_up: Duration) -> Tally {
     let start = Instant::now();
     let mut tally = Tally::default();
@@ -21,24 +21,24 @@
             let result = caller.call(&arrival, due).await;
             (arrival, result)
         });
-        while let Some(ended) = tasks.try_join_next() {
-            count(&mut tally, ended, warm_up, start);
+        while let Some(finished) = tasks.try_join_next() {
+            count(&mut tally, finished, warm_up, start);
         }
     }
-    while let Some(ended) = tasks.join_next().await {
-        count(&mut tally, ended, warm_up, start);
+    while let Some(finished) = tasks.join_next().await {
+        count(&mut tally, finished, warm_up, start);
     }
     tally
 }
 
 fn count(
     tally: &mut Tally,
-    ended: Result<(Arrival, super::caller::RequestResult), tokio::task::JoinError>,
+    finished: Result<(Arrival, super::caller::RequestResult), tokio::task::JoinError>,
     warm_up: Duration,
     start: Instant,
 ) {
-    // A task can only end in an error if it panicked, which no caller's result does.
-    if let Ok((arrival, result)) = ended
+    // A join error means that the task panicked, which a call never does.
+    if let Ok((arrival, result)) = finished
         && arrival.at >= warm_up
     {
         tally.add(&arrival, &result, result.finished_at - start);
--- a/crates/ctl/src/load/mod.rs
+++ b/crates/ctl/src/load/mod.rs
@@ -1,12 +1,12 @@
-//! `load`: open-loop load on a deployment.
+//! `load`: generates open-loop load on a deployment.
 //!
-//! Requests are sent at times that were drawn beforehand, whatever has become of the earlier ones,
-//! and each latency counts from the intended time: a system that stalls is charged for everything
-//! that should have been sent meanwhile.
+//! Requests are sent at times drawn in advance, whether or not earlier requests have finished. Each
+//! latency is measured from the scheduled time, so that a stall of the system counts for all requests
+//! that were due during the stall.
 //!
-//! * [`arrival`]: when which request is to be sent
-//! * [`caller`]: sends one request and says what became of it
-//! * [`drive`]: sends all of them at their times
+//! * [`arrival`]: the schedule of requests
+//! * [`caller`]: sends one request and returns its outcome
+//! * [`drive`]: sends all requests at their scheduled times
 //! * [`tally`]: counts and histograms
 
 pub mod arrival;
@@ -22,8 +22,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most requests that one run sends.
-const MOST_REQUESTS: f64 = 1e6;
+/// Maximum number of requests in one run.
+const MAX_REQUESTS: f64 = 1e6;
 
 /// Sends requests to a pipeline at a steady mean rate.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
             span: Duration::from_secs(option::parse(matches, "seconds")?.unwrap_or(10)),
             seed: option::parse(matches, "seed")?.unwrap_or(1),
         };
-        if !(load.rate > 0.0 && load.rate * load.span.as_secs_f64() <= MOST_REQUESTS) {
+        if !(load.rate > 0.0 && load.rate * load.span.as_secs_f64() <= MAX_REQUESTS) {
             return Err(Error::usage("--rate times --seconds must be from 0 to 1e6"));
         }
         Ok(load)
--- a/crates/ctl/src/load/tally.rs
+++ b/crates/ctl/src/load/tally.rs
@@ -7,36 +7,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time told apart from longer ones, in microseconds.
-const LONGEST_US: u64 = 120_000_000;
+/// Upper bound of the recorded times, in microseconds. Longer times count as this one.
+const MAX_TIME_US: u64 = 120_000_000;
 
-/// What became of requests.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counts {
-    /// Requests that were to be sent.
+    /// Requests that were scheduled.
     pub offered: u64,
-    /// Answered whole by the deadline.
+    /// Answered completely by the deadline.
     pub on_time: u64,
-    /// Answered whole after it.
+    /// Answered completely after the deadline.
     pub late: u64,
-    /// Refused, at the last submission, before anything ran.
+    /// Refused before anything ran, at the last submission.
     pub not_run: u64,
-    /// Told that it may have run.
+    /// Answered with the problem that it may have run.
     pub unknown: u64,
-    /// Ran and failed.
+    /// Executed and failed.
     pub failed: u64,
-    /// Neither answer nor problem.
+    /// Ended without an answer or problem.
     pub lost: u64,
-    /// Answered with something else.
+    /// Answered with the answer to another request.
     pub crossed: u64,
-    /// Times that requests were submitted.
+    /// Submissions of all requests.
     pub submitted: u64,
-    /// Share of the offered that was on time, from 0 to 1.
+    /// Fraction of the offered requests that were answered on time, from 0 to 1.
     pub attainment: f64,
 }
 
-/// Quantiles of a time in milliseconds.
+/// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Quantiles {
@@ -51,35 +51,35 @@
 /// One second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests that were due in it.
+    /// Requests that were due in this second.
     pub due: u64,
-    /// Those of them that were answered on time, whenever that was.
+    /// Requests due in this second that were answered on time, in this second or later.
     pub met: u64,
-    /// Requests whose answer came in it, on time.
+    /// Requests whose answer arrived on time and in this second.
     pub goodput: u64,
 }
 
-/// What a run has come to.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// All requests.
     #[serde(flatten)]
     pub counts: Counts,
-    /// From the intended time to the whole answer.
+    /// From the scheduled time to the complete answer.
     pub latency_ms: Quantiles,
-    /// From the intended time to the first part of a stream.
+    /// From the scheduled time to the first part of a stream.
     pub ttft_ms: Quantiles,
     /// Between the parts of a stream.
     pub itl_ms: Quantiles,
-    /// By workspace.
+    /// Counts by workspace.
     pub by_workspace: BTreeMap<String, Counts>,
-    /// By pipeline.
+    /// Counts by pipeline.
     pub by_pipeline: BTreeMap<String, Counts>,
-    /// By second since the start.
+    /// Counts by second since the start.
     pub by_second: Vec<Second>,
 }
 
-/// Counts as the requests end.
+/// Counts and histograms that are updated as requests finish.
 #[derive(Clone, Debug)]
 pub struct Tally {
     counts: Counts,
@@ -87,21 +87,21 @@
     by_pipeline: BTreeMap<String, Counts>,
     seconds: Vec<Second>,
     latency: Histogram<u64>,
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+    time_to_first: Histogram<u64>,
+    intervals: Histogram<u64>,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        let empty = || Histogram::new_with_max(LONGEST_US, 3).expect("bounds are valid");
+        let empty = || Histogram::new_with_max(MAX_TIME_US, 3).expect("bounds are valid");
         Self {
             counts: Counts::default(),
             by_workspace: BTreeMap::new(),
             by_pipeline: BTreeMap::new(),
             seconds: Vec::new(),
             latency: empty(),
-            first: empty(),
-            between: empty(),
+            time_to_first: empty(),
+            intervals: empty(),
         }
     }
 }
@@ -138,14 +138,14 @@
 }
 
 impl Tally {
-    /// Counts a request that ended at this time since the start.
-    pub fn add(&mut self, arrival: &Arrival, result: &RequestResult, ended: Duration) {
+    /// Counts a request that finished at this time since the start.
+    pub fn add(&mut self, arrival: &Arrival, result: &RequestResult, finished: Duration) {
         let on_time = result.elapsed <= arrival.work.deadline;
         let met = on_time && result.outcome == RequestOutcome::Complete;
         let due = self.second(arrival.at);
         due.due += 1;
         due.met += u64::from(met);
-        self.second(ended).goodput += u64::from(met);
+        self.second(finished).goodput += u64::from(met);
         let workspace = self.by_workspace.entry(arrival.workspace.to_string());
         let pipeline = self.by_pipeline.entry(arrival.work.pipeline.clone());
         for counts in [
@@ -161,22 +161,22 @@
         result
             .time_to_first
             .iter()
-            .for_each(|first| record(&mut self.first, *first));
+            .for_each(|time| record(&mut self.time_to_first, *time));
         result
             .intervals
             .iter()
-            .for_each(|between| record(&mut self.between, *between));
+            .for_each(|interval| record(&mut self.intervals, *interval));
     }
 
     fn second(&mut self, at: Duration) -> &mut Second {
-        let place = usize::try_from(at.as_secs()).unwrap_or_default();
-        if self.seconds.len() <= place {
-            self.seconds.resize(place + 1, Second::default());
+        let index = usize::try_from(at.as_secs()).unwrap_or_default();
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, Second::default());
         }
-        &mut self.seconds[place]
+        &mut self.seconds[index]
     }
 
-    /// Takes in another run's counts.
+    /// Adds another run's counts and histograms.
     pub fn merge(&mut self, other: &Self) {
         self.counts.merge(&other.counts);
         for (all, others) in [
@@ -195,22 +195,22 @@
         }
         for (all, others) in [
             (&mut self.latency, &other.latency),
-            (&mut self.first, &other.first),
-            (&mut self.between, &other.between),
+            (&mut self.time_to_first, &other.time_to_first),
+            (&mut self.intervals, &other.intervals),
         ] {
-            // The bounds of all histograms are the same.
+            // This cannot fail, since all histograms have the same bounds.
             let _ = all.add(others);
         }
     }
 
-    /// What the run has come to.
+    /// Returns the results of the run.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
             counts: self.counts,
             latency_ms: quantiles(&self.latency),
-            ttft_ms: quantiles(&self.first),
-            itl_ms: quantiles(&self.between),
+            ttft_ms: quantiles(&self.time_to_first),
+            itl_ms: quantiles(&self.intervals),
             by_workspace: self.by_workspace.clone(),
             by_pipeline: self.by_pipeline.clone(),
             by_second: self.seconds.clone(),
@@ -219,7 +219,7 @@
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+    let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_TIME_US);
     histogram.saturating_record(micros);
 }
 
