--- a/crates/ctl/src/measure.rs
+++ b/crates/ctl/src/measure.rs
@@ -1,10 +1,10 @@
-//! `measure`: slopes of the roles' cost on one machine, as JSON.
+//! `measure`: measures how the cost of each role grows with its load, on one machine, as JSON.
 //!
-//! * [`latency`]: what a call costs beside calling the runner directly
-//! * [`links`]: what an entry spends on the targets that it knows
-//! * [`records`]: what an entry spends on the records in force and on their changes
+//! * [`latency`]: cost of a call compared with calling the runner directly
+//! * [`links`]: cost of an entry's links to targets
+//! * [`records`]: cost of the records in force and of their changes at an entry
 //! * [`placement`]: time until a new model is warm
-//! * [`claims`]: transactions of the table service for each claim
+//! * [`claims`]: transactions of the table service per claim
 
 pub mod claims;
 pub mod latency;
@@ -27,12 +27,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait until an entry is as a measurement needs it.
+/// Longest wait until an entry's status is as a measurement needs it.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Wait between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two checks of a status.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Measures what the roles cost.
+/// Measures the cost of the roles.
 #[derive(Debug)]
 pub struct Measure {
     what: String,
@@ -51,7 +51,7 @@
         let what = option::single(matches, "WHAT")?;
         match what.as_str() {
             "latency" | "links" | "records" | "claims" | "placement" => Ok(Self { what }),
-            _ => Err(Error::usage(format!("there is no measurement `{what}`"))),
+            _ => Err(Error::usage(format!("unknown measurement `{what}`"))),
         }
     }
 
@@ -67,7 +67,7 @@
             _ => report(&claims::run(&mut fleet).await?)?,
         }
         fleet.stop()?;
-        // Settings and logs are of use only where something went wrong.
+        // The settings and logs are needed only after a failure.
         let _ = std::fs::remove_dir_all(&directory);
         Ok(())
     }
@@ -77,7 +77,7 @@
     output::print(crate::Format::Json, "", result)
 }
 
-/// Starts a deployment with these records in force and all its targets live.
+/// Starts a deployment and waits until these records are in force and all targets are live.
 async fn start(fleet: &mut Fleet, plan: Plan, records: Vec<Value>) -> Result<Deployment, Error> {
     let deployment = Deployment::start(fleet, plan).await?;
     for ready in &deployment.entries {
@@ -96,12 +96,12 @@
     Ok(deployment)
 }
 
-/// A workspace's record.
+/// Creates the record of a workspace.
 fn workspace(index: usize) -> Value {
     json!({"schema": 1, "kind": "workspace", "name": format!("workspace-{index}"), "share": 1})
 }
 
-/// Number of targets that an entry's status shows as live.
+/// Returns the number of live targets in an entry's status.
 fn live(status: &Value) -> usize {
     let targets = status["targets"].as_array();
     targets.map_or(0, |targets| {
@@ -109,7 +109,7 @@
     })
 }
 
-/// Applies records with a token of their own; `base` has the revisions of those that are there.
+/// Applies records with a new unique token; `base` has the revisions of those that exist.
 async fn apply(
     entry: SocketAddr,
     token: &str,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Waits until an entry's status is as it should be.
+/// Waits until an entry's status meets a condition.
 async fn until(entry: SocketAddr, done: impl Fn(&Value) -> bool) -> Result<(), Error> {
     let client = Client::plain(entry);
     let end = Instant::now() + READY_TIMEOUT;
@@ -153,9 +153,9 @@
         }
         if Instant::now() > end {
             return Err(Error::Failed {
-                reason: format!("an entry did not get ready: {status}"),
+                reason: format!("an entry did not become ready; its status is {status}"),
             });
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/ctl/src/measure/claims.rs
+++ b/crates/ctl/src/measure/claims.rs
@@ -1,4 +1,4 @@
-//! Transactions of the table service for each claim, at several loads.
+//! Measures the transactions of the table service per claim, at several loads.
 
 use crate::Error;
 use crate::client::Client;
@@ -12,28 +12,29 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Callers that call at once.
+/// Numbers of concurrent callers.
 const CALLERS: [usize; 4] = [1, 8, 64, 256];
-/// Times that the table service is asked for its number of transactions.
-const PROBES: usize = 100;
-/// Pause between two of these.
+/// Maximum attempts to read the table service's number of transactions.
+const MAX_PROBES: usize = 100;
+/// Pause between two of these attempts.
 const PROBE_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
-/// Calls of each caller.
+/// Number of calls of each caller.
 const CALLS: usize = 40;
 
-/// Cost at one number of callers.
+/// The result for one number of callers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// Callers that call at once.
+    /// Concurrent callers.
     callers: usize,
-    /// Calls of all of them.
+    /// Calls of all callers.
     calls: usize,
-    /// Calls that were answered with success.
+    /// Calls that were answered successfully.
     answered: usize,
     calls_per_second: f64,
-    /// Transactions of the table service meanwhile.
+    /// Transactions of the table service during the calls.
     transactions: u64,
-    /// Each call claims its key and records its answer: two writes without sharing.
+    /// Transactions per call. A call claims its key and records its answer, which are two writes if
+    /// transactions are not shared.
     transactions_per_call: f64,
 }
 
@@ -76,14 +77,14 @@
     ]
 }
 
-/// The cost at one number of callers.
+/// Measures with one number of callers.
 async fn point(entry: SocketAddr, table: SocketAddr, callers: usize) -> Result<Point, Error> {
     let before = transactions(table).await?;
     let began = Instant::now();
-    let runs = (0..callers).map(|caller| one(entry, callers, caller));
+    let runs = (0..callers).map(|caller| run_caller(entry, callers, caller));
     let answered: usize = futures::future::join_all(runs).await.into_iter().sum();
     let elapsed = began.elapsed();
-    // The probe that reads the number is a transaction itself.
+    // The probe that reads the number is itself a transaction.
     let transactions = transactions(table).await? - before - 1;
     let calls = callers * CALLS;
     Ok(Point {
@@ -96,8 +97,8 @@
     })
 }
 
-/// Calls one after the other, each with a key of its own; gives the number answered.
-async fn one(entry: SocketAddr, callers: usize, caller: usize) -> usize {
+/// Sends calls one after the other, each with a different key, and returns the number answered.
+async fn run_caller(entry: SocketAddr, callers: usize, caller: usize) -> usize {
     let client = Client::plain(entry);
     let mut answered = 0;
     for call in 0..CALLS {
@@ -117,12 +118,12 @@
     answered
 }
 
-/// Number of transactions so far: that of one more, which writes nothing else. The service refuses
-/// it while it is over its rate.
+/// Returns the number of transactions so far, which is the revision of one more transaction with a
+/// single write. The service refuses that transaction while its rate limit is exceeded.
 async fn transactions(table: SocketAddr) -> Result<u64, Error> {
     let probe = json!({"checks": [], "puts": [{"table": "measure", "key": "probe", "value": 1}]});
     let client = Client::plain(table);
-    for _ in 0..PROBES {
+    for _ in 0..MAX_PROBES {
         let body = probe.to_string().into();
         let answer = client
             .call(Method::POST, "/v1/transact", HeaderMap::new(), body)
@@ -134,6 +135,6 @@
         tokio::time::sleep(PROBE_PAUSE).await;
     }
     Err(Error::Failed {
-        reason: "the table service takes no probe".to_owned(),
+        reason: "the table service refused every probe".to_owned(),
     })
 }
--- a/crates/ctl/src/measure/latency.rs
+++ b/crates/ctl/src/measure/latency.rs
@@ -1,4 +1,4 @@
-//! What a call costs beside calling the runner directly, side by side in one run.
+//! Measures the cost of a call compared with calling the runner directly, in the same run.
 
 use super::usage::{self, Usage};
 use crate::Error;
@@ -18,51 +18,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls each way before any is counted.
+/// Uncounted calls on each path before the measurement.
 const WARM_UP: usize = 2_000;
-/// Calls each way that are counted, one after the other, the two ways in turn.
+/// Counted calls on each path, sent one after the other and alternating between the paths.
 const CALLS: usize = 20_000;
-/// Numbers of streams that run at once.
+/// Numbers of concurrent streams.
 const STREAMS: [usize; 4] = [4, 16, 64, 256];
-/// Tokens of each stream.
+/// Number of tokens of each stream.
 const TOKENS: usize = 400;
 /// Time between two tokens of a stream, in milliseconds.
 const STEP_MS: f64 = 10.0;
-/// Calls that the runners are given at once.
+/// Number of concurrent calls to a runner.
 const CONCURRENCY: usize = 256;
 
-/// Latencies of one way, in microseconds.
+/// Latencies of one path, in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Latency {
     /// Median.
     pub p50_us: u64,
-    /// 99 in 100 stay within it.
+    /// 99th percentile.
     pub p99_us: u64,
 }
 
 /// Cost of one role.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Cost {
-    /// Processor time of one call of one stage, in microseconds.
+    /// Processor time per call with one stage, in microseconds.
     pub call_us: f64,
-    /// Memory and threads after the calls and streams.
+    /// Memory and threads after all calls and streams.
     #[serde(flatten)]
     pub usage: Usage,
 }
 
-/// Cost of streamed tokens at one number of streams.
+/// Cost of streamed tokens for one number of concurrent streams.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Tokens {
     streams: usize,
     tokens: usize,
     tokens_per_second: f64,
-    /// Processor time of the entry for one token, in microseconds.
+    /// Processor time of the entry per token, in microseconds.
     entry_us: f64,
-    /// Processor time of the agent for one token, in microseconds.
+    /// Processor time of the agent per token, in microseconds.
     agent_us: f64,
 }
 
-/// What was measured.
+/// The results of the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     calls: usize,
@@ -88,7 +88,7 @@
     let deployment = super::start(fleet, plan(), records()).await?;
     let processes = Processes::of(fleet);
     let http = http();
-    let [direct, through] = ways(&deployment);
+    let [direct, through] = urls(&deployment);
     for _ in 0..WARM_UP {
         call(&http, &direct).await?;
         call(&http, &through).await?;
@@ -96,9 +96,9 @@
     let before = processes.usage();
     let mut times = [histogram()?, histogram()?];
     for _ in 0..CALLS {
-        for (way, times) in [&direct, &through].into_iter().zip(&mut times) {
+        for (url, times) in [&direct, &through].into_iter().zip(&mut times) {
             let began = Instant::now();
-            call(&http, way).await?;
+            call(&http, url).await?;
             times.saturating_record(micros(began.elapsed()));
         }
     }
@@ -125,14 +125,14 @@
     })
 }
 
-/// Places in [`Processes`].
+/// Indices in [`Processes`].
 const ENTRY: usize = 0;
 const POOL_AGENT: usize = 1;
 const ENGINE_AGENT: usize = 2;
-/// Names of the measured processes in their places.
+/// Names of the measured processes, by index.
 const NAMES: [&str; 3] = ["entry-a1", "pool-a1", "engine-a1"];
 
-/// The processes whose cost is measured.
+/// Ids of the processes whose cost is measured.
 struct Processes([u32; 3]);
 
 impl Processes {
@@ -187,8 +187,8 @@
     deployment.entries[0].listen
 }
 
-/// Addresses of the runner itself and of the pipeline with that runner as its only stage.
-fn ways(deployment: &Deployment) -> [String; 2] {
+/// Returns the URLs of the runner and of the pipeline whose only stage uses that runner.
+fn urls(deployment: &Deployment) -> [String; 2] {
     let (runner, entry) = (deployment.runners[0], entry(deployment));
     [
         format!("http://{runner}/v1/run"),
@@ -196,11 +196,11 @@
     ]
 }
 
-async fn call(http: &Http, way: &str) -> Result<(), Error> {
+async fn call(http: &Http, url: &str) -> Result<(), Error> {
     let body = Bytes::from_static(br#"{"text":"loom 7"}"#);
     let request = Request::builder()
         .method(Method::POST)
-        .uri(way)
+        .uri(url)
         .header("linnetdrift-workspace", "measure")
         .header("x-call", "00000000000000000000000000000001-0-0")
         .header("x-workspace", "measure")
@@ -211,11 +211,11 @@
     answer.into_body().collect().await.map_err(failed)?;
     match status.is_success() {
         true => Ok(()),
-        false => Err(failed(format!("{way} answered {status}"))),
+        false => Err(failed(format!("{url} answered {status}"))),
     }
 }
 
-/// Runs streams at once and measures what their tokens cost.
+/// Runs concurrent streams and measures the cost of their tokens.
 async fn measure_streams(
     http: &Http,
     entry: SocketAddr,
@@ -257,7 +257,9 @@
     let count = text.matches("\nid: ").count() + usize::from(text.starts_with("id: "));
     match count {
         TOKENS => Ok(count),
-        _ => Err(failed(format!("a stream had {count} tokens"))),
+        _ => Err(failed(format!(
+            "a stream had {count} tokens instead of {TOKENS}"
+        ))),
     }
 }
 
--- a/crates/ctl/src/measure/links.rs
+++ b/crates/ctl/src/measure/links.rs
@@ -1,4 +1,4 @@
-//! What an entry spends on the targets that it knows: links that carry no work.
+//! Measures the cost of an entry's idle links to targets.
 
 use super::usage::{self, Usage};
 use crate::Error;
@@ -15,14 +15,14 @@
 
 /// Numbers of targets.
 const SIZES: [usize; 4] = [0, 100, 400, 1_600];
-/// How long the processor time of each size is measured.
-const SPAN: Duration = Duration::from_secs(10);
+/// Duration of the measurement at each number of targets.
+const MEASURE_TIME: Duration = Duration::from_secs(10);
 
-/// Cost at one number of targets.
+/// The result for one number of targets.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
     targets: usize,
-    /// Share of one core.
+    /// Processor time of the entry, as a percentage of one core.
     core_percent: f64,
     #[serde(flatten)]
     usage: Usage,
@@ -59,17 +59,17 @@
 
 async fn measure(process: u32, targets: usize) -> Point {
     let before = usage::of(process);
-    tokio::time::sleep(SPAN).await;
+    tokio::time::sleep(MEASURE_TIME).await;
     let usage = usage::of(process);
     let spent = usage.processor.saturating_sub(before.processor);
     Point {
         targets,
-        core_percent: 100.0 * spent.as_secs_f64() / SPAN.as_secs_f64(),
+        core_percent: 100.0 * spent.as_secs_f64() / MEASURE_TIME.as_secs_f64(),
         usage,
     }
 }
 
-/// An agent that takes links and never gets work.
+/// Starts a fake agent that accepts links and ignores what they carry.
 async fn listen(key: &str) -> Result<SocketAddr, Error> {
     let key = Key::new(key.as_bytes());
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/ctl/src/measure/placement.rs
+++ b/crates/ctl/src/measure/placement.rs
@@ -1,4 +1,4 @@
-//! How long a new model takes until it is warm, and how many loads are started in a minute.
+//! Measures the time until a new model is warm, and the rate at which loads are started.
 
 use crate::Error;
 use crate::deployment::{Deployment, Plan, Runner};
@@ -11,31 +11,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Engines that are free and are to load the new model.
-const FREE: usize = 8;
-/// Time that an engine takes to load a model, in milliseconds.
+/// Number of free engines, which are to load the new model.
+const FREE_ENGINES: usize = 8;
+/// Load time of a model, in milliseconds.
 const LOAD_MS: f64 = 500.0;
-/// Bounds of loads: so many in each span of milliseconds.
-const BOUNDS: [(u32, u64); 3] = [(1, 5_000), (1, 2_000), (2, 2_000)];
+/// Load limits: the number of loads in each interval, and the interval in milliseconds.
+const LOAD_LIMITS: [(u32, u64); 3] = [(1, 5_000), (1, 2_000), (2, 2_000)];
 /// Longest wait until all engines have the model.
 const TIMEOUT: Duration = Duration::from_secs(90);
 
-/// What one bound gave.
+/// The result for one load limit.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// Loads allowed in each span.
+    /// Loads allowed in each interval.
     loads: u32,
-    /// The span, in milliseconds.
+    /// The interval, in milliseconds.
     every_ms: u64,
     /// Engines that loaded the model.
     engines: usize,
-    /// Time that an engine takes to load it, in milliseconds.
+    /// Load time of the model, in milliseconds.
     load_ms: f64,
-    /// From the accepted change to the first engine that has it, in milliseconds.
+    /// From the accepted change until the first engine has the model, in milliseconds.
     first_warm_ms: f64,
-    /// From the accepted change to the last engine that has it, in milliseconds.
+    /// From the accepted change until the last engine has the model, in milliseconds.
     all_warm_ms: f64,
-    /// Loads started in a minute, from the first to the last.
+    /// Loads started per minute, from the first to the last.
     loads_per_minute: f64,
 }
 
@@ -62,7 +62,7 @@
 /// [`Error::Failed`] if the processes do not serve or the model is not loaded everywhere.
 pub async fn run(fleet: &mut Fleet) -> Result<Vec<Point>, Error> {
     let mut points = Vec::new();
-    for (loads, every_ms) in BOUNDS {
+    for (loads, every_ms) in LOAD_LIMITS {
         let placement = Placement {
             loads,
             every_ms,
@@ -76,28 +76,28 @@
 
 async fn point(fleet: &mut Fleet, placement: Placement) -> Result<Point, Error> {
     let plan = Plan {
-        runners: (0..=FREE).map(engine).collect(),
+        runners: (0..=FREE_ENGINES).map(engine).collect(),
         placement,
         ..Plan::default()
     };
     let deployment = super::start(fleet, plan, vec![service(0)]).await?;
-    // The lease is held and the engines are known once the first model is there.
+    // Once the first model is loaded, an entry holds the lease and knows the engines.
     warm(&deployment, "old", 1, Instant::now()).await?;
     tokio::time::sleep(Duration::from_millis(placement.every_ms)).await;
     let entry = deployment.entries[0].listen;
     let accepted = Instant::now();
     let base = json!({"service/assistant": 1});
-    super::apply(entry, &deployment.token, base, vec![service(FREE)]).await?;
+    super::apply(entry, &deployment.token, base, vec![service(FREE_ENGINES)]).await?;
     let first = warm(&deployment, "new", 1, accepted).await?;
-    let all = warm(&deployment, "new", FREE, accepted).await?;
+    let all = warm(&deployment, "new", FREE_ENGINES, accepted).await?;
     Ok(Point {
         loads: placement.loads,
         every_ms: placement.every_ms,
-        engines: FREE,
+        engines: FREE_ENGINES,
         load_ms: LOAD_MS,
         first_warm_ms: first.as_secs_f64() * 1e3,
         all_warm_ms: all.as_secs_f64() * 1e3,
-        loads_per_minute: per_minute(&deployment).await?,
+        loads_per_minute: loads_per_minute(&deployment).await?,
     })
 }
 
@@ -108,14 +108,14 @@
     runner
 }
 
-/// The engines' service; the new model is to be on so many.
+/// Creates the record of the engines' service; the new model is to be on `new` of them.
 fn service(new: usize) -> Value {
     let model = |name, min: usize| json!({"name": name, "min": min, "max": min.max(1)});
     json!({"schema": 2, "kind": "service", "name": "assistant", "runner": "engine",
         "concurrency": 4, "fencing": "checked", "models": [model("old", 1), model("new", new)]})
 }
 
-/// Waits until so many engines have a model; gives the time since `start`.
+/// Waits until `count` engines have a model and returns the time since `start`.
 async fn warm(
     deployment: &Deployment,
     model: &str,
@@ -133,14 +133,14 @@
         }
         if start.elapsed() > TIMEOUT {
             return Err(Error::Failed {
-                reason: format!("{warm} engines of {count} have the model"),
+                reason: format!("timed out: {warm} of {count} engines have the model"),
             });
         }
-        tokio::time::sleep(super::PAUSE).await;
+        tokio::time::sleep(super::POLL_INTERVAL).await;
     }
 }
 
-async fn per_minute(deployment: &Deployment) -> Result<f64, Error> {
+async fn loads_per_minute(deployment: &Deployment) -> Result<f64, Error> {
     let mut times = Vec::new();
     for runner in &deployment.runners {
         let journal: Journal = get(*runner, "/standin/orders").await?;
--- a/crates/ctl/src/measure/records.rs
+++ b/crates/ctl/src/measure/records.rs
@@ -1,4 +1,4 @@
-//! What an entry spends on the records in force and on their changes.
+//! Measures the cost of the records in force and of their changes at an entry.
 
 use super::usage::{self, Usage};
 use crate::Error;
@@ -12,23 +12,23 @@
 
 /// Numbers of workspace records.
 const SIZES: [usize; 4] = [100, 1_000, 2_500, 5_000];
-/// Records written by one change while the sizes are reached.
+/// Maximum records in one change while the number of records is increased.
 const BATCH: usize = 500;
-/// Changes that are measured at each size, of one record each.
+/// Measured changes at each size, each of one record.
 const CHANGES: u64 = 50;
 
-/// Cost at one number of records.
+/// The result for one number of records.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
     /// Workspace records in force.
     records: usize,
-    /// Processor time of the entry that accepts a change, in milliseconds.
+    /// Processor time per change of the entry that accepts it, in milliseconds.
     accept_ms: f64,
-    /// Processor time of an entry that follows it, in milliseconds.
+    /// Processor time per change of an entry that follows, in milliseconds.
     follow_ms: f64,
-    /// Time until a change is in force at the entry that follows, in milliseconds, at the worst.
+    /// Longest time until a change is in force at the entry that follows, in milliseconds.
     in_force_ms: f64,
-    /// Memory of the entry that follows.
+    /// Memory and threads of the entry that follows.
     #[serde(flatten)]
     usage: Usage,
 }
@@ -51,7 +51,7 @@
         follows: deployment.entries[1].listen,
         token: deployment.token,
         revision: 1,
-        first: 1,
+        record_revision: 1,
         records: 1,
     };
     let mut points = Vec::new();
@@ -71,7 +71,7 @@
     Ok(points)
 }
 
-/// An entry that accepts changes and one that follows.
+/// An entry that accepts changes and an entry that follows.
 struct Pair {
     accepts: SocketAddr,
     follows: SocketAddr,
@@ -79,13 +79,13 @@
     /// Revision of the last change.
     revision: u64,
     /// Revision of the record that is changed.
-    first: u64,
-    /// Workspace records so far.
+    record_revision: u64,
+    /// Number of workspace records so far.
     records: usize,
 }
 
 impl Pair {
-    /// Adds records until there are so many, and waits until both entries have them.
+    /// Adds records up to `size`, and waits until both entries have them.
     async fn grow(&mut self, size: usize) -> Result<(), Error> {
         while self.records < size {
             let next = (self.records + BATCH).min(size);
@@ -93,19 +93,19 @@
             self.apply(json!({}), batch).await?;
             self.records = next;
         }
-        self.in_force().await
+        self.wait_until_in_force().await
     }
 
-    /// Makes the changes that are measured and gives the longest time until one is in force at the
-    /// entry that follows.
+    /// Makes the measured changes and returns the longest time until one is in force at the entry that
+    /// follows.
     async fn change(&mut self) -> Result<Duration, Error> {
         let mut worst = Duration::ZERO;
         for _ in 0..CHANGES {
-            let base = json!({"workspace/workspace-0": self.first});
+            let base = json!({"workspace/workspace-0": self.record_revision});
             self.apply(base, vec![super::workspace(0)]).await?;
-            self.first = self.revision;
+            self.record_revision = self.revision;
             let accepted = Instant::now();
-            self.in_force().await?;
+            self.wait_until_in_force().await?;
             worst = worst.max(accepted.elapsed());
         }
         Ok(worst)
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    async fn in_force(&self) -> Result<(), Error> {
+    async fn wait_until_in_force(&self) -> Result<(), Error> {
         let revision = self.revision;
         super::until(self.follows, |status| status["revision"] == revision).await
     }
--- a/crates/ctl/src/measure/usage.rs
+++ b/crates/ctl/src/measure/usage.rs
@@ -1,16 +1,16 @@
-//! Processor time and memory of a process, as the operating system counts them.
+//! Processor time and memory of a process, as reported by the operating system.
 
 use serde::Serialize;
 use std::time::Duration;
 
-/// Length of the operating system's clock tick, which `/proc` counts processor time in.
+/// Clock tick of the operating system, the unit of processor time in `/proc`.
 const TICK: Duration = Duration::from_millis(10);
-/// Fields of `/proc/PID/stat` behind the program's name: user time.
-const USER: usize = 11;
-/// The same: system time.
-const SYSTEM: usize = 12;
+/// Index of the user time among the fields of `/proc/PID/stat` after the program's name.
+const USER_TIME: usize = 11;
+/// Index of the system time among these fields.
+const SYSTEM_TIME: usize = 12;
 
-/// What a process has used.
+/// The resources that a process has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Usage {
     /// Processor time since it started.
@@ -18,11 +18,11 @@
     pub processor: Duration,
     /// Resident memory in kilobytes.
     pub resident_kb: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-/// Reads what a process has used; zero for one that is gone.
+/// Reads the resources that a process has used; they are zero for a process that has exited.
 #[must_use]
 pub fn of(process: u32) -> Usage {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}"));
@@ -35,15 +35,16 @@
     }
 }
 
-/// The program's name may hold spaces; it ends with the last parenthesis.
+/// Parses the processor time. The program's name may contain spaces and ends with the last
+/// parenthesis.
 fn processor(stat: &str) -> Duration {
-    let behind = stat.rsplit(')').next().unwrap_or_default();
-    let fields: Vec<&str> = behind.split_whitespace().collect();
+    let after_name = stat.rsplit(')').next().unwrap_or_default();
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |index: usize| -> u32 {
         let field = fields.get(index).copied().unwrap_or_default();
         field.parse().unwrap_or_default()
     };
-    TICK * (ticks(USER) + ticks(SYSTEM))
+    TICK * (ticks(USER_TIME) + ticks(SYSTEM_TIME))
 }
 
 fn line(status: &str, name: &str) -> u64 {
@@ -54,7 +55,7 @@
         .unwrap_or_default()
 }
 
-/// Processor time of each of `count` pieces of work, in microseconds.
+/// Returns the processor time per unit of work, for `count` units, in microseconds.
 #[must_use]
 pub fn each(before: Usage, after: Usage, count: u64) -> f64 {
     let spent = after.processor.saturating_sub(before.processor);
--- a/crates/ctl/src/report/mod.rs
+++ b/crates/ctl/src/report/mod.rs
@@ -1,6 +1,6 @@
-//! `report`: draws the figures of experiments.
+//! `report`: draws the results of experiments.
 //!
-//! * [`chart`]: grouped bars
+//! * [`chart`]: grouped bar charts
 
 pub mod chart;
 
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Draws one SVG for each file that `experiment` has printed.
+/// Draws one SVG file for each output of `experiment`.
 #[derive(Debug)]
 pub struct Report {
     files: Vec<PathBuf>,
@@ -44,7 +44,7 @@
 
     async fn run(self, _common: &Common) -> Result<(), Error> {
         for file in &self.files {
-            let outcome = read(file)?;
+            let outcome = read_outcome(file)?;
             let name = format!("{}-{}.svg", outcome.scenario, outcome.seed);
             let path = self.out.join(name);
             chart::draw(&path, &title(&outcome), &panels(&outcome))?;
@@ -54,11 +54,11 @@
     }
 }
 
-fn read(path: &Path) -> Result<Outcome, Error> {
+fn read_outcome(path: &Path) -> Result<Outcome, Error> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     serde_json::from_str(&text).map_err(|error| {
         Error::usage(format!(
-            "{} is not what experiment prints: {error}",
+            "{} is not the output of `experiment`: {error}",
             path.display()
         ))
     })
@@ -68,7 +68,7 @@
     format!("{}, seed {}", outcome.scenario, outcome.seed)
 }
 
-/// What became of the requests, attainment by workspace, and times.
+/// Creates the panels: requests by outcome, attainment by workspace, and times.
 fn panels(outcome: &Outcome) -> Vec<Bars> {
     let arms: Vec<String> = outcome.arms.iter().map(|arm| arm.name.clone()).collect();
     let bars = |title: &str, unit: &str, groups| Bars {
@@ -78,7 +78,11 @@
         groups,
     };
     vec![
-        bars("Requests", "share of offered", fates(&outcome.arms)),
+        bars(
+            "Requests",
+            "share of offered",
+            request_outcomes(&outcome.arms),
+        ),
         bars(
             "Attainment by workspace",
             "share on time",
@@ -88,7 +92,7 @@
     ]
 }
 
-fn fates(arms: &[ArmOutcome]) -> Vec<Group> {
+fn request_outcomes(arms: &[ArmOutcome]) -> Vec<Group> {
     let share = |name: &str, count: fn(&ArmOutcome) -> u64| Group {
         name: name.to_owned(),
         values: arms
