--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' interface: records, changes, history, status.
+//! HTTP interface for operators: records, changes, history and status.
 
 use crate::config::accept::{self, Refusal};
 use crate::config::rows::{Change, Stored};
@@ -7,19 +7,19 @@
 use crate::target::Target;
 use http_body_util::{BodyExt, Full, Limited};
 use protocol::Revision;
-use record::Set;
+use record::RecordSet;
 use serde::{Deserialize, Serialize};
 use slog::info;
 use std::sync::Arc;
 use std::time::Duration;
 use viz::{Request, RequestExt, Response, ResponseExt, StatusCode};
 
-/// Largest change in bytes.
+/// Maximum size of a change in bytes.
 const MAX_CHANGE: usize = 16 << 20;
-/// Entries of the change log handed out at once at most.
-const HISTORY_MOST: usize = 1000;
-/// When to come back while the table service is away, unless it says so itself.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Maximum number of change log entries in one response.
+const MAX_HISTORY: usize = 1000;
+/// `retry_after` while the table service is unavailable, unless its response contains one.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct Listing {
@@ -28,12 +28,12 @@
 }
 
 #[derive(Deserialize)]
-struct One {
+struct RecordQuery {
     key: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Span {
+struct HistoryQuery {
     after: Option<Revision>,
     limit: Option<usize>,
 }
@@ -58,7 +58,7 @@
     findings: record::Findings,
 }
 
-/// What an entry says of itself.
+/// Status of an entry.
 #[derive(Serialize)]
 struct Status {
     id: String,
@@ -69,7 +69,7 @@
     targets: Vec<TargetStatus>,
 }
 
-/// What an entry knows of a target.
+/// State of a target as known to an entry.
 #[derive(Serialize)]
 struct TargetStatus {
     id: String,
@@ -89,10 +89,13 @@
 /// `GET /v1/records`.
 pub async fn records<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
     if !core.config.is_ready() {
-        return Problem::not_run("no configuration has been read yet", COME_BACK).response();
+        return Problem::not_run("no configuration has been read yet", RETRY_AFTER).response();
     }
-    let one = request.query::<One>().ok().and_then(|query| query.key);
-    let records = core.config.records(one.as_deref());
+    let key = request
+        .query::<RecordQuery>()
+        .ok()
+        .and_then(|query| query.key);
+    let records = core.config.records(key.as_deref());
     let listing = Listing {
         revision: core.config.revision(),
         records: records.into_values().collect(),
@@ -102,11 +105,11 @@
 
 /// `POST /v1/apply`.
 pub async fn apply<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
-    let Some(operator) = operator(&core, &request) else {
+    let Some(operator) = authenticate(&core, &request) else {
         let detail = "no operator of this deployment has this token";
-        return Problem::bad(StatusCode::UNAUTHORIZED, detail).response();
+        return Problem::rejected(StatusCode::UNAUTHORIZED, detail).response();
     };
-    let change = match read(request).await {
+    let change = match read_change(request).await {
         Ok(change) => change,
         Err(problem) => return problem.response(),
     };
@@ -120,8 +123,8 @@
     }
 }
 
-async fn read(request: Request) -> Result<accept::Request, Problem> {
-    let bad = |detail: String| Problem::bad(StatusCode::BAD_REQUEST, detail);
+async fn read_change(request: Request) -> Result<accept::Request, Problem> {
+    let bad = |detail: String| Problem::rejected(StatusCode::BAD_REQUEST, detail);
     let body = Limited::new(request.into_body(), MAX_CHANGE)
         .collect()
         .await
@@ -146,14 +149,14 @@
                 store::Error::Unavailable { retry_after, .. } => *retry_after,
                 _ => None,
             };
-            Problem::not_run(source.to_string(), retry_after.unwrap_or(COME_BACK)).response()
+            Problem::not_run(source.to_string(), retry_after.unwrap_or(RETRY_AFTER)).response()
         }
         Refusal::Unknown => {
             let problem =
                 Problem::unknown("the change may be accepted: apply it again with the same token");
             Problem {
                 status: StatusCode::SERVICE_UNAVAILABLE.as_u16(),
-                retry_after: Some(COME_BACK.as_secs_f64()),
+                retry_after: Some(RETRY_AFTER.as_secs_f64()),
                 ..problem
             }
             .response()
@@ -163,15 +166,15 @@
 
 /// `GET /v1/history`.
 pub async fn history<P: Platform>(core: Arc<Core<P>>, request: Request) -> Response {
-    let span = request.query::<Span>().ok();
-    let after = span.as_ref().and_then(|span| span.after).unwrap_or(0);
-    let limit = span.and_then(|span| span.limit).unwrap_or(HISTORY_MOST);
+    let query = request.query::<HistoryQuery>().ok();
+    let after = query.as_ref().and_then(|query| query.after).unwrap_or(0);
+    let limit = query.and_then(|query| query.limit).unwrap_or(MAX_HISTORY);
     match core.config.changes(after).await {
         Ok(mut changes) => {
-            changes.truncate(limit.min(HISTORY_MOST));
+            changes.truncate(limit.min(MAX_HISTORY));
             json(StatusCode::OK, &History { changes })
         }
-        Err(error) => Problem::not_run(error.to_string(), COME_BACK).response(),
+        Err(error) => Problem::not_run(error.to_string(), RETRY_AFTER).response(),
     }
 }
 
@@ -203,36 +206,36 @@
     json(StatusCode::OK, &status)
 }
 
-fn state(target: &Target, set: &Set) -> &'static str {
+fn state(target: &Target, set: &RecordSet) -> &'static str {
     match (target.is_linked(), target.is_open()) {
         (false, _) => "unlinked",
         (true, false) => "leaving",
-        (true, true) if set.drained(&target.vm.id) => "drained",
+        (true, true) if set.is_drained(&target.vm.id) => "drained",
         (true, true) => "live",
     }
 }
 
-/// `GET /ready`: what the balancer asks.
+/// `GET /ready`: readiness check of the load balancer.
 pub async fn ready<P: Platform>(core: Arc<Core<P>>) -> Response {
     if core.is_draining() || !core.config.is_ready() {
-        return Problem::not_run("not ready", COME_BACK).response();
+        return Problem::not_run("not ready", RETRY_AFTER).response();
     }
     Response::text("ready\n")
 }
 
-/// The operator whose token a request bears.
-fn operator<P: Platform>(core: &Core<P>, request: &Request) -> Option<String> {
+/// Returns the name of the operator whose token a request contains.
+fn authenticate<P: Platform>(core: &Core<P>, request: &Request) -> Option<String> {
     let given: String = request.header("authorization")?;
     let given = given.strip_prefix("Bearer ")?;
     core.settings
         .operators
         .iter()
-        .find(|operator| equal(operator.token.as_bytes(), given.as_bytes()))
+        .find(|operator| constant_time_eq(operator.token.as_bytes(), given.as_bytes()))
         .map(|operator| operator.name.clone())
 }
 
-/// Compares without telling by its duration how many bytes agree.
-fn equal(one: &[u8], other: &[u8]) -> bool {
+/// Compares in constant time, so that the duration does not reveal how many bytes match.
+fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differing = one.iter().zip(other).fold(0, |sum, (a, b)| sum | (a ^ b));
     one.len() == other.len() && differing == 0
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -18,12 +18,12 @@
 use tokio_util::sync::CancellationToken;
 use viz::{Request, Responder, Response, Router, Tree};
 
-/// How long a client may take over the TLS handshake.
-const HANDSHAKE: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, so that a lack of file descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of a TLS handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after a failed accept, which avoids a busy loop while file descriptors are exhausted.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Routes of an entry.
+/// Returns the routes of an entry.
 pub fn routes<P: Platform>(core: &Arc<Core<P>>) -> Router {
     macro_rules! handler {
         ($function:path) => {{
@@ -54,10 +54,10 @@
         .get("/ready", handler!(operator::ready, bare))
 }
 
-/// Serves until `stop`, then lets every open connection finish what it has.
+/// Serves until `stop`, then waits until every open connection has finished its requests.
 ///
-/// No timeout ends a connection: the library's own server gives up after ten seconds, which would
-/// cut streams off at a planned stop.
+/// There is no time limit: the server of the HTTP library closes connections after ten seconds,
+/// which would interrupt streams at a planned stop.
 pub async fn serve<P: Platform>(
     core: Arc<Core<P>>,
     listener: TcpListener,
@@ -75,30 +75,36 @@
             Ok((stream, address)) => {
                 let tree = tree.clone();
                 let graceful = graceful.clone();
-                tokio::spawn(connection(stream, address, tls.clone(), tree, graceful));
+                tokio::spawn(serve_connection(
+                    stream,
+                    address,
+                    tls.clone(),
+                    tree,
+                    graceful,
+                ));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
     drop(listener);
-    let Some(graceful) = wait_alone(graceful).await else {
+    let Some(graceful) = wait_until_unshared(graceful).await else {
         return;
     };
     graceful.shutdown().await;
 }
 
-/// Waits until no connection that is still in its TLS handshake holds the watcher.
-async fn wait_alone(mut graceful: Arc<GracefulShutdown>) -> Option<GracefulShutdown> {
+/// Waits until no connection in its TLS handshake holds a reference.
+async fn wait_until_unshared(mut graceful: Arc<GracefulShutdown>) -> Option<GracefulShutdown> {
     loop {
         match Arc::try_unwrap(graceful) {
             Ok(graceful) => return Some(graceful),
             Err(shared) => graceful = shared,
         }
-        tokio::time::sleep(ACCEPT_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     address: SocketAddr,
     tls: Option<TlsAcceptor>,
@@ -109,17 +115,17 @@
         return;
     }
     match tls {
-        None => http(stream, address, tree, graceful).await,
-        Some(acceptor) => {
-            let handshake = tokio::time::timeout(HANDSHAKE, acceptor.accept(stream));
+        None => serve_http(stream, address, tree, graceful).await,
+        Some(tls_acceptor) => {
+            let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, tls_acceptor.accept(stream));
             if let Ok(Ok(stream)) = handshake.await {
-                http(stream, address, tree, graceful).await;
+                serve_http(stream, address, tree, graceful).await;
             }
         }
     }
 }
 
-async fn http(
+async fn serve_http(
     stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
     address: SocketAddr,
     tree: Arc<Tree>,
@@ -132,37 +138,38 @@
         .into_owned();
     let connection = graceful.watch(connection);
     drop(graceful);
-    // What a client does to its own connection is no event of this process.
+    // Connection errors are caused by the client and are not reported.
     let _ = connection.await;
 }
 
-/// Reads the certificate and key of the callers' and operators' listener.
+/// Reads the certificate and key of the listener for callers and operators.
 ///
 /// # Errors
 ///
-/// An [`io::Error`] that names the file that cannot be used.
-pub fn acceptor(tls: &setting::Tls) -> io::Result<TlsAcceptor> {
-    let key = PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| invalid(&tls.key, error))?;
+/// Returns an [`io::Error`] that names the unusable file.
+pub fn tls_acceptor(tls: &setting::Tls) -> io::Result<TlsAcceptor> {
+    let key =
+        PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| invalid_data(&tls.key, error))?;
     let mut config = rustls::ServerConfig::builder()
         .with_no_client_auth()
         .with_single_cert(certificates(&tls.certificate)?, key)
-        .map_err(|error| invalid(&tls.certificate, error))?;
+        .map_err(|error| invalid_data(&tls.certificate, error))?;
     config.alpn_protocols = vec![b"h2".to_vec(), b"http/1.1".to_vec()];
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
 
-/// Reads whom to trust when the other entries are asked.
+/// Reads the certificates to trust in connections to the other entries.
 ///
 /// # Errors
 ///
-/// An [`io::Error`] that names the file that cannot be used.
-pub fn trust(tls: &setting::Tls) -> io::Result<rustls::ClientConfig> {
+/// Returns an [`io::Error`] that names the unusable file.
+pub fn client_config(tls: &setting::Tls) -> io::Result<rustls::ClientConfig> {
     let path = tls.ca.as_ref().unwrap_or(&tls.certificate);
     let mut roots = rustls::RootCertStore::empty();
     for certificate in certificates(path)? {
         roots
             .add(certificate)
-            .map_err(|error| invalid(path, error))?;
+            .map_err(|error| invalid_data(path, error))?;
     }
     let config = rustls::ClientConfig::builder().with_root_certificates(roots);
     Ok(config.with_no_client_auth())
@@ -171,10 +178,10 @@
 fn certificates(path: &Path) -> io::Result<Vec<CertificateDer<'static>>> {
     CertificateDer::pem_file_iter(path)
         .and_then(Iterator::collect)
-        .map_err(|error| invalid(path, error))
+        .map_err(|error| invalid_data(path, error))
 }
 
-fn invalid(path: &Path, error: impl std::fmt::Display) -> io::Error {
+fn invalid_data(path: &Path, error: impl std::fmt::Display) -> io::Error {
     let reason = format!("{}: {error}", path.display());
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -2,29 +2,29 @@
 
 pub mod placement;
 
-use crate::answer::End;
+use crate::answer::RequestOutcome;
 use crate::job::Job;
-use metric::{Bound, Latency, Registry, latency};
+use metric::{LabelLimiter, Latency, Registry, latency};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::histogram::Histogram;
 use std::time::Duration;
 
-/// Workspaces with a label of their own; the rest share one. At 14 buckets, 4 classes and 256
-/// workspaces a scrape stays near 1 MB whatever callers send.
-const WORKSPACES: usize = 256;
-/// Classes with a label of their own.
-const CLASSES: usize = 4;
-/// Stages with a label of their own.
-const STAGES: usize = 128;
+/// Maximum number of workspaces with their own label; the others share one. With 14 buckets, 4
+/// classes and 256 workspaces, a scrape stays near 1 MB regardless of what callers send.
+const MAX_WORKSPACES: usize = 256;
+/// Maximum number of classes with their own label.
+const MAX_CLASSES: usize = 4;
+/// Maximum number of stages with their own label.
+const MAX_STAGES: usize = 128;
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Attempted {
+struct AttemptLabels {
     stage: String,
     outcome: &'static str,
 }
@@ -32,28 +32,28 @@
 /// Counters and histograms of an entry.
 #[derive(Debug)]
 pub struct Telemetry {
-    stages: Bound,
+    stages: LabelLimiter,
     latency: Latency,
-    ended: Family<Ended, Counter>,
-    attempts: Family<Attempted, Histogram>,
+    ended: Family<RequestLabels, Counter>,
+    attempts: Family<AttemptLabels, Histogram>,
     refused: Counter,
     hedges: Counter,
     dropped: Counter,
-    /// Orders to engines.
+    /// Metrics of orders to engines.
     pub placement: placement::Placement,
 }
 
 impl Telemetry {
-    /// Metrics registered under the names that the operators' page explains.
+    /// Creates the metrics and registers them under their documented names.
     pub fn new(registry: &mut Registry) -> Self {
         let telemetry = Self {
-            stages: Bound::new(STAGES),
+            stages: LabelLimiter::new(MAX_STAGES),
             latency: Latency::new(
                 registry,
                 "entry_request_seconds",
                 "Time from acceptance to the end of a request",
-                WORKSPACES,
-                CLASSES,
+                MAX_WORKSPACES,
+                MAX_CLASSES,
             ),
             ended: Family::default(),
             attempts: Family::new_with_constructor(latency::histogram),
@@ -91,41 +91,41 @@
     }
 
     /// Counts a request that was refused before it was accepted.
-    pub fn refused(&self) {
+    pub fn record_refusal(&self) {
         self.refused.inc();
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, job: &Job, end: &End) {
-        let outcome = match end {
-            End::Whole { late: false } => "on_time",
-            End::Whole { late: true } => "late",
-            End::NotRun { .. } => "not_run",
-            End::Unknown { .. } => "unknown",
-            End::Elsewhere { .. } => "repeated",
-            End::Mismatch => "mismatch",
-            End::Failed { .. } => "failed",
+    pub fn record_request(&self, job: &Job, outcome: &RequestOutcome) {
+        let outcome = match outcome {
+            RequestOutcome::Complete { late: false } => "on_time",
+            RequestOutcome::Complete { late: true } => "late",
+            RequestOutcome::NotRun { .. } => "not_run",
+            RequestOutcome::Unknown { .. } => "unknown",
+            RequestOutcome::Elsewhere { .. } => "repeated",
+            RequestOutcome::Mismatch => "mismatch",
+            RequestOutcome::Failed { .. } => "failed",
         };
-        self.ended.get_or_create(&Ended { outcome }).inc();
+        self.ended.get_or_create(&RequestLabels { outcome }).inc();
         let taken = job.accepted.elapsed();
         self.latency.observe(&job.workspace, &job.class, taken);
     }
 
-    /// Counts an attempt that has ended.
-    pub fn attempt(&self, stage: &str, outcome: &'static str, taken: Duration) {
+    /// Records an attempt that has ended.
+    pub fn record_attempt(&self, stage: &str, outcome: &'static str, taken: Duration) {
         let stage = self.stages.label(stage).to_owned();
         self.attempts
-            .get_or_create(&Attempted { stage, outcome })
+            .get_or_create(&AttemptLabels { stage, outcome })
             .observe(taken.as_secs_f64());
     }
 
-    /// Counts a second copy of a call.
-    pub fn hedged(&self) {
+    /// Counts a hedged call.
+    pub fn record_hedge(&self) {
         self.hedges.inc();
     }
 
     /// Counts a message that was a duplicate or belonged to no current attempt.
-    pub fn dropped(&self) {
+    pub fn record_dropped_message(&self) {
         self.dropped.inc();
     }
 }
--- a/crates/relay/src/follow/budget.rs
+++ b/crates/relay/src/follow/budget.rs
@@ -11,7 +11,7 @@
 const READ_TIME: Duration = Duration::from_millis(700);
 /// Maximum time for which a process can be stopped without detecting a pause. After a detected pause, it
 /// requests updates before it continues.
-const UNDETECTED_PAUSE: Duration = crate::pause::LATE;
+const UNDETECTED_PAUSE: Duration = crate::pause::PAUSE_THRESHOLD;
 /// Time from the last check of the runner's entry until the first byte reaches the runner: the one-way
 /// latency, behind parts of a configuration.
 const SEND_TIME: Duration = Duration::from_millis(50);
--- a/crates/relay/src/follow/follower.rs
+++ b/crates/relay/src/follow/follower.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use store::era::{self, Era};
-use store::{Changes, Miss, RowRevision};
+use store::{Changes, FeedError, RowRevision};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 /// Maximum wait of a request while the service is unavailable: the next request should follow as soon as
@@ -171,19 +171,19 @@
                     self.note_recovery(relay);
                     return changes;
                 }
-                Err(Miss::Gap) => {
+                Err(FeedError::Gap) => {
                     info!(relay.log, "change history truncated, reading the whole table";
                         "table" => self.table, "after" => self.reader.after());
                     self.reader.forget();
                 }
-                Err(Miss::Restored) => {
+                Err(FeedError::Restored) => {
                     self.reader.forget();
                     // All processes detect the restored service at the same time, and each reads all
                     // tables.
                     let fraction = relay.random(|rng| rng.random_range(0.0..1.0));
                     sleep(RESTORED_READ_SPREAD.mul_f64(fraction)).await;
                 }
-                Err(Miss::Failed { error }) => {
+                Err(FeedError::Failed { error }) => {
                     if self.outage_since.is_none() {
                         warn!(relay.log, "table service unavailable"; "table" => self.table, "error" => %error);
                         self.outage_since = Some(Instant::now());
@@ -200,7 +200,7 @@
         &mut self,
         relay: &Arc<Relay<D>>,
         pauses: u64,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         let was_paused = pauses > self.pauses;
         if !was_paused && let Some(changes) = self.request_from_peer(relay).await {
             return Ok(changes);
@@ -402,7 +402,7 @@
         &mut self,
         relay: &Relay<D>,
         was_paused: bool,
-    ) -> Result<Changes, Miss> {
+    ) -> Result<Changes, FeedError> {
         let before = self.reader.after();
         self.is_whole = before.is_none();
         let (changes, current) = match before {
@@ -411,7 +411,7 @@
                 let requested_at = Instant::now();
                 let listed = self.source.list(self.table).await;
                 (
-                    listed.map_err(|error| Miss::Failed { error })?,
+                    listed.map_err(|error| FeedError::Failed { error })?,
                     requested_at,
                 )
             }
@@ -451,7 +451,7 @@
         relay: &Relay<D>,
         after: RowRevision,
         was_paused: bool,
-    ) -> Result<(Changes, Instant), Miss> {
+    ) -> Result<(Changes, Instant), FeedError> {
         let is_shared = is_shared(relay);
         let debounce = if is_shared {
             SHARED_DEBOUNCE
--- a/crates/relay/src/peer/frame.rs
+++ b/crates/relay/src/peer/frame.rs
@@ -285,7 +285,7 @@
             other => handle_frame(&relay, &link.sender, other),
         }
     }
-    link.sender.abandon();
+    link.sender.abort();
     transfer::link_lost(&relay, &link.sender);
     // Dropping the senders notifies all waiting tasks that the link is gone.
     let mut pending = lock(&link.pending);
@@ -316,7 +316,7 @@
         Frame::Limit(notice) => relay.merge_notice(&notice, PEER),
         Frame::Suspicion(suspicion) => {
             relay.merge_suspicion(&suspicion, PEER);
-            outage::probe_named(relay, &suspicion);
+            outage::probe_reported(relay, &suspicion);
         }
         Frame::Beat {
             beat: digest,
--- a/crates/relay/src/peer/transfer.rs
+++ b/crates/relay/src/peer/transfer.rs
@@ -30,7 +30,7 @@
 /// Images that are kept for processes that are still fetching one when newer versions arrive.
 const MAX_IMAGES: usize = 3;
 /// Size limit of an encoded configuration.
-const MAX_CONFIGURATION_BYTES: u64 = wire::link::MAX_FRAME as u64;
+const MAX_CONFIGURATION_BYTES: u64 = wire::link::MAX_FRAME_BYTES as u64;
 
 /// A part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/wire/tests/round_trip.rs
+++ b/crates/wire/tests/round_trip.rs
@@ -1,11 +1,11 @@
-//! Frames arrive as they were sent, in order, up to the exact size limit.
+//! Frames arrive unchanged and in order, up to the exact size limit.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use bytes::Bytes;
 use proptest::prelude::*;
 use protocol::CallId;
 use std::time::Duration;
-use wire::link::MAX_FRAME;
+use wire::link::MAX_FRAME_BYTES;
 use wire::{Error, Frame, Key, Listener, Load, Models, Receiver, Refusal, Sender, Work};
 
 fn key() -> Key {
@@ -158,7 +158,7 @@
     fn every_frame_in_order(frames in prop::collection::vec(frame(), 1..20)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let received = runtime.block_on(async {
-            let ((sender, _keep), (_, mut receiver)) = link().await;
+            let ((sender, _guard), (_, mut receiver)) = link().await;
             for frame in &frames {
                 sender.send(frame.clone()).await.unwrap();
             }
@@ -173,26 +173,32 @@
     }
 }
 
-/// An answer that is one byte too long would close the link under every other call on it. The
-/// sender refuses that frame alone, and the link still carries the longest one allowed.
+/// A frame that is one byte too long would close the link and fail all other calls on it. The
+/// sender refuses only that frame, and the link still carries one of the maximum length.
 #[tokio::test]
 async fn exact_size_limit() {
-    let ((sender, _keep), (_, mut receiver)) = link().await;
+    let ((sender, _guard), (_, mut receiver)) = link().await;
     let order = |length| Frame::OrderDone {
         status: 200,
         body: Bytes::from(vec![7; length]),
     };
-    let head = postcard::to_stdvec(&order(MAX_FRAME / 2)).unwrap().len() - MAX_FRAME / 2;
-    let longest = order(MAX_FRAME - head);
-    let refused = sender.send(order(MAX_FRAME - head + 1)).await.unwrap_err();
-    assert!(matches!(refused, Error::Oversize { length } if length == MAX_FRAME + 1));
+    let head = postcard::to_stdvec(&order(MAX_FRAME_BYTES / 2))
+        .unwrap()
+        .len()
+        - MAX_FRAME_BYTES / 2;
+    let longest = order(MAX_FRAME_BYTES - head);
+    let refused = sender
+        .send(order(MAX_FRAME_BYTES - head + 1))
+        .await
+        .unwrap_err();
+    assert!(matches!(refused, Error::Oversize { length } if length == MAX_FRAME_BYTES + 1));
     sender.send(longest.clone()).await.unwrap();
     assert_eq!(receiver.recv().await.unwrap().unwrap(), longest);
 }
 
 #[tokio::test]
 async fn flush_before_close() {
-    let ((sender, _keep), (_, mut receiver)) = link().await;
+    let ((sender, _guard), (_, mut receiver)) = link().await;
     sender.send(Frame::Leave { incarnation: 3 }).await.unwrap();
     sender.flush().await.unwrap();
     drop(sender);
