--- a/crates/ctl/src/experiment/fault.rs
+++ b/crates/ctl/src/experiment/fault.rs
@@ -13,7 +13,7 @@
     Slow {
         /// Service of the runner.
         service: &'static str,
-        /// Its index among the service's runners.
+        /// Index of the runner among those of the service.
         index: usize,
         /// Factor by which it is slower.
         factor: f64,
@@ -22,7 +22,7 @@
     Kill {
         /// Service of the runner.
         service: &'static str,
-        /// Its index among the service's runners.
+        /// Index of the runner among those of the service.
         index: usize,
     },
     /// Kills all runners and agents of a failure domain.
