--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -2,7 +2,9 @@
 
 use crate::client::Client;
 use crate::fleet::{Fleet, Signal};
-use crate::rig::probe::{LIMIT, LOOK, apply, failed, get, post, status, target, until};
+use crate::rig::probe::{
+    POLL_INTERVAL, WAIT_TIMEOUT, apply, failed, get, post, status, wait_for_target, wait_until,
+};
 use crate::rig::runner::{Plan, Runner, any_port, place, serve};
 use crate::{Error, listing, rig::record};
 use ::record::Document;
@@ -184,13 +186,13 @@
     pub async fn restart_runner(&mut self, id: &str) -> Result<(), Error> {
         let index = self.index(id)?;
         let runner = &mut self.runners[index];
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + WAIT_TIMEOUT;
         // The connections of the previous incarnation may hold the port for a moment.
         loop {
             match serve(runner.kind, runner.address, runner.options.clone()).await {
                 Ok(server) => break runner.server = Some(server),
                 Err(error) if Instant::now() > end => return Err(error),
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         Ok(())
@@ -226,12 +228,12 @@
     ///
     /// [`Error::Failed`] if it does not exit in time.
     pub async fn wait_for_exit(&mut self, id: &str) -> Result<bool, Error> {
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
             if let Some(status) = self.fleet.ended(id)? {
                 return Ok(status.success());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(failed(format!("{id} did not exit in time")))
     }
@@ -339,7 +341,7 @@
     /// [`Error::Failed`] if that takes too long.
     pub async fn wait_for_configuration(&self) -> Result<(), Error> {
         let first = self.entries[0].address;
-        until("an entry has read the configuration", || async {
+        wait_until("an entry has read the configuration", || async {
             status(first)
                 .await
                 .is_some_and(|status| status["ready"] == true)
@@ -354,7 +356,7 @@
     /// [`Error::Failed`] if that takes too long.
     pub async fn wait_for_revision(&self, revision: u64) -> Result<(), Error> {
         for entry in &self.entries {
-            until("a revision is in force", || async {
+            wait_until("a revision is in force", || async {
                 let status = status(entry.address).await;
                 status.is_some_and(|status| status["revision"].as_u64() >= Some(revision))
             })
@@ -371,7 +373,7 @@
     pub async fn wait_for_links(&self) -> Result<(), Error> {
         for entry in &self.entries {
             for runner in &self.runners {
-                target(entry.address, &runner.vm.id, "live").await?;
+                wait_for_target(entry.address, &runner.vm.id, "live").await?;
             }
         }
         Ok(())
--- a/crates/ctl/src/rig/probe.rs
+++ b/crates/ctl/src/rig/probe.rs
@@ -10,16 +10,16 @@
 use tokio::time::Instant;
 
 /// Longest time that a condition is waited for.
-pub const LIMIT: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between two checks of a condition.
-pub const LOOK: Duration = Duration::from_millis(10);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Sets the faults of a stand-in.
 ///
 /// # Errors
 ///
 /// Those of the call.
-pub async fn fault(standin: SocketAddr, faults: &Value) -> Result<(), Error> {
+pub async fn set_faults(standin: SocketAddr, faults: &Value) -> Result<(), Error> {
     post(standin, "/standin/faults", faults).await
 }
 
@@ -46,9 +46,9 @@
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] if that takes longer than [`LIMIT`].
-pub async fn target(entry: SocketAddr, id: &str, state: &str) -> Result<(), Error> {
-    until(&format!("{id} is {state}"), || async {
+/// [`Error::Failed`] if that takes longer than [`WAIT_TIMEOUT`].
+pub async fn wait_for_target(entry: SocketAddr, id: &str, state: &str) -> Result<(), Error> {
+    wait_until(&format!("{id} is {state}"), || async {
         let status = status(entry).await.unwrap_or_default();
         let targets = status["targets"].as_array().cloned().unwrap_or_default();
         targets
@@ -62,17 +62,17 @@
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] with its name if it does not hold within [`LIMIT`].
-pub async fn until<F: Future<Output = bool>>(
+/// [`Error::Failed`] with its name if it does not hold within [`WAIT_TIMEOUT`].
+pub async fn wait_until<F: Future<Output = bool>>(
     what: &str,
     mut holds: impl FnMut() -> F,
 ) -> Result<(), Error> {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         if Instant::now() > end {
             return Err(failed(format!("timed out waiting until {what}")));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/ctl/src/torture/command.rs
+++ b/crates/ctl/src/torture/command.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Help};
 use crate::rig::bench::Bench;
-use crate::rig::probe::until;
+use crate::rig::probe::wait_until;
 use crate::rig::record::{ASSISTANT, LABEL, POOLS, REPORT};
 use crate::rig::runner::Plan;
 use crate::torture::demand::{self, Mix};
@@ -321,7 +321,7 @@
 
 /// All executions, once nothing runs any more.
 async fn settled_log(bench: &Bench) -> Result<Log, Error> {
-    until("nothing runs any more", || async {
+    wait_until("nothing runs any more", || async {
         let log = log(bench).await;
         log.iter()
             .all(|(_, execution)| execution.ended != Ended::Running)
--- a/crates/ctl/src/torture/fault.rs
+++ b/crates/ctl/src/torture/fault.rs
@@ -1,7 +1,7 @@
 //! Faults from a seed, each with its end.
 
 use crate::rig::bench::Bench;
-use crate::rig::probe::fault;
+use crate::rig::probe::set_faults;
 use crate::rig::proxy::Mode;
 use crate::rig::record::{LABEL, REPORT, drain};
 use crate::torture::schedule::{Pending, Schedule, Step};
@@ -219,7 +219,7 @@
             }
             Kind::Runner => {
                 let faults = self.runner_faults();
-                fault(self.bench.get(subject)?.address, &faults).await?;
+                set_faults(self.bench.get(subject)?.address, &faults).await?;
                 Undo::Runner(id)
             }
             Kind::CrashRunner => {
@@ -277,7 +277,7 @@
             Kind::Objects => (self.bench.objects.address(), OBJECTS),
             _ => (self.bench.vms.address(), VMS),
         };
-        fault(
+        set_faults(
             address,
             faults.choose(&mut self.rng).unwrap_or(&Value::Null),
         )
@@ -361,7 +361,7 @@
                 id
             }
             Undo::Runner(id) => {
-                fault(self.bench.get(id)?.address, &json!({})).await?;
+                set_faults(self.bench.get(id)?.address, &json!({})).await?;
                 id
             }
             Undo::Revive(id) => {
@@ -386,7 +386,7 @@
                     OBJECTS => self.bench.objects.address(),
                     _ => self.bench.vms.address(),
                 };
-                fault(address, &json!({})).await?;
+                set_faults(address, &json!({})).await?;
                 self.world.settle(name);
                 return Ok(true);
             }
--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::Error;
 use crate::fleet::Fleet;
-use crate::rig::probe::{failed, until};
+use crate::rig::probe::{failed, wait_until};
 use crate::rig::proxy::Proxy;
 use crate::rig::runner::place;
 use crate::torture::world::World;
@@ -295,7 +295,7 @@
                     settings.id
                 )));
             };
-            until(&what, || stub::caller::is_ready(asked)).await?;
+            wait_until(&what, || stub::caller::is_ready(asked)).await?;
         }
         Ok(())
     }
--- a/crates/ctl/tests/bench/mod.rs
+++ b/crates/ctl/tests/bench/mod.rs
@@ -200,8 +200,8 @@
 /// Waits until a condition holds.
 pub(crate) async fn until(what: &str, holds: impl AsyncFn() -> bool) {
     let bounded = || async {
-        let answer = tokio::time::timeout(probe::LIMIT, holds()).await;
+        let answer = tokio::time::timeout(probe::WAIT_TIMEOUT, holds()).await;
         answer.unwrap_or_else(|_| panic!("no answer while waiting until {what}"))
     };
-    probe::until(what, bounded).await.unwrap();
+    probe::wait_until(what, bounded).await.unwrap();
 }
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use ctl::error::Outcome;
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{ClientRequest, RequestRecord, ResponseOutcome};
-use ctl::rig::probe::until;
+use ctl::rig::probe::wait_until;
 use standin::log::Ended;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -35,7 +35,7 @@
 
 /// Waits until a service has had so many executions.
 pub(crate) async fn until_runs(bench: &Bench, service: &str, count: usize) {
-    until("the service has run the calls", || async {
+    wait_until("the service has run the calls", || async {
         bench.executions(service).await.len() >= count
     })
     .await
@@ -44,7 +44,7 @@
 
 /// Waits until nothing runs at a service any more.
 pub(crate) async fn until_idle(bench: &Bench, service: &str) {
-    until("the service is idle", || async {
+    wait_until("the service is idle", || async {
         let executions = bench.executions(service).await;
         executions.iter().all(|one| one.ended != Ended::Running)
     })
--- a/crates/ctl/tests/failure_answers.rs
+++ b/crates/ctl/tests/failure_answers.rs
@@ -7,7 +7,7 @@
 use common::{PATIENCE, run, spawn, until_runs};
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{ClientRequest, ResponseOutcome};
-use ctl::rig::probe::{fault, target};
+use ctl::rig::probe::{set_faults, wait_for_target};
 use ctl::rig::proxy::Mode;
 use ctl::rig::record::{ASSISTANT, CHECK, DRAFT, POOLS, PRINT, READ, REPORT, drain};
 use ctl::rig::runner::Plan;
@@ -29,19 +29,19 @@
 /// Leaves new work to one runner of a pair, so that the test knows where it goes.
 async fn only(bench: &mut Bench, entry: SocketAddr, other: &str) {
     bench.apply(entry, &[drain(other)]).await.unwrap();
-    target(entry, other, "drained").await.unwrap();
+    wait_for_target(entry, other, "drained").await.unwrap();
 }
 
 /// Lets both runners of a pair have new work again.
 async fn both(bench: &mut Bench, entry: SocketAddr, other: &str) {
     let key = format!("drain/{other}");
     bench.delete(entry, &[&key]).await.unwrap();
-    target(entry, other, "live").await.unwrap();
+    wait_for_target(entry, other, "live").await.unwrap();
 }
 
 async fn break_runner(bench: &Bench, id: &str, faults: Value) {
     let runner = bench.get(id).unwrap();
-    fault(runner.address, &faults).await.unwrap();
+    set_faults(runner.address, &faults).await.unwrap();
 }
 
 /// Breaks the answers of one runner of a pair, and asks until it has given one.
@@ -165,7 +165,7 @@
             let mut stream = ask.open(entry).await.unwrap();
             stream.read(5).await.unwrap();
             bench.get("one").unwrap().proxy.as_ref().unwrap().set(mode);
-            target(entry, "one", "unlinked").await.unwrap();
+            wait_for_target(entry, "one", "unlinked").await.unwrap();
             bench
                 .get("one")
                 .unwrap()
@@ -175,7 +175,7 @@
                 .set(Mode::Pass);
             let told = stream.finish().await;
             assert!(told.is_whole(), "{mode:?}: {told:?}");
-            target(entry, "one", "live").await.unwrap();
+            wait_for_target(entry, "one", "live").await.unwrap();
         }
     });
 }
@@ -200,7 +200,7 @@
                 .as_ref()
                 .unwrap()
                 .set(mode);
-            target(entry, "printer", "unlinked").await.unwrap();
+            wait_for_target(entry, "printer", "unlinked").await.unwrap();
             bench
                 .get("printer")
                 .unwrap()
--- a/crates/ctl/tests/failure_durable.rs
+++ b/crates/ctl/tests/failure_durable.rs
@@ -8,7 +8,7 @@
 use ctl::client::Client;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::probe::{fault, until};
+use ctl::rig::probe::{set_faults, wait_until};
 use ctl::rig::record::REPORT;
 use ctl::rig::runner::Plan;
 use hyper::Method;
@@ -62,7 +62,7 @@
 }
 
 async fn until_answered(entry: SocketAddr, request: &Value) -> Value {
-    until("the request is answered", || async {
+    wait_until("the request is answered", || async {
         fetch(entry, request).await.is_some()
     })
     .await
@@ -99,7 +99,7 @@
         bench.fleet.signal("entry-1", Signal::Continue).unwrap();
         assert_eq!(until_answered(first, &told["request"]).await, text);
         until_idle(&bench, REPORT).await;
-        until("the journal is empty", || async {
+        wait_until("the journal is empty", || async {
             journal(&bench).await == 0
         })
         .await
@@ -113,21 +113,21 @@
 fn journal_away() {
     run("durable-away", async |mut bench| {
         let [first, second] = start(&mut bench, 1.0).await;
-        fault(bench.table.address(), &json!({"down": true}))
+        set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
         let (_, told) = submit(first).await;
         let request = &told["request"];
-        until("the refusal is known", || async {
+        wait_until("the refusal is known", || async {
             refusal(first, request).await.as_deref() == Some("not_run")
         })
         .await
         .unwrap();
-        fault(bench.table.address(), &json!({})).await.unwrap();
+        set_faults(bench.table.address(), &json!({})).await.unwrap();
         // One whole request later than the outage, at the other entry, the refused one has not run.
         let (_, later) = submit(second).await;
         until_answered(second, &later["request"]).await;
-        until("the journal is empty", || async {
+        wait_until("the journal is empty", || async {
             journal(&bench).await == 0
         })
         .await
@@ -142,7 +142,7 @@
 fn answer_lost() {
     run("durable-lost", async |mut bench| {
         let [first, _] = start(&mut bench, 1.0).await;
-        fault(bench.table.address(), &json!({"lose_answers": 1}))
+        set_faults(bench.table.address(), &json!({"lose_answers": 1}))
             .await
             .unwrap();
         let (_, told) = submit(first).await;
--- a/crates/ctl/tests/failure_once.rs
+++ b/crates/ctl/tests/failure_once.rs
@@ -9,7 +9,7 @@
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{ClientRequest, ResponseOutcome};
-use ctl::rig::probe::{fault, status, until};
+use ctl::rig::probe::{set_faults, status, wait_until};
 use ctl::rig::record::{LABEL, PRINT};
 use ctl::rig::runner::Plan;
 use futures::future::join_all;
@@ -33,7 +33,7 @@
 
 /// Waits until an entry has offered a call, which waits in the agent behind another entry's.
 async fn until_offered(entry: SocketAddr) {
-    until("a call is offered", || async {
+    wait_until("a call is offered", || async {
         let status = status(entry).await.unwrap_or_default();
         status["targets"][0]["in_flight"].as_u64() == Some(1)
     })
@@ -178,7 +178,7 @@
     run("answers-lost", async |mut bench| {
         let entries = start(&mut bench, 1.0).await;
         let faults = json!({"lose_answers": 0.5});
-        fault(bench.table.address(), &faults).await.unwrap();
+        set_faults(bench.table.address(), &faults).await.unwrap();
         let asks = (0..24).map(|number| print(&format!("label-{number}")));
         for caller in spawn(asks, &entries) {
             let (ask, word) = caller.await.unwrap();
@@ -200,7 +200,7 @@
             ("slow", json!({"slow_ms": 2500})),
         ] {
             let ask = print(name);
-            fault(bench.table.address(), &faults).await.unwrap();
+            set_faults(bench.table.address(), &faults).await.unwrap();
             let told = ask.once(first).await;
             let ResponseOutcome::Problem(problem) = told else {
                 panic!("{told:?}")
@@ -208,7 +208,7 @@
             assert_eq!(problem.outcome, Some(Outcome::NotRun));
             assert!(problem.retry_after.is_some());
             assert_eq!(bench.runs(LABEL, &ask.input()).await, 0);
-            fault(bench.table.address(), &json!({})).await.unwrap();
+            set_faults(bench.table.address(), &json!({})).await.unwrap();
             let word = ask.send_until_final(&[second, first], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
--- a/crates/ctl/tests/failure_outage.rs
+++ b/crates/ctl/tests/failure_outage.rs
@@ -7,7 +7,7 @@
 use common::{PATIENCE, run, spawn, until_runs};
 use ctl::fleet::Signal;
 use ctl::rig::caller::ClientRequest;
-use ctl::rig::probe::{fault, until};
+use ctl::rig::probe::{set_faults, wait_until};
 use ctl::rig::record::{LABEL, PRINT};
 use ctl::rig::runner::Plan;
 use serde_json::json;
@@ -27,7 +27,7 @@
         let callers = spawn([ClientRequest::new(PRINT, "w-1").key("w-1")], &[first]);
         until_runs(&bench, LABEL, 1).await;
         for address in [bench.table.address(), bench.objects.address()] {
-            fault(address, &json!({"down": true})).await.unwrap();
+            set_faults(address, &json!({"down": true})).await.unwrap();
         }
         bench.fleet.signal("entry-1", Signal::Terminate).unwrap();
         for caller in callers {
@@ -43,7 +43,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
         assert!(status.unwrap().success());
-        until("the label is printed once", || async {
+        wait_until("the label is printed once", || async {
             bench.executions(LABEL).await.len() == 1
         })
         .await
--- a/crates/ctl/tests/failure_pairs.rs
+++ b/crates/ctl/tests/failure_pairs.rs
@@ -9,7 +9,7 @@
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{ClientRequest, ResponseOutcome};
-use ctl::rig::probe::{fault, get, status, target, until};
+use ctl::rig::probe::{get, set_faults, status, wait_for_target, wait_until};
 use ctl::rig::proxy::Mode;
 use ctl::rig::record::{ASSISTANT, DRAFT, LABEL, PRINT};
 use ctl::rig::runner::Plan;
@@ -31,7 +31,7 @@
 }
 
 async fn until_offered(entry: SocketAddr) {
-    until("a call is offered", || async {
+    wait_until("a call is offered", || async {
         let status = status(entry).await.unwrap_or_default();
         status["targets"][0]["in_flight"].as_u64() == Some(1)
     })
@@ -50,7 +50,7 @@
         until_runs(&bench, LABEL, 1).await;
         let waiting = spawn([print("waiting")], &[second]);
         until_offered(second).await;
-        fault(bench.table.address(), &json!({"down": true}))
+        set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
         bench.kill("printer").await.unwrap();
@@ -65,7 +65,7 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        fault(bench.table.address(), &json!({})).await.unwrap();
+        set_faults(bench.table.address(), &json!({})).await.unwrap();
         for entry in [first, second] {
             let word = print("waiting").send_until_final(&[entry], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
@@ -111,7 +111,7 @@
 fn link_and_store() {
     run("link-and-store", async |mut bench| {
         let entries = start(&mut bench, 30.0).await;
-        fault(bench.table.address(), &json!({"lose_answers": 0.4}))
+        set_faults(bench.table.address(), &json!({"lose_answers": 0.4}))
             .await
             .unwrap();
         let asks = (0..16).map(|number| print(&format!("label-{number}")));
@@ -121,7 +121,7 @@
             let relay = bench.get("printer").unwrap().proxy.as_ref().unwrap();
             relay.set(Mode::Cut);
             for entry in entries {
-                target(entry, "printer", "unlinked").await.unwrap();
+                wait_for_target(entry, "printer", "unlinked").await.unwrap();
             }
             relay.set(Mode::Pass);
         }
@@ -191,19 +191,21 @@
         let ask = print("kept");
         assert!(ask.once(first).await.is_whole());
         let claim = "/v1/rows/claim?key=4:yard:kept";
-        until("the answer is kept", || async {
+        wait_until("the answer is kept", || async {
             let row: Value = get(bench.table.address(), claim).await.unwrap();
             row["value"]["progress"] == "answered"
         })
         .await
         .unwrap();
-        fault(bench.objects.address(), &json!({"down": true}))
+        set_faults(bench.objects.address(), &json!({"down": true}))
             .await
             .unwrap();
         bench.kill("entry-1").await.unwrap();
         let told = ask.once(second).await;
         assert_eq!(told.outcome(), Some(Outcome::Unknown), "{told:?}");
-        fault(bench.objects.address(), &json!({})).await.unwrap();
+        set_faults(bench.objects.address(), &json!({}))
+            .await
+            .unwrap();
         let told = ask.once(second).await;
         assert_eq!(
             told,
--- a/crates/ctl/tests/failure_records.rs
+++ b/crates/ctl/tests/failure_records.rs
@@ -10,7 +10,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::{Bench, OPERATORS};
-use ctl::rig::probe::{apply, fault, get, status, until};
+use ctl::rig::probe::{apply, get, set_faults, status, wait_until};
 use ctl::rig::record::{all, workspace};
 use futures::future::join_all;
 use hyper::{Method, StatusCode, header::HeaderMap};
@@ -102,7 +102,7 @@
 fn answers_lost() {
     run("records-answers-lost", async |mut bench| {
         let [first, second] = start(&mut bench).await;
-        fault(bench.table.address(), &json!({"lose_answers": 0.7}))
+        set_faults(bench.table.address(), &json!({"lose_answers": 0.7}))
             .await
             .unwrap();
         for round in 0..5 {
@@ -143,7 +143,7 @@
             json!({"reset": true}),
         ];
         for (round, faults) in (0..).zip(faults) {
-            fault(bench.table.address(), &faults).await.unwrap();
+            set_faults(bench.table.address(), &faults).await.unwrap();
             let base = record(entries[0], "workspace/yard").await["revision"].clone();
             let change = share(&format!("during-{round}"), "yard", 6 + round, &base);
             let answer = apply(entries[0], OPERATORS[0], &change).await.unwrap();
@@ -154,7 +154,7 @@
                 assert_eq!(ready(entry).await, StatusCode::OK);
                 assert_eq!(record(entry, "workspace/yard").await["revision"], base);
             }
-            fault(bench.table.address(), &json!({})).await.unwrap();
+            set_faults(bench.table.address(), &json!({})).await.unwrap();
             if outcome == Some(Outcome::NotRun) {
                 let history: Value = get(entries[1], "/v1/history").await.unwrap();
                 let text = history.to_string();
@@ -177,7 +177,7 @@
         let change = share("while-frozen", "yard", 7, &Value::Null);
         let accepted = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
         let fresh = bench.entry("entry-3").await.unwrap();
-        until("the fresh entry is ready", || async {
+        wait_until("the fresh entry is ready", || async {
             ready(fresh).await == StatusCode::OK
         })
         .await
@@ -201,11 +201,11 @@
         let change = share("latest", "yard", 9, &Value::Null);
         let accepted = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
         bench.wait_for_revision(accepted).await.unwrap();
-        fault(bench.table.address(), &json!({"down": true}))
+        set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
         let fresh = bench.entry("entry-3").await.unwrap();
-        until("the fresh entry is ready", || async {
+        wait_until("the fresh entry is ready", || async {
             ready(fresh).await == StatusCode::OK
         })
         .await
@@ -216,15 +216,15 @@
             bench.unlist(id).await.unwrap();
         }
         let alone = bench.entry("entry-4").await.unwrap();
-        until("the table is seen to be down", || async {
+        wait_until("the table is seen to be down", || async {
             let status = status(alone).await.unwrap_or_default();
             status["ready"] == false && status["head_age_ms"].is_null()
         })
         .await
         .unwrap();
         assert_eq!(ready(alone).await, StatusCode::SERVICE_UNAVAILABLE);
-        fault(bench.table.address(), &json!({})).await.unwrap();
-        until("the entry is ready", || async {
+        set_faults(bench.table.address(), &json!({})).await.unwrap();
+        wait_until("the entry is ready", || async {
             ready(alone).await == StatusCode::OK
         })
         .await
--- a/crates/ctl/tests/failure_stops.rs
+++ b/crates/ctl/tests/failure_stops.rs
@@ -9,7 +9,7 @@
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
 use ctl::rig::caller::{ClientRequest, ResponseOutcome};
-use ctl::rig::probe::{status, target, until};
+use ctl::rig::probe::{status, wait_for_target, wait_until};
 use ctl::rig::record::{ASSISTANT, DRAFT, drain};
 use ctl::rig::runner::Plan;
 use ctl::rig::stream::Stream;
@@ -46,7 +46,7 @@
     vm.service = "none".to_owned();
     bench.list(&vm).await.unwrap();
     for entry in entries {
-        target(*entry, mark, "live").await.unwrap();
+        wait_for_target(*entry, mark, "live").await.unwrap();
     }
 }
 
@@ -73,7 +73,7 @@
         let mut through = begun(second, "through").await;
         through.resume(first).await.unwrap();
         bench.fleet.signal("entry-1", Signal::Terminate).unwrap();
-        until("the entry drains", || async {
+        wait_until("the entry drains", || async {
             status(first)
                 .await
                 .is_some_and(|status| status["draining"] == true)
@@ -110,7 +110,7 @@
         }
         bench.fleet.signal("one", Signal::Terminate).unwrap();
         for entry in entries {
-            target(entry, "one", "leaving").await.unwrap();
+            wait_for_target(entry, "one", "leaving").await.unwrap();
         }
         none_at(&bench, "one", &entries).await;
         for stream in streams {
@@ -137,7 +137,7 @@
         vm.leaving = true;
         bench.list(&vm).await.unwrap();
         for entry in entries {
-            target(entry, "one", "leaving").await.unwrap();
+            wait_for_target(entry, "one", "leaving").await.unwrap();
         }
         vm.leaving = false;
         bench.list(&vm).await.unwrap();
@@ -175,7 +175,7 @@
         bench.kill("one").await.unwrap();
         bench.restart_agent("one").await.unwrap();
         for entry in entries {
-            target(entry, "one", "drained").await.unwrap();
+            wait_for_target(entry, "one", "drained").await.unwrap();
         }
         none_at(&bench, "one", &entries).await;
         bench.delete(entries[1], &["drain/one"]).await.unwrap();
--- a/crates/ctl/tests/model_routing.rs
+++ b/crates/ctl/tests/model_routing.rs
@@ -136,7 +136,7 @@
     tokio::time::sleep(BEFORE_END).await;
     // It comes back at an address that no list names.
     bench.restart_agent(0).await;
-    let answer = tokio::time::timeout(probe::LIMIT, calling).await;
+    let answer = tokio::time::timeout(probe::WAIT_TIMEOUT, calling).await;
     let answer = answer.expect("the call is answered").unwrap();
     // On a busy machine the model may have been loaded before the agent ended.
     if executions(&bench, 0).await == 0 {
--- a/crates/ctl/tests/tls_peers.rs
+++ b/crates/ctl/tests/tls_peers.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use ctl::fleet::Fleet;
-use ctl::rig::probe::until;
+use ctl::rig::probe::wait_until;
 use ctl::{Client, Common, Format, listing};
 use hyper::Method;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -95,7 +95,7 @@
     }
     let nothing = json!(null);
     for client in &clients {
-        until("the entry is ready", || async {
+        wait_until("the entry is ready", || async {
             answer(client, Method::GET, "/v1/status", &nothing).await["ready"] == true
         })
         .await
@@ -113,7 +113,7 @@
     let told = answer(&clients[0], Method::POST, path, &json!({"text": "a"})).await;
     assert_eq!(told["outcome"], "not_run");
     let path = format!("/v1/requests/{}", told["request"].as_str().unwrap());
-    until("the other entry knows whom to ask", || async {
+    wait_until("the other entry knows whom to ask", || async {
         answer(&clients[1], Method::GET, &path, &nothing).await["outcome"] == "not_run"
     })
     .await
