--- a/crates/ctl/src/experiment/arm.rs
+++ b/crates/ctl/src/experiment/arm.rs
@@ -76,7 +76,7 @@
                 executions.collect(&system, number).await?;
             }
         }
-        system.end();
+        system.kill_all();
         let peaks = peaks.lock().unwrap_or_else(PoisonError::into_inner);
         let peaks = peaks.values().copied().collect();
         Ok(DeploymentOutcome::new(
--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -47,7 +47,7 @@
     const HELP: Help = Help {
         name: "experiment",
         arguments: "SCENARIO",
-        about: "Measure the naive and the shipped decisions with the same requests",
+        about: "Compare the naive and the shipped policy with the same requests",
     };
 
     fn declare(options: &mut Options) {
@@ -61,7 +61,7 @@
         options.optopt(
             "",
             "deployment",
-            "only this one: harness or proofreading",
+            "run only this deployment: harness or proofreading",
             "NAME",
         );
     }
--- a/crates/ctl/src/experiment/system.rs
+++ b/crates/ctl/src/experiment/system.rs
@@ -179,7 +179,7 @@
 
     /// Kills all remaining processes. Their executions have been collected, and graceful shutdowns of
     /// all agents would take longer than the run.
-    pub fn end(self) {
+    pub fn kill_all(self) {
         drop(self.fleet);
         // The settings and logs of a successful run are not needed.
         let _ = std::fs::remove_dir_all(&self.directory);
--- a/crates/ctl/src/load/mod.rs
+++ b/crates/ctl/src/load/mod.rs
@@ -39,7 +39,7 @@
     const HELP: Help = Help {
         name: "load",
         arguments: "PIPELINE",
-        about: "Send requests at a steady mean rate and print what became of them",
+        about: "Send requests at a steady mean rate and print their outcomes",
     };
 
     fn declare(options: &mut Options) {
@@ -49,7 +49,7 @@
         options.optopt("", "deadline", "deadline in milliseconds (1000)", "MS");
         options.optopt("", "tokens", "tokens of each answer (16)", "N");
         options.optopt("", "seed", "seed of the arrival times (1)", "N");
-        options.optflag("", "stream", "ask for streams");
+        options.optflag("", "stream", "request streams");
         options.optflag("", "once", "send an idempotency key with each request");
     }
 
--- a/crates/ctl/src/measure/placement.rs
+++ b/crates/ctl/src/measure/placement.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Deserialize)]
-struct Held {
+struct LoadedModels {
     models: Vec<String>,
 }
 
@@ -82,14 +82,14 @@
     };
     let deployment = super::start(fleet, plan, vec![service(0)]).await?;
     // Once the first model is loaded, an entry holds the lease and knows the engines.
-    warm(&deployment, "old", 1, Instant::now()).await?;
+    wait_until_warm(&deployment, "old", 1, Instant::now()).await?;
     tokio::time::sleep(Duration::from_millis(placement.every_ms)).await;
     let entry = deployment.entries[0].listen;
     let accepted = Instant::now();
     let base = json!({"service/assistant": 1});
     super::apply(entry, &deployment.token, base, vec![service(FREE_ENGINES)]).await?;
-    let first = warm(&deployment, "new", 1, accepted).await?;
-    let all = warm(&deployment, "new", FREE_ENGINES, accepted).await?;
+    let first = wait_until_warm(&deployment, "new", 1, accepted).await?;
+    let all = wait_until_warm(&deployment, "new", FREE_ENGINES, accepted).await?;
     Ok(Point {
         loads: placement.loads,
         every_ms: placement.every_ms,
@@ -116,7 +116,7 @@
 }
 
 /// Waits until `count` engines have a model and returns the time since `start`.
-async fn warm(
+async fn wait_until_warm(
     deployment: &Deployment,
     model: &str,
     count: usize,
@@ -125,8 +125,8 @@
     loop {
         let mut warm = 0;
         for runner in &deployment.runners {
-            let held: Held = get(*runner, "/v1/models").await?;
-            warm += usize::from(held.models.iter().any(|held| held == model));
+            let loaded: LoadedModels = get(*runner, "/v1/models").await?;
+            warm += usize::from(loaded.models.iter().any(|loaded| loaded == model));
         }
         if warm >= count {
             return Ok(start.elapsed());
--- a/crates/ctl/src/report/mod.rs
+++ b/crates/ctl/src/report/mod.rs
@@ -25,7 +25,7 @@
     const HELP: Help = Help {
         name: "report",
         arguments: "FILE...",
-        about: "Draw what experiments printed, one SVG for each",
+        about: "Draw the results of experiments, one SVG for each",
     };
 
     fn declare(options: &mut Options) {
--- a/crates/ctl/src/rig/caller.rs
+++ b/crates/ctl/src/rig/caller.rs
@@ -1,5 +1,5 @@
-//! A client that sends requests, checks that each answer is complete and its own, and retries where
-//! that is allowed.
+//! A client that sends requests, checks that each answer is complete and belongs to its request,
+//! and retries where that is allowed.
 
 use crate::Error;
 use crate::client::{Answer, Client, collect};
