--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,10 +1,10 @@
-//! Sequences that wait and run, step by step.
+//! Waiting and running sequences, executed in steps.
 
 use super::cache::Cache;
 use crate::call::Call;
-use crate::fault::Switch;
-use crate::lag::Lag;
-use crate::log::Entry;
+use crate::fault::FaultInjector;
+use crate::lag::Delayed;
+use crate::log::LogEntry;
 use crate::options::{Options, millis};
 use crate::runner::Runner;
 use crate::slot::Load;
@@ -17,55 +17,55 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Lateness that later steps make up for; a longer stall shifts them.
-const CATCH_UP: Duration = Duration::from_millis(50);
+/// Maximum delay that later steps make up for; a longer delay shifts the schedule.
+const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 
-/// What the batch says about a sequence.
+/// Progress of a sequence.
 pub(super) enum Progress {
-    /// It has a place in the batch.
+    /// The sequence is in the batch.
     Start {
-        /// Its execution.
-        entry: Entry,
-        /// Leading prefix blocks that were in the cache.
+        /// Log entry of the execution.
+        entry: LogEntry,
+        /// Number of leading prefix blocks that were in the cache.
         hits: usize,
-        /// Time that its prefill takes, in microseconds.
+        /// Duration of the prefill in microseconds.
         busy_us: u64,
     },
-    /// Token of this number.
+    /// The token with this number has been generated.
     Token(u32),
-    /// All tokens are out.
+    /// All tokens have been generated.
     Done {
-        /// Its share of the time of all its steps, in microseconds.
+        /// Prefill time plus the sequence's share of its steps, in microseconds.
         busy_us: u64,
     },
 }
 
-/// A call that wants a place in the batch.
+/// A call to be added to the batch.
 pub(super) struct Request {
     pub(super) call: Call,
-    /// Tokens of the whole answer.
+    /// Number of tokens of the complete response.
     pub(super) total: u32,
     pub(super) cancelled: CancellationToken,
 }
 
-/// Number of a request in order of arrival.
-type Ticket = u64;
+/// Number of a request in the order of arrival.
+type ArrivalNumber = u64;
 
-/// A place in the queue, which is left when this is dropped.
+/// An entry in the queue, which is removed on drop.
 ///
-/// Without that, callers that have gone would be counted as waiting until the batch has room, and
-/// the load would look higher than it is.
-pub(super) struct Place {
+/// Otherwise, disconnected clients would be counted as waiting until the batch has room, and the
+/// reported load would be too high.
+pub(super) struct QueueEntry {
     batch: Arc<Batch>,
-    ticket: Ticket,
+    arrival: ArrivalNumber,
 }
 
-/// The sequences and the times of their steps.
+/// The sequences of an engine and the durations of their steps.
 pub(super) struct Batch {
     state: Mutex<State>,
     wake: Notify,
-    load: Lag<Load>,
-    switch: Arc<Switch>,
+    load: Delayed<Load>,
+    injector: Arc<FaultInjector>,
     runner: Arc<Runner>,
     cache: Arc<Mutex<Cache>>,
     limit: usize,
@@ -76,14 +76,14 @@
 
 #[derive(Default)]
 struct State {
-    arrivals: Ticket,
+    arrivals: ArrivalNumber,
     waiting: BinaryHeap<Waiting>,
     running: Vec<Running>,
 }
 
 struct Waiting {
     /// Higher priority first, then earlier arrival.
-    rank: (u8, Reverse<Ticket>),
+    rank: (u8, Reverse<ArrivalNumber>),
     request: Request,
     sink: UnboundedSender<Progress>,
 }
@@ -99,7 +99,7 @@
 impl Batch {
     pub(super) fn new(
         options: &Options,
-        switch: Arc<Switch>,
+        injector: Arc<FaultInjector>,
         runner: Arc<Runner>,
         cache: Arc<Mutex<Cache>>,
     ) -> Self {
@@ -111,8 +111,8 @@
         Self {
             state: Mutex::default(),
             wake: Notify::new(),
-            load: Lag::new(options.lag(), idle),
-            switch,
+            load: Delayed::new(options.lag(), idle),
+            injector,
             runner,
             cache,
             limit,
@@ -126,31 +126,31 @@
         self.load.get().unwrap_or_default()
     }
 
-    /// Queues a request; its progress comes through the channel, which is closed without `Done`
-    /// if it is cancelled.
-    pub(super) fn enter(
+    /// Queues a request. The channel reports its progress; if the request is cancelled, the channel
+    /// is closed without `Done`.
+    pub(super) fn enqueue(
         self: &Arc<Self>,
         request: Request,
-    ) -> (Place, UnboundedReceiver<Progress>) {
+    ) -> (QueueEntry, UnboundedReceiver<Progress>) {
         let (sink, progress) = unbounded_channel();
         let mut state = self.state();
         state.arrivals += 1;
-        let ticket = state.arrivals;
-        let rank = (request.call.priority, Reverse(ticket));
+        let arrival = state.arrivals;
+        let rank = (request.call.priority, Reverse(arrival));
         state.waiting.push(Waiting {
             rank,
             request,
             sink,
         });
-        self.report(&state);
+        self.publish_load(&state);
         drop(state);
         self.wake.notify_one();
         let batch = Arc::clone(self);
-        (Place { batch, ticket }, progress)
+        (QueueEntry { batch, arrival }, progress)
     }
 
-    /// Steps the batch, and sleeps while it is empty.
-    pub(super) async fn drive(&self) {
+    /// Runs the steps of the batch; sleeps while the batch is empty.
+    pub(super) async fn run_steps(&self) {
         let mut due = Instant::now();
         loop {
             let Some(time) = self.admit() else {
@@ -161,16 +161,16 @@
             due += time;
             tokio::time::sleep_until(due).await;
             self.emit(time);
-            if due.elapsed() > CATCH_UP {
+            if due.elapsed() > MAX_CATCH_UP {
                 due = Instant::now();
             }
         }
     }
 
-    /// Fills the batch and gives the time of its next step; `None` if it is empty.
+    /// Fills the batch and returns the duration of its next step; `None` if the batch is empty.
     fn admit(&self) -> Option<Duration> {
         let mut state = self.state();
-        state.running.retain(|running| !running.is_gone());
+        state.running.retain(|running| !running.is_abandoned());
         let mut prefill = Duration::ZERO;
         while state.running.len() < self.limit {
             let Some(waiting) = state.waiting.pop() else {
@@ -181,13 +181,14 @@
                 state.running.push(running);
             }
         }
-        self.report(&state);
+        self.publish_load(&state);
         let others = state.running.len().checked_sub(1)?;
         let step = self.step_ms * (1.0 + self.step_growth * others as f64);
-        Some(prefill + millis(self.runner.spread(step) * self.switch.factor()))
+        Some(prefill + millis(self.runner.sample_time(step) * self.injector.factor()))
     }
 
-    /// Starts a sequence unless its caller has gone; gives the time of its prefill too.
+    /// Starts a sequence unless it was cancelled or its client has disconnected; also returns the
+    /// duration of its prefill.
     fn start(&self, waiting: Waiting) -> Option<(Running, Duration)> {
         let Waiting { request, sink, .. } = waiting;
         if sink.is_closed() || request.cancelled.is_cancelled() {
@@ -198,9 +199,9 @@
         let hits = cache.touch(blocks);
         drop(cache);
         let misses = (blocks.len() - hits) as f64;
-        let prefill = millis(misses * self.prefill_ms * self.switch.factor());
+        let prefill = millis(misses * self.prefill_ms * self.injector.factor());
         let entry = self.runner.log.start(&request.call);
-        entry.hit(hits);
+        entry.set_prefix_hits(hits);
         let start = Progress::Start {
             entry,
             hits,
@@ -217,16 +218,16 @@
         Some((running, prefill))
     }
 
-    /// Gives each sequence its next token.
+    /// Sends the next token of each sequence.
     fn emit(&self, time: Duration) {
         let mut state = self.state();
         let sequences = u32::try_from(state.running.len()).unwrap_or(u32::MAX);
         let share = time / sequences.max(1);
         state.running.retain_mut(|running| running.step(share));
-        self.report(&state);
+        self.publish_load(&state);
     }
 
-    fn report(&self, state: &State) {
+    fn publish_load(&self, state: &State) {
         self.load.set(Load {
             running: state.running.len(),
             queued: state.waiting.len(),
@@ -239,33 +240,33 @@
     }
 }
 
-impl Place {
-    /// Takes the request out of the queue; `false` if it is no longer there.
-    pub(super) fn leave(&self) -> bool {
+impl QueueEntry {
+    /// Removes the request from the queue; `false` if it is no longer there.
+    pub(super) fn remove(&self) -> bool {
         let mut state = self.batch.state();
         let before = state.waiting.len();
         state
             .waiting
-            .retain(|waiting| waiting.rank.1 != Reverse(self.ticket));
-        self.batch.report(&state);
+            .retain(|waiting| waiting.rank.1 != Reverse(self.arrival));
+        self.batch.publish_load(&state);
         state.waiting.len() < before
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
-        self.leave();
+        self.remove();
     }
 }
 
 impl Running {
-    fn is_gone(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         self.sink.is_closed() || self.cancelled.is_cancelled()
     }
 
-    /// Sends the next token; `false` once the sequence is over.
+    /// Sends the next token; `false` if the sequence has ended.
     fn step(&mut self, share: Duration) -> bool {
-        if self.is_gone() {
+        if self.is_abandoned() {
             return false;
         }
         self.busy += share;
@@ -280,7 +281,7 @@
             return true;
         }
         let busy_us = micros(self.busy);
-        // A caller that has gone needs no end mark.
+        // The send fails only if the client has disconnected.
         let _ = self.sink.send(Progress::Done { busy_us });
         false
     }
