--- a/crates/ctl/src/torture/command.rs
+++ b/crates/ctl/src/torture/command.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Help};
 use crate::rig::bench::Bench;
-use crate::rig::probe::until;
+use crate::rig::probe::wait_until;
 use crate::rig::record::{ASSISTANT, LABEL, POOLS, REPORT};
 use crate::rig::runner::Plan;
 use crate::torture::demand::{self, Mix};
@@ -314,7 +314,7 @@
     }
     for (service, count) in deployment.runners {
         for number in 1..=count {
-            let plan = Plan::new(service, CONCURRENCY).time(WORK_MS).relayed();
+            let plan = Plan::new(service, CONCURRENCY).time(WORK_MS).behind_proxy();
             bench.runner(&format!("{service}-{number}"), plan).await?;
         }
     }
@@ -324,7 +324,7 @@
 
 /// All executions, once all of them have ended.
 async fn read_final_log(bench: &Bench) -> Result<Log, Error> {
-    until("nothing runs any more", || async {
+    wait_until("nothing runs any more", || async {
         let log = read_log(bench).await;
         log.iter()
             .all(|(_, execution)| execution.ended != ExecutionStatus::Running)
--- a/crates/ctl/src/torture/demand.rs
+++ b/crates/ctl/src/torture/demand.rs
@@ -1,6 +1,6 @@
 //! Open-loop load from a seed: requests arrive whether or not earlier ones were answered.
 
-use crate::rig::caller::{Ask, Word};
+use crate::rig::caller::{ClientRequest, RequestRecord};
 use crate::rig::record::{CHECK, DRAFT, PRINT, READ};
 use crate::torture::state::SoakState;
 use rand::rngs::StdRng;
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
     /// The request.
-    pub request: Ask,
+    pub request: ClientRequest,
     /// The responses of each of its callers.
-    pub records: Vec<Word>,
+    pub records: Vec<RequestRecord>,
 }
 
 /// Sends load for a time. Returns the traces once every caller has its final response.
@@ -79,7 +79,7 @@
     callers.join_all().await
 }
 
-fn draw_request(rng: &mut StdRng, mix: Mix, number: usize) -> (Ask, usize) {
+fn draw_request(rng: &mut StdRng, mix: Mix, number: usize) -> (ClientRequest, usize) {
     let kind: f64 = rng.random();
     let shares = [mix.print, mix.read, mix.draft, mix.streamed];
     let bounds = shares.iter().scan(0.0, |sum, share| {
@@ -88,11 +88,13 @@
     });
     let tokens = rng.random_range(4..60);
     let mut request = match bounds.into_iter().position(|bound| kind < bound) {
-        Some(0) => Ask::new(PRINT, format!("label {number}")).key(format!("key-{number}")),
-        Some(1) => Ask::new(READ, format!("pin {number}")),
-        Some(2) => Ask::new(DRAFT, format!("note {number}")).streamed(tokens),
-        Some(_) => Ask::new(CHECK, format!("drawing {number}")).streamed(tokens),
-        None => Ask::new(CHECK, format!("drawing {number}")),
+        Some(0) => {
+            ClientRequest::new(PRINT, format!("label {number}")).key(format!("key-{number}"))
+        }
+        Some(1) => ClientRequest::new(READ, format!("pin {number}")),
+        Some(2) => ClientRequest::new(DRAFT, format!("note {number}")).streamed(tokens),
+        Some(_) => ClientRequest::new(CHECK, format!("drawing {number}")).streamed(tokens),
+        None => ClientRequest::new(CHECK, format!("drawing {number}")),
     };
     request.workspace = format!("workspace-{}", rng.random_range(0..5));
     request.deadline = Duration::from_millis(rng.random_range(200..5_000));
@@ -102,7 +104,7 @@
 
 async fn send_request(
     state: Arc<SoakState>,
-    request: Ask,
+    request: ClientRequest,
     count: usize,
     first: usize,
 ) -> RequestTrace {
@@ -114,7 +116,7 @@
             turn += 1;
             entries.get(turn % entries.len().max(1)).copied()
         };
-        async move { request.persist_at(next, CALLER_TIMEOUT).await }
+        async move { request.send_until_final_at(next, CALLER_TIMEOUT).await }
     });
     let records = futures::future::join_all(callers).await;
     RequestTrace { request, records }
--- a/crates/ctl/src/torture/engines.rs
+++ b/crates/ctl/src/torture/engines.rs
@@ -8,7 +8,7 @@
 use crate::error::Outcome;
 use crate::fleet::Signal;
 use crate::rig::bench::Bench;
-use crate::rig::caller::{Ask, Told};
+use crate::rig::caller::{ClientRequest, ResponseOutcome};
 use crate::rig::record::{ASSISTANT, model_pipeline, model_service};
 use crate::rig::runner::Plan;
 use foldhash::fast::RandomState;
@@ -128,8 +128,8 @@
 /// One call and its outcome as the caller saw it.
 #[derive(Debug)]
 struct Call {
-    request: Ask,
-    outcome: Told,
+    request: ClientRequest,
+    outcome: ResponseOutcome,
     elapsed: Duration,
 }
 
@@ -205,14 +205,14 @@
         for _ in 0..ENGINES {
             cluster.add_engine().await?;
         }
-        cluster.bench.readable().await?;
+        cluster.bench.wait_for_configuration().await?;
         let pipelines = MODELS.iter().map(|model| model_pipeline(model));
         let records: Vec<_> = std::iter::once(model_service(&MODELS))
             .chain(pipelines)
             .collect();
         let first = lock(&cluster.addresses)[0];
         let revision = cluster.bench.apply(first, &records).await?;
-        cluster.bench.in_force(revision).await?;
+        cluster.bench.wait_for_revision(revision).await?;
         Ok(cluster)
     }
 
@@ -277,7 +277,7 @@
             Fault::CrashRunner => {
                 self.bench.crash_runner(&id).await?;
                 self.wait_downtime().await;
-                self.bench.revive_runner(&id).await?;
+                self.bench.restart_runner(&id).await?;
             }
             Fault::FreezeAgent => self.freeze(&id).await?,
             Fault::FreezeEntry => self.freeze(entry).await?,
@@ -306,9 +306,9 @@
             .flat_map(|one| MODELS.map(|model| (one, model)))
         {
             let left = end.saturating_duration_since(Instant::now());
-            let request = Ask::new(model, format!("after {model} {entry}"));
-            let record = request.persist(&[*entry], left).await;
-            if !record.last().is_some_and(Told::is_whole) {
+            let request = ClientRequest::new(model, format!("after {model} {entry}"));
+            let record = request.send_until_final(&[*entry], left).await;
+            if !record.last().is_some_and(ResponseOutcome::is_whole) {
                 let text = format!("{model} is not served at {entry} after the faults: {record:?}");
                 verdict.violations.push(text);
             }
@@ -320,7 +320,8 @@
         let addresses = lock(&self.addresses).clone();
         let mut callers = JoinSet::new();
         for number in 0..FINAL_CALLS {
-            let request = Ask::new(MODELS[number % MODELS.len()], format!("last {number}"));
+            let request =
+                ClientRequest::new(MODELS[number % MODELS.len()], format!("last {number}"));
             callers.spawn(send_call(request, addresses[number % addresses.len()]));
         }
         sleep(FINAL_CALLS_LEAD).await;
@@ -356,7 +357,7 @@
             break;
         }
         let model = MODELS[rng.random_range(0..MODELS.len())];
-        let mut request = Ask::new(model, format!("call {number}"));
+        let mut request = ClientRequest::new(model, format!("call {number}"));
         request.stream = rng.random_bool(0.3);
         let entry = lock(&addresses)[rng.random_range(0..ENTRIES.len())];
         callers.spawn(send_call(request, entry));
@@ -365,11 +366,11 @@
     callers.join_all().await
 }
 
-async fn send_call(request: Ask, entry: SocketAddr) -> Call {
+async fn send_call(request: ClientRequest, entry: SocketAddr) -> Call {
     let sent = Instant::now();
     let outcome = timeout(RESPONSE_TIMEOUT, request.once(entry)).await;
     Call {
-        outcome: outcome.unwrap_or(Told::Silent),
+        outcome: outcome.unwrap_or(ResponseOutcome::Silent),
         elapsed: sent.elapsed(),
         request,
     }
@@ -389,21 +390,21 @@
         counts.sent += 1;
         counts.slowest_ms = millis(call.elapsed).max(counts.slowest_ms);
         let wrong = match &call.outcome {
-            Told::Whole { .. } => {
+            ResponseOutcome::Whole { .. } => {
                 counts.answered += 1;
                 (ran == 0).then_some("answered, though it never ran")
             }
-            Told::Silent => Some("never answered"),
-            Told::Wrong(_) => Some("response of another call"),
-            Told::Problem(problem) if problem.outcome == Some(Outcome::NotRun) => {
+            ResponseOutcome::Silent => Some("never answered"),
+            ResponseOutcome::Wrong(_) => Some("response of another call"),
+            ResponseOutcome::Problem(problem) if problem.outcome == Some(Outcome::NotRun) => {
                 counts.not_run += 1;
                 (ran > 0).then_some("told not run, though it ran")
             }
-            Told::Problem(_) => {
+            ResponseOutcome::Problem(_) => {
                 counts.unsure += 1;
                 None
             }
-            Told::Unreachable | Told::Lost => {
+            ResponseOutcome::Unreachable | ResponseOutcome::Lost => {
                 counts.closed += 1;
                 None
             }
--- a/crates/ctl/src/torture/fault.rs
+++ b/crates/ctl/src/torture/fault.rs
@@ -1,7 +1,7 @@
 //! Faults that are drawn from a seed, and their ends.
 
 use crate::rig::bench::Bench;
-use crate::rig::probe::fault;
+use crate::rig::probe::set_faults;
 use crate::rig::proxy::Mode;
 use crate::rig::record::{LABEL, REPORT, drain};
 use crate::torture::schedule::{Pending, Schedule, Step};
@@ -221,7 +221,7 @@
             }
             Kind::Runner => {
                 let faults = self.draw_runner_faults();
-                fault(self.bench.get(subject)?.address, &faults).await?;
+                set_faults(self.bench.get(subject)?.address, &faults).await?;
                 Undo::Runner(id)
             }
             Kind::CrashRunner => {
@@ -244,7 +244,7 @@
     }
 
     fn set_link_mode(&self, subject: &str, mode: Mode) -> Result<(), Error> {
-        if let Some(relay) = &self.bench.get(subject)?.relay {
+        if let Some(relay) = &self.bench.get(subject)?.proxy {
             relay.set(mode);
         }
         Ok(())
@@ -279,7 +279,7 @@
             Kind::Objects => (self.bench.objects.address(), OBJECTS),
             _ => (self.bench.vms.address(), VMS),
         };
-        fault(
+        set_faults(
             address,
             faults.choose(&mut self.rng).unwrap_or(&Value::Null),
         )
@@ -365,11 +365,11 @@
                 id
             }
             Undo::Runner(id) => {
-                fault(self.bench.get(id)?.address, &json!({})).await?;
+                set_faults(self.bench.get(id)?.address, &json!({})).await?;
                 id
             }
             Undo::Revive(id) => {
-                self.bench.revive_runner(id).await?;
+                self.bench.restart_runner(id).await?;
                 id
             }
             Undo::Undrain(id) => {
@@ -390,7 +390,7 @@
                     OBJECTS => self.bench.objects.address(),
                     _ => self.bench.vms.address(),
                 };
-                fault(address, &json!({})).await?;
+                set_faults(address, &json!({})).await?;
                 self.state.end_fault(name);
                 return Ok(true);
             }
--- a/crates/ctl/src/torture/tally.rs
+++ b/crates/ctl/src/torture/tally.rs
@@ -1,7 +1,7 @@
 //! Result of a soak: counts, and a description of each violation.
 
 use crate::error::Outcome;
-use crate::rig::caller::{Ask, Told, Word};
+use crate::rig::caller::{ClientRequest, RequestRecord, ResponseOutcome};
 use crate::rig::record::PRINT;
 use crate::torture::demand::RequestTrace;
 use crate::torture::operators::Violations;
@@ -125,7 +125,7 @@
         let none = trace
             .records
             .iter()
-            .all(|record| record.told.iter().all(says_not_run));
+            .all(|record| record.outcomes.iter().all(says_not_run));
         if none && !runs.is_empty() {
             self.counts.not_run_ran += 1;
             self.record_violation("not run, but ran", trace, runs);
@@ -143,19 +143,19 @@
 
     fn count_response(
         &mut self,
-        request: &Ask,
-        record: &Word,
+        request: &ClientRequest,
+        record: &RequestRecord,
         trace: &RequestTrace,
         runs: &[&(String, Execution)],
     ) {
         let counts = &mut self.counts;
         counts.sent += 1;
         match record.last() {
-            Some(Told::Whole { late, .. }) => {
+            Some(ResponseOutcome::Whole { late, .. }) => {
                 counts.answered += 1;
                 counts.late += u64::from(*late);
             }
-            Some(Told::Wrong(found)) => {
+            Some(ResponseOutcome::Wrong(found)) => {
                 let cut = request.expected().starts_with(found.as_str());
                 let (count, name) = match cut {
                     true => (&mut counts.truncated, "truncated"),
@@ -164,12 +164,12 @@
                 *count += 1;
                 self.record_violation(name, trace, runs);
             }
-            Some(Told::Problem(problem)) => match problem.outcome {
+            Some(ResponseOutcome::Problem(problem)) => match problem.outcome {
                 Some(Outcome::NotRun) => counts.not_run += 1,
                 Some(Outcome::Unknown) => counts.unknown += 1,
                 _ => counts.failed += 1,
             },
-            Some(Told::Lost) if request.key.is_none() && request.pipeline == PRINT => {
+            Some(ResponseOutcome::Lost) if request.key.is_none() && request.pipeline == PRINT => {
                 counts.broken += 1;
             }
             _ => {
@@ -204,6 +204,6 @@
     }
 }
 
-fn says_not_run(outcome: &Told) -> bool {
-    *outcome == Told::Unreachable || outcome.outcome() == Some(Outcome::NotRun)
+fn says_not_run(outcome: &ResponseOutcome) -> bool {
+    *outcome == ResponseOutcome::Unreachable || outcome.outcome() == Some(Outcome::NotRun)
 }
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use ctl::error::Outcome;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told, Word};
-use ctl::rig::probe::until;
+use ctl::rig::caller::{ClientRequest, RequestRecord, ResponseOutcome};
+use ctl::rig::probe::wait_until;
 use standin::log::ExecutionStatus;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -35,7 +35,7 @@
 
 /// Waits until a service has had so many executions.
 pub(crate) async fn until_runs(bench: &Bench, service: &str, count: usize) {
-    until("the service has run the calls", || async {
+    wait_until("the service has run the calls", || async {
         bench.executions(service).await.len() >= count
     })
     .await
@@ -44,7 +44,7 @@
 
 /// Waits until nothing runs at a service any more.
 pub(crate) async fn until_idle(bench: &Bench, service: &str) {
-    until("the service is idle", || async {
+    wait_until("the service is idle", || async {
         let executions = bench.executions(service).await;
         executions
             .iter()
@@ -55,10 +55,10 @@
 }
 
 /// Checks what a caller was told against what ran.
-pub(crate) async fn check(bench: &Bench, service: &str, ask: &Ask, word: &Word) {
+pub(crate) async fn check(bench: &Bench, service: &str, ask: &ClientRequest, word: &RequestRecord) {
     let runs = bench.runs(service, &ask.input()).await;
     let right = match word.last() {
-        Some(Told::Whole { .. }) => runs == 1,
+        Some(ResponseOutcome::Whole { .. }) => runs == 1,
         Some(told) if told.outcome() == Some(Outcome::NotRun) => runs == 0,
         Some(told) if told.outcome() == Some(Outcome::Unknown) => runs <= 1,
         _ => false,
@@ -68,13 +68,13 @@
 
 /// Starts callers that keep asking.
 pub(crate) fn spawn(
-    asks: impl IntoIterator<Item = Ask>,
+    asks: impl IntoIterator<Item = ClientRequest>,
     entries: &[std::net::SocketAddr],
-) -> Vec<tokio::task::JoinHandle<(Ask, Word)>> {
-    let caller = |ask: Ask| {
+) -> Vec<tokio::task::JoinHandle<(ClientRequest, RequestRecord)>> {
+    let caller = |ask: ClientRequest| {
         let entries = entries.to_vec();
         tokio::spawn(async move {
-            let word = ask.persist(&entries, PATIENCE).await;
+            let word = ask.send_until_final(&entries, PATIENCE).await;
             (ask, word)
         })
     };
--- a/crates/ctl/tests/failure_once.rs
+++ b/crates/ctl/tests/failure_once.rs
@@ -8,8 +8,8 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
-use ctl::rig::probe::{fault, status, until};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
+use ctl::rig::probe::{set_faults, status, wait_until};
 use ctl::rig::record::{LABEL, PRINT};
 use ctl::rig::runner::Plan;
 use futures::future::join_all;
@@ -17,8 +17,8 @@
 use standin::{Kind, Options};
 use std::net::SocketAddr;
 
-fn print(name: &str) -> Ask {
-    Ask::new(PRINT, name).key(name)
+fn print(name: &str) -> ClientRequest {
+    ClientRequest::new(PRINT, name).key(name)
 }
 
 /// Two entries and one label runner that prints for so many milliseconds.
@@ -33,7 +33,7 @@
 
 /// Waits until an entry has offered a call, which waits in the agent behind another entry's.
 async fn until_offered(entry: SocketAddr) {
-    until("a call is offered", || async {
+    wait_until("a call is offered", || async {
         let status = status(entry).await.unwrap_or_default();
         status["targets"][0]["in_flight"].as_u64() == Some(1)
     })
@@ -66,7 +66,7 @@
             assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
             check(&bench, LABEL, &ask, &word).await;
         }
-        let again = printing.persist(&[other], PATIENCE).await;
+        let again = printing.send_until_final(&[other], PATIENCE).await;
         assert_eq!(again.last().unwrap().outcome(), Some(Outcome::Unknown));
         check(&bench, LABEL, &printing, &again).await;
     });
@@ -98,7 +98,7 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        bench.linked().await.unwrap();
+        bench.wait_for_links().await.unwrap();
         until_idle(&bench, LABEL).await;
         assert_eq!(bench.executions(LABEL).await.len(), 5);
     });
@@ -160,7 +160,7 @@
         for told in join_all(callers).await {
             assert_eq!(
                 told,
-                Told::Whole {
+                ResponseOutcome::Whole {
                     late: false,
                     serial: Some(1)
                 }
@@ -178,7 +178,7 @@
     run("answers-lost", async |mut bench| {
         let entries = start(&mut bench, 1.0).await;
         let faults = json!({"lose_answers": 0.5});
-        fault(bench.table.address(), &faults).await.unwrap();
+        set_faults(bench.table.address(), &faults).await.unwrap();
         let asks = (0..24).map(|number| print(&format!("label-{number}")));
         for caller in spawn(asks, &entries) {
             let (ask, word) = caller.await.unwrap();
@@ -200,16 +200,16 @@
             ("slow", json!({"slow_ms": 2500})),
         ] {
             let ask = print(name);
-            fault(bench.table.address(), &faults).await.unwrap();
+            set_faults(bench.table.address(), &faults).await.unwrap();
             let told = ask.once(first).await;
-            let Told::Problem(problem) = told else {
+            let ResponseOutcome::Problem(problem) = told else {
                 panic!("{told:?}")
             };
             assert_eq!(problem.outcome, Some(Outcome::NotRun));
             assert!(problem.retry_after.is_some());
             assert_eq!(bench.runs(LABEL, &ask.input()).await, 0);
-            fault(bench.table.address(), &json!({})).await.unwrap();
-            let word = ask.persist(&[second, first], PATIENCE).await;
+            set_faults(bench.table.address(), &json!({})).await.unwrap();
+            let word = ask.send_until_final(&[second, first], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
--- a/crates/ctl/tests/failure_pairs.rs
+++ b/crates/ctl/tests/failure_pairs.rs
@@ -8,30 +8,30 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
-use ctl::rig::probe::{fault, get, status, target, until};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
+use ctl::rig::probe::{get, set_faults, status, wait_for_target, wait_until};
 use ctl::rig::proxy::Mode;
 use ctl::rig::record::{ASSISTANT, DRAFT, LABEL, PRINT};
 use ctl::rig::runner::Plan;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-fn print(name: &str) -> Ask {
-    Ask::new(PRINT, name).key(name)
+fn print(name: &str) -> ClientRequest {
+    ClientRequest::new(PRINT, name).key(name)
 }
 
 /// Two entries and a label printer behind a relay.
 async fn start(bench: &mut Bench, time: f64) -> [SocketAddr; 2] {
     let first = bench.entry("entry-1").await.unwrap();
     let second = bench.entry("entry-2").await.unwrap();
-    let plan = Plan::new(LABEL, 1).time(time).relayed();
+    let plan = Plan::new(LABEL, 1).time(time).behind_proxy();
     bench.runner("printer", plan).await.unwrap();
     bench.ready().await.unwrap();
     [first, second]
 }
 
 async fn until_offered(entry: SocketAddr) {
-    until("a call is offered", || async {
+    wait_until("a call is offered", || async {
         let status = status(entry).await.unwrap_or_default();
         status["targets"][0]["in_flight"].as_u64() == Some(1)
     })
@@ -50,7 +50,7 @@
         until_runs(&bench, LABEL, 1).await;
         let waiting = spawn([print("waiting")], &[second]);
         until_offered(second).await;
-        fault(bench.table.address(), &json!({"down": true}))
+        set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
         bench.kill("printer").await.unwrap();
@@ -65,9 +65,9 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        fault(bench.table.address(), &json!({})).await.unwrap();
+        set_faults(bench.table.address(), &json!({})).await.unwrap();
         for entry in [first, second] {
-            let word = print("waiting").persist(&[entry], PATIENCE).await;
+            let word = print("waiting").send_until_final(&[entry], PATIENCE).await;
             assert!(word.last().unwrap().is_whole(), "{word:?}");
         }
         until_idle(&bench, LABEL).await;
@@ -99,7 +99,7 @@
             assert!(word.last().unwrap().is_whole(), "{word:?}");
             check(&bench, LABEL, &ask, &word).await;
         }
-        let after = print("after").persist(&[second], PATIENCE).await;
+        let after = print("after").send_until_final(&[second], PATIENCE).await;
         assert!(after.last().unwrap().is_whole(), "{after:?}");
         assert_eq!(bench.executions(LABEL).await.len(), 2);
     });
@@ -111,17 +111,17 @@
 fn link_and_store() {
     run("link-and-store", async |mut bench| {
         let entries = start(&mut bench, 30.0).await;
-        fault(bench.table.address(), &json!({"lose_answers": 0.4}))
+        set_faults(bench.table.address(), &json!({"lose_answers": 0.4}))
             .await
             .unwrap();
         let asks = (0..16).map(|number| print(&format!("label-{number}")));
         let callers = spawn(asks, &entries);
         for runs in [2, 5, 8, 11] {
             until_runs(&bench, LABEL, runs).await;
-            let relay = bench.get("printer").unwrap().relay.as_ref().unwrap();
+            let relay = bench.get("printer").unwrap().proxy.as_ref().unwrap();
             relay.set(Mode::Cut);
             for entry in entries {
-                target(entry, "printer", "unlinked").await.unwrap();
+                wait_for_target(entry, "printer", "unlinked").await.unwrap();
             }
             relay.set(Mode::Pass);
         }
@@ -142,7 +142,7 @@
         let plan = Plan::new(ASSISTANT, 8).time(10.0);
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = Ask::new(DRAFT, "held up").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "held up").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench.fleet.signal("one", Signal::Stop).unwrap();
@@ -150,7 +150,7 @@
         bench.runner("two", plan).await.unwrap();
         let told = stream.finish().await;
         assert!(told.is_whole(), "{told:?}");
-        assert!(bench.gone("entry-1").await.unwrap());
+        assert!(bench.wait_for_exit("entry-1").await.unwrap());
         bench.fleet.signal("one", Signal::Continue).unwrap();
     });
 }
@@ -161,16 +161,16 @@
 fn stop_and_cut() {
     run("stop-and-cut", async |mut bench| {
         let entry = bench.entry("entry-1").await.unwrap();
-        let plan = Plan::new(ASSISTANT, 8).time(10.0).relayed();
+        let plan = Plan::new(ASSISTANT, 8).time(10.0).behind_proxy();
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = Ask::new(DRAFT, "cut off").streamed(60);
+        let ask = ClientRequest::new(DRAFT, "cut off").streamed(60);
         let mut stream = ask.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench
             .get("one")
             .unwrap()
-            .relay
+            .proxy
             .as_ref()
             .unwrap()
             .set(Mode::Freeze);
@@ -178,7 +178,7 @@
         bench.runner("two", plan).await.unwrap();
         let told = stream.finish().await;
         assert!(told.is_whole(), "{told:?}");
-        assert!(bench.gone("one").await.unwrap());
+        assert!(bench.wait_for_exit("one").await.unwrap());
     });
 }
 
@@ -191,23 +191,25 @@
         let ask = print("kept");
         assert!(ask.once(first).await.is_whole());
         let claim = "/v1/rows/claim?key=4:yard:kept";
-        until("the answer is kept", || async {
+        wait_until("the answer is kept", || async {
             let row: Value = get(bench.table.address(), claim).await.unwrap();
             row["value"]["progress"] == "answered"
         })
         .await
         .unwrap();
-        fault(bench.objects.address(), &json!({"down": true}))
+        set_faults(bench.objects.address(), &json!({"down": true}))
             .await
             .unwrap();
         bench.kill("entry-1").await.unwrap();
         let told = ask.once(second).await;
         assert_eq!(told.outcome(), Some(Outcome::Unknown), "{told:?}");
-        fault(bench.objects.address(), &json!({})).await.unwrap();
+        set_faults(bench.objects.address(), &json!({}))
+            .await
+            .unwrap();
         let told = ask.once(second).await;
         assert_eq!(
             told,
-            Told::Whole {
+            ResponseOutcome::Whole {
                 late: false,
                 serial: Some(1)
             }
--- a/crates/ctl/tests/failure_records.rs
+++ b/crates/ctl/tests/failure_records.rs
@@ -10,7 +10,7 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::{Bench, OPERATORS};
-use ctl::rig::probe::{apply, fault, get, status, until};
+use ctl::rig::probe::{apply, get, set_faults, status, wait_until};
 use ctl::rig::record::{all, workspace};
 use futures::future::join_all;
 use hyper::{Method, StatusCode, header::HeaderMap};
@@ -85,7 +85,7 @@
                 conflict["document"]["share"],
                 10 * (round + 1) + winner as u32
             );
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
             for entry in entries {
                 let stored = record(entry, "workspace/yard").await;
                 assert_eq!(stored["document"]["share"], conflict["document"]["share"]);
@@ -102,7 +102,7 @@
 fn answers_lost() {
     run("records-answers-lost", async |mut bench| {
         let [first, second] = start(&mut bench).await;
-        fault(bench.table.address(), &json!({"lose_answers": 0.7}))
+        set_faults(bench.table.address(), &json!({"lose_answers": 0.7}))
             .await
             .unwrap();
         for round in 0..5 {
@@ -115,7 +115,7 @@
             let accepted = revision(&apply(first, OPERATORS[0], &change).await.unwrap());
             let again = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
             assert_eq!(accepted, again);
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
             let history: Value = get(second, "/v1/history").await.unwrap();
             let changes = history["changes"].as_array().unwrap().iter();
             let token = &change["token"];
@@ -136,14 +136,14 @@
         let entries = start(&mut bench).await;
         let change = share("before", "yard", 5, &Value::Null);
         let before = revision(&apply(entries[0], OPERATORS[0], &change).await.unwrap());
-        bench.in_force(before).await.unwrap();
+        bench.wait_for_revision(before).await.unwrap();
         let faults = [
             json!({"down": true}),
             json!({"slow_ms": 2500}),
             json!({"reset": true}),
         ];
         for (round, faults) in (0..).zip(faults) {
-            fault(bench.table.address(), &faults).await.unwrap();
+            set_faults(bench.table.address(), &faults).await.unwrap();
             let base = record(entries[0], "workspace/yard").await["revision"].clone();
             let change = share(&format!("during-{round}"), "yard", 6 + round, &base);
             let answer = apply(entries[0], OPERATORS[0], &change).await.unwrap();
@@ -154,14 +154,14 @@
                 assert_eq!(ready(entry).await, StatusCode::OK);
                 assert_eq!(record(entry, "workspace/yard").await["revision"], base);
             }
-            fault(bench.table.address(), &json!({})).await.unwrap();
+            set_faults(bench.table.address(), &json!({})).await.unwrap();
             if outcome == Some(Outcome::NotRun) {
                 let history: Value = get(entries[1], "/v1/history").await.unwrap();
                 let text = history.to_string();
                 assert!(!text.contains(&format!("during-{round}")), "{text}");
             }
             let accepted = revision(&apply(entries[1], OPERATORS[0], &change).await.unwrap());
-            bench.in_force(accepted).await.unwrap();
+            bench.wait_for_revision(accepted).await.unwrap();
         }
     });
 }
@@ -177,7 +177,7 @@
         let change = share("while-frozen", "yard", 7, &Value::Null);
         let accepted = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
         let fresh = bench.entry("entry-3").await.unwrap();
-        until("the fresh entry is ready", || async {
+        wait_until("the fresh entry is ready", || async {
             ready(fresh).await == StatusCode::OK
         })
         .await
@@ -187,7 +187,7 @@
         let stale = share("stale", "yard", 8, &Value::Null);
         let answer = apply(first, OPERATORS[1], &stale).await.unwrap();
         assert_eq!(answer.status, StatusCode::CONFLICT);
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
     });
 }
 
@@ -200,12 +200,12 @@
         let [_, second] = start(&mut bench).await;
         let change = share("latest", "yard", 9, &Value::Null);
         let accepted = revision(&apply(second, OPERATORS[0], &change).await.unwrap());
-        bench.in_force(accepted).await.unwrap();
-        fault(bench.table.address(), &json!({"down": true}))
+        bench.wait_for_revision(accepted).await.unwrap();
+        set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
         let fresh = bench.entry("entry-3").await.unwrap();
-        until("the fresh entry is ready", || async {
+        wait_until("the fresh entry is ready", || async {
             ready(fresh).await == StatusCode::OK
         })
         .await
@@ -216,15 +216,15 @@
             bench.unlist(id).await.unwrap();
         }
         let alone = bench.entry("entry-4").await.unwrap();
-        until("the table is seen to be down", || async {
+        wait_until("the table is seen to be down", || async {
             let status = status(alone).await.unwrap_or_default();
             status["ready"] == false && status["head_age_ms"].is_null()
         })
         .await
         .unwrap();
         assert_eq!(ready(alone).await, StatusCode::SERVICE_UNAVAILABLE);
-        fault(bench.table.address(), &json!({})).await.unwrap();
-        until("the entry is ready", || async {
+        set_faults(bench.table.address(), &json!({})).await.unwrap();
+        wait_until("the entry is ready", || async {
             ready(alone).await == StatusCode::OK
         })
         .await
@@ -245,11 +245,11 @@
         newer.body.insert("attainment".into(), 0.9.into());
         let accepted = bench.apply(first, &[newer]).await.unwrap();
         // The second operator looks at the record before changing it.
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
         let mut older = all(64).pop().unwrap();
         older.body.insert("deadline_ms".into(), 1234.into());
         let accepted = bench.apply(second, &[older]).await.unwrap();
-        bench.in_force(accepted).await.unwrap();
+        bench.wait_for_revision(accepted).await.unwrap();
         for entry in [first, second] {
             let stored = record(entry, "pipeline/check@1").await;
             assert_eq!(stored["document"]["deadline_ms"], 1234);
--- a/crates/ctl/tests/failure_stops.rs
+++ b/crates/ctl/tests/failure_stops.rs
@@ -8,8 +8,8 @@
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::Bench;
-use ctl::rig::caller::{Ask, Told};
-use ctl::rig::probe::{status, target, until};
+use ctl::rig::caller::{ClientRequest, ResponseOutcome};
+use ctl::rig::probe::{status, wait_for_target, wait_until};
 use ctl::rig::record::{ASSISTANT, DRAFT, drain};
 use ctl::rig::runner::Plan;
 use ctl::rig::stream::Stream;
@@ -29,7 +29,7 @@
 
 /// A stream that has begun.
 async fn begun(entry: SocketAddr, name: &str) -> Stream {
-    let ask = Ask::new(DRAFT, name).streamed(80);
+    let ask = ClientRequest::new(DRAFT, name).streamed(80);
     let mut stream = ask.open(entry).await.unwrap();
     stream.read(3).await.unwrap();
     stream
@@ -46,7 +46,7 @@
     vm.service = "none".to_owned();
     bench.list(&vm).await.unwrap();
     for entry in entries {
-        target(*entry, mark, "live").await.unwrap();
+        wait_for_target(*entry, mark, "live").await.unwrap();
     }
 }
 
@@ -54,8 +54,8 @@
 async fn none_at(bench: &Bench, id: &str, entries: &[SocketAddr]) {
     let before = runs(bench, id).await;
     for number in 0..12 {
-        let ask = Ask::new(DRAFT, format!("later-{number}")).streamed(2);
-        let word = ask.persist(&entries[number % 2..], PATIENCE).await;
+        let ask = ClientRequest::new(DRAFT, format!("later-{number}")).streamed(2);
+        let word = ask.send_until_final(&entries[number % 2..], PATIENCE).await;
         assert!(word.last().unwrap().is_whole(), "{word:?}");
     }
     assert_eq!(runs(bench, id).await, before);
@@ -73,15 +73,15 @@
         let mut through = begun(second, "through").await;
         through.resume(first).await.unwrap();
         bench.fleet.signal("entry-1", Signal::Terminate).unwrap();
-        until("the entry drains", || async {
+        wait_until("the entry drains", || async {
             status(first)
                 .await
                 .is_some_and(|status| status["draining"] == true)
         })
         .await
         .unwrap();
-        let told = Ask::new(DRAFT, "new").once(first).await;
-        let Told::Problem(problem) = told else {
+        let told = ClientRequest::new(DRAFT, "new").once(first).await;
+        let ResponseOutcome::Problem(problem) = told else {
             panic!("{told:?}")
         };
         assert_eq!(problem.outcome, Some(Outcome::NotRun));
@@ -90,7 +90,7 @@
             let told = stream.finish().await;
             assert!(told.is_whole(), "{told:?}");
         }
-        assert!(bench.gone("entry-1").await.unwrap());
+        assert!(bench.wait_for_exit("entry-1").await.unwrap());
         assert_eq!(bench.executions(ASSISTANT).await.len(), 3);
     });
 }
@@ -110,14 +110,14 @@
         }
         bench.fleet.signal("one", Signal::Terminate).unwrap();
         for entry in entries {
-            target(entry, "one", "leaving").await.unwrap();
+            wait_for_target(entry, "one", "leaving").await.unwrap();
         }
         none_at(&bench, "one", &entries).await;
         for stream in streams {
             let told = stream.finish().await;
             assert!(told.is_whole(), "{told:?}");
         }
-        assert!(bench.gone("one").await.unwrap());
+        assert!(bench.wait_for_exit("one").await.unwrap());
         assert_eq!(runs(&bench, "one").await, 2);
         none_at(&bench, "one", &entries).await;
     });
@@ -137,7 +137,7 @@
         vm.leaving = true;
         bench.list(&vm).await.unwrap();
         for entry in entries {
-            target(entry, "one", "leaving").await.unwrap();
+            wait_for_target(entry, "one", "leaving").await.unwrap();
         }
         vm.leaving = false;
         bench.list(&vm).await.unwrap();
@@ -167,7 +167,7 @@
             streams.push(begun(entries[0], &format!("draft-{}", streams.len())).await);
         }
         let revision = bench.apply(entries[0], &[drain("one")]).await.unwrap();
-        bench.in_force(revision).await.unwrap();
+        bench.wait_for_revision(revision).await.unwrap();
         none_at(&bench, "one", &entries).await;
         for stream in streams {
             assert!(stream.finish().await.is_whole());
@@ -175,10 +175,10 @@
         bench.kill("one").await.unwrap();
         bench.restart_agent("one").await.unwrap();
         for entry in entries {
-            target(entry, "one", "drained").await.unwrap();
+            wait_for_target(entry, "one", "drained").await.unwrap();
         }
         none_at(&bench, "one", &entries).await;
         bench.delete(entries[1], &["drain/one"]).await.unwrap();
-        bench.linked().await.unwrap();
+        bench.wait_for_links().await.unwrap();
     });
 }
