--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Help};
 use crate::operator::{Change, Records};
-use crate::{Common, Error, Operator, check, option, output};
+use crate::{Common, Error, OperatorClient, check, option, output};
 use getopts::{Matches, Options};
 use record::plan::Action;
 use record::{Document, Map, Plan, Revision};
@@ -36,14 +36,14 @@
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
         Ok(Self {
-            directory: option::single(matches, "DIR")?.into(),
+            directory: option::single_argument(matches, "DIR")?.into(),
             prune: matches.opt_present("prune"),
         })
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
         let directory = check::load_checked(&self.directory)?;
-        let mut operator = Operator::new(common)?;
+        let mut operator = OperatorClient::new(common)?;
         let records = operator.records().await?;
         let plan = crate::plan::plan(&records, &directory, self.prune)?;
         let mut revision = records.revision;
@@ -69,7 +69,7 @@
         .iter()
         .map(|stored| (stored.document.key(), stored.revision))
         .collect();
-    let mut change = Change::draw();
+    let mut change = Change::with_random_token();
     for pending in plan.pending() {
         let base = seen.get(&pending.key).copied();
         change.base.insert(pending.key.clone(), base);
--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -75,7 +75,7 @@
     }
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        let name = option::path_safe(option::single(matches, "PIPELINE")?, "PIPELINE")?;
+        let name = option::path_safe(option::single_argument(matches, "PIPELINE")?, "PIPELINE")?;
         let version = match matches.opt_str("version") {
             Some(text) if text == CURRENT => text,
             _ => option::parse::<record::Version>(matches, "version")?
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -48,7 +48,7 @@
             findings.0.extend(check(path)?.0);
         }
         let files = self.paths.len();
-        no_findings(findings.clone())?;
+        ensure_no_findings(findings.clone())?;
         output::print(
             common.format,
             format_args!("{files} checked, nothing found"),
@@ -93,10 +93,10 @@
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] naming the file that cannot be read, or [`Error::Found`].
+/// [`Error::Usage`] naming the file that cannot be read, or [`Error::Invalid`].
 pub fn load_checked(path: &Path) -> Result<Directory, Error> {
     let directory = load(path)?;
-    no_findings(directory.check_each())?;
+    ensure_no_findings(directory.check_each())?;
     Ok(directory)
 }
 
@@ -104,8 +104,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::Found`] if something was.
-pub fn no_findings(findings: Findings) -> Result<(), Error> {
+/// [`Error::Invalid`] if something was.
+pub fn ensure_no_findings(findings: Findings) -> Result<(), Error> {
     let result = findings.into_result();
-    result.map_err(|findings| Error::Found { findings })
+    result.map_err(|findings| Error::Invalid { findings })
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -72,7 +72,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct FullResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -81,14 +81,14 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl FullResponse {
     /// Reads the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Garbled`] if it is something else.
+    /// [`Error::Malformed`] if it is something else.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, Error> {
-        serde_json::from_slice(&self.body).map_err(|error| Error::Garbled {
+        serde_json::from_slice(&self.body).map_err(|error| Error::Malformed {
             reason: format!("{}: {error}", self.status),
         })
     }
@@ -225,7 +225,7 @@
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<FullResponse, Error> {
         let response = self.send(method, path, headers, body).await?;
         collect(response).await
     }
@@ -285,10 +285,10 @@
 /// # Errors
 ///
 /// [`Error::Lost`] if it breaks off.
-pub async fn collect(response: Response<Incoming>) -> Result<Answer, Error> {
+pub async fn collect(response: Response<Incoming>) -> Result<FullResponse, Error> {
     let (head, body) = response.into_parts();
     let body = body.collect().await.map_err(|error| lost(&error))?;
-    Ok(Answer {
+    Ok(FullResponse {
         status: head.status,
         headers: head.headers,
         body: body.to_bytes(),
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -75,7 +75,7 @@
 
 commands![
     crate::check::Check,
-    crate::plan::Planning,
+    crate::plan::PlanCommand,
     crate::apply::Apply,
     crate::get::Get,
     crate::history::History,
--- a/crates/ctl/src/daemon.rs
+++ b/crates/ctl/src/daemon.rs
@@ -125,7 +125,7 @@
         ),
         _ => return Err(wrong_arguments(&matches.free)),
     };
-    let found = |findings| Error::Found { findings };
+    let found = |findings| Error::Invalid { findings };
     match role.as_str() {
         "entry" => {
             let settings = setting::entry::parse(&read(&path)?, &path).map_err(found)?;
--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -31,7 +31,7 @@
     fn parse(matches: &Matches) -> Result<Self, Error> {
         let logs = matches.opt_str("logs").map(PathBuf::from);
         Ok(Self {
-            records: option::single(matches, "DIR")?.into(),
+            records: option::single_argument(matches, "DIR")?.into(),
             logs,
         })
     }
--- a/crates/ctl/src/demo/scenario.rs
+++ b/crates/ctl/src/demo/scenario.rs
@@ -238,7 +238,7 @@
         let values = text.lines().map(serde_json::from_str);
         values
             .collect::<Result<_, _>>()
-            .map_err(|error| Error::Garbled {
+            .map_err(|error| Error::Malformed {
                 reason: error.to_string(),
             })
     }
--- a/crates/ctl/src/deployment.rs
+++ b/crates/ctl/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::Error;
 use crate::fleet::{Fleet, Ready};
-use crate::listing::{draw, free, register, vm};
+use crate::listing::{any_port, random_key, register, vm};
 use setting::{Operator, Place, Placement, Platform, Policy};
 use standin::{Kind, Options};
 use std::net::SocketAddr;
@@ -123,8 +123,8 @@
             runners: Vec::new(),
             agents: Vec::new(),
             platform,
-            token: draw(),
-            key: draw(),
+            token: random_key(),
+            key: random_key(),
         };
         deployment.start_runners(fleet).await?;
         deployment.start_entries(fleet).await?;
@@ -159,8 +159,8 @@
         setting::Entry {
             id: id.to_owned(),
             place: place.clone(),
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform.clone(),
             key: self.key.clone(),
             operators: vec![Operator {
@@ -173,7 +173,7 @@
             head_poll_ms: self.plan.poll_ms,
             journal_beat_ms: 5_000,
             subset: self.plan.subset,
-            news: Some(free()),
+            news: Some(any_port()),
             placement: self.plan.placement,
         }
     }
@@ -182,8 +182,8 @@
         setting::Agent {
             id: runner.vm.clone(),
             place: place.clone(),
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform.clone(),
             key: self.key.clone(),
             service: runner.service.clone(),
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Help};
 use crate::operator::Change;
-use crate::{Common, Error, Operator, option, output};
+use crate::{Common, Error, OperatorClient, option, output};
 use getopts::Matches;
 use record::{Document, Kind, Revision, schema};
 use serde::Serialize;
@@ -59,11 +59,11 @@
 }
 
 fn vm(matches: &Matches) -> Result<String, Error> {
-    option::path_safe(option::single(matches, "VM")?, "VM")
+    option::path_safe(option::single_argument(matches, "VM")?, "VM")
 }
 
 async fn set(common: &Common, vm: &str, drained: bool) -> Result<(), Error> {
-    let mut operator = Operator::new(common)?;
+    let mut operator = OperatorClient::new(common)?;
     let wanted = Document {
         schema: schema::OLDEST,
         kind: Kind::Drain,
@@ -75,7 +75,7 @@
     let base = operator.record(&key).await?.map(|stored| stored.revision);
     let mut revision = base;
     if base.is_some() != drained {
-        let mut change = Change::draw();
+        let mut change = Change::with_random_token();
         change.base.insert(key.clone(), base);
         match drained {
             true => change.documents.push(wanted),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -52,7 +52,7 @@
 impl Problem {
     /// Wait after which a retry may succeed, if the entry named one.
     #[must_use]
-    pub fn wait(&self) -> Option<Duration> {
+    pub fn retry_delay(&self) -> Option<Duration> {
         Duration::try_from_secs_f64(self.retry_after?).ok()
     }
 }
@@ -93,7 +93,7 @@
     },
     /// Files or records are not as they should be.
     #[snafu(display("{findings}"))]
-    Found {
+    Invalid {
         /// Everything that is wrong.
         findings: Findings,
     },
@@ -128,7 +128,7 @@
     },
     /// The answer is not what the interface promises.
     #[snafu(display("answer unreadable: {reason}"))]
-    Garbled {
+    Malformed {
         /// What is wrong with it.
         reason: String,
     },
@@ -158,13 +158,13 @@
     #[must_use]
     pub fn exit(&self) -> u8 {
         match self {
-            Self::Usage { .. } | Self::File { .. } | Self::Found { .. } => EXIT_USAGE,
+            Self::Usage { .. } | Self::File { .. } | Self::Invalid { .. } => EXIT_USAGE,
             Self::Conflicting { .. } => EXIT_CONFLICT,
             Self::Lost { .. } => EXIT_UNKNOWN,
             Self::Refused { problem } if problem.outcome == Some(Outcome::Unknown) => EXIT_UNKNOWN,
             Self::Refused { .. }
             | Self::Unreachable { .. }
-            | Self::Garbled { .. }
+            | Self::Malformed { .. }
             | Self::Failed { .. } => EXIT_FAILED,
         }
     }
@@ -174,7 +174,7 @@
     pub fn value(&self) -> serde_json::Value {
         let mut value = serde_json::json!({"error": self.to_string(), "exit": self.exit()});
         match self {
-            Self::Found { findings } => value["findings"] = serde_json::json!(findings),
+            Self::Invalid { findings } => value["findings"] = serde_json::json!(findings),
             Self::Refused { problem } => value["problem"] = serde_json::json!(problem),
             Self::Conflicting { conflicts } => value["conflicts"] = serde_json::json!(conflicts),
             _ => {}
--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -67,7 +67,7 @@
     }
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        let text = option::single(matches, "SCENARIO")?;
+        let text = option::single_argument(matches, "SCENARIO")?;
         let scenario = text
             .parse()
             .map_err(|error| Error::usage(format!("SCENARIO `{text}`: {error}")))?;
--- a/crates/ctl/src/experiment/settings.rs
+++ b/crates/ctl/src/experiment/settings.rs
@@ -3,7 +3,7 @@
 use super::deployment::{Deployment, Service};
 use crate::Error;
 use crate::fleet::Fleet;
-use crate::listing::{draw, free};
+use crate::listing::{any_port, random_key};
 use setting::{Operator, Place, Platform, Policy};
 use standin::{Kind, Options};
 use std::net::SocketAddr;
@@ -36,8 +36,8 @@
         setting::Entry {
             id: id.to_owned(),
             place: self.place(domain),
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform.clone(),
             key: self.key.clone(),
             operators: vec![Operator {
@@ -66,8 +66,8 @@
         setting::Agent {
             id: id.to_owned(),
             place: self.place(domain),
-            listen: free(),
-            metrics: free(),
+            listen: any_port(),
+            metrics: any_port(),
             platform: self.platform.clone(),
             key: self.key.clone(),
             service: service.name.to_owned(),
@@ -95,8 +95,8 @@
             vms: fleet.standin("vm", Kind::Vm, &options)?,
             weights: None,
         },
-        key: draw(),
-        token: draw(),
+        key: random_key(),
+        token: random_key(),
         policy,
     })
 }
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -86,7 +86,7 @@
     /// [`Error::Failed`] if the directory cannot be made.
     pub fn new(directory: impl Into<PathBuf>) -> Result<Self, Error> {
         let program = std::env::current_exe().map_err(failed("own path"))?;
-        Self::of(directory, program.parent().unwrap_or(Path::new(".")))
+        Self::with_programs(directory, program.parent().unwrap_or(Path::new(".")))
     }
 
     /// A fleet of the programs in a directory; settings and logs go into a new directory.
@@ -94,7 +94,10 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if the directory for settings and logs cannot be made.
-    pub fn of(directory: impl Into<PathBuf>, programs: impl Into<PathBuf>) -> Result<Self, Error> {
+    pub fn with_programs(
+        directory: impl Into<PathBuf>,
+        programs: impl Into<PathBuf>,
+    ) -> Result<Self, Error> {
         let directory = directory.into();
         std::fs::create_dir_all(&directory).map_err(failed("directory"))?;
         Ok(Self {
@@ -112,7 +115,7 @@
 
     /// Number of the process of that name.
     #[must_use]
-    pub fn id(&self, name: &str) -> Option<u32> {
+    pub fn process_id(&self, name: &str) -> Option<u32> {
         let process = self.processes.iter().find(|process| process.name == name)?;
         Some(process.child.id())
     }
@@ -221,7 +224,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] if there is no such process.
-    pub fn ended(&mut self, name: &str) -> Result<Option<ExitStatus>, Error> {
+    pub fn try_wait(&mut self, name: &str) -> Result<Option<ExitStatus>, Error> {
         let mut processes = self.processes.iter_mut();
         let index = processes.position(|process| process.name == name);
         let index = index.ok_or_else(|| unknown(name))?;
--- a/crates/ctl/src/get.rs
+++ b/crates/ctl/src/get.rs
@@ -1,8 +1,8 @@
 //! `get`: the records in force.
 
 use crate::command::{Command, Help};
-use crate::operator::Stored;
-use crate::{Common, Error, Format, Operator, option, output};
+use crate::operator::StoredRecord;
+use crate::{Common, Error, Format, OperatorClient, option, output};
 use getopts::Matches;
 
 /// Prints one record or all.
@@ -22,12 +22,12 @@
         if matches.free.is_empty() {
             return Ok(Self { key: None });
         }
-        let key = option::path_safe(option::single(matches, "KEY")?, "KEY")?;
+        let key = option::path_safe(option::single_argument(matches, "KEY")?, "KEY")?;
         Ok(Self { key: Some(key) })
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
-        let operator = Operator::new(common)?;
+        let operator = OperatorClient::new(common)?;
         if let Some(key) = &self.key {
             let stored = operator.record(key).await?.ok_or_else(|| Error::Failed {
                 reason: format!("there is no record `{key}`"),
@@ -46,7 +46,7 @@
     }
 }
 
-fn show(stored: &Stored) -> String {
+fn show(stored: &StoredRecord) -> String {
     let (key, revision) = (stored.document.key(), stored.revision);
     let fields = stored.document.value();
     format!("// {key}, written by revision {revision}\n{fields:#}")
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -1,7 +1,7 @@
 //! `history`: the accepted changes.
 
 use crate::command::{Command, Help};
-use crate::{Common, Error, Format, Operator, option, output};
+use crate::{Common, Error, Format, OperatorClient, option, output};
 use getopts::{Matches, Options};
 use record::{Document, Revision};
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
     }
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        option::none(matches)?;
+        option::no_arguments(matches)?;
         Ok(Self {
             after: option::parse(matches, "after")?.unwrap_or_default(),
             limit: option::parse(matches, "limit")?.unwrap_or(DEFAULT_LIMIT),
@@ -53,7 +53,7 @@
     async fn run(self, common: &Common) -> Result<(), Error> {
         let Self { after, limit } = self;
         let path = format!("/v1/history?after={after}&limit={limit}");
-        let changes: Changes = Operator::new(common)?.read(&path).await?;
+        let changes: Changes = OperatorClient::new(common)?.read(&path).await?;
         if common.format == Format::Json {
             return output::json(&changes);
         }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -40,5 +40,5 @@
 
 pub use client::Client;
 pub use error::Error;
-pub use operator::Operator;
+pub use operator::OperatorClient;
 pub use option::{Common, Format};
--- a/crates/ctl/src/listing.rs
+++ b/crates/ctl/src/listing.rs
@@ -17,13 +17,13 @@
 
 /// An address on this machine, with a port that the system chooses.
 #[must_use]
-pub fn free() -> SocketAddr {
+pub fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
 /// Draws a key or token: 128 bits in hex.
 #[must_use]
-pub fn draw() -> String {
+pub fn random_key() -> String {
     format!("{:032x}", StdRng::from_os_rng().random::<u128>())
 }
 
--- a/crates/ctl/src/load/caller.rs
+++ b/crates/ctl/src/load/caller.rs
@@ -206,7 +206,7 @@
 fn problem(body: &[u8]) -> End {
     let problem: Problem = serde_json::from_slice(body).unwrap_or_default();
     match problem.outcome {
-        Some(Outcome::NotRun) => End::NotRun(problem.wait()),
+        Some(Outcome::NotRun) => End::NotRun(problem.retry_delay()),
         Some(Outcome::Unknown) => End::Unknown,
         Some(Outcome::Failed) => End::Failed,
         None => End::Lost,
--- a/crates/ctl/src/load/mod.rs
+++ b/crates/ctl/src/load/mod.rs
@@ -57,7 +57,7 @@
         let deadline = option::parse(matches, "deadline")?.unwrap_or(1_000);
         let load = Self {
             work: Work {
-                pipeline: option::single(matches, "PIPELINE")?,
+                pipeline: option::single_argument(matches, "PIPELINE")?,
                 operations: Vec::new(),
                 stream: matches.opt_present("stream"),
                 once: matches.opt_present("once"),
--- a/crates/ctl/src/measure.rs
+++ b/crates/ctl/src/measure.rs
@@ -48,7 +48,7 @@
     fn declare(_options: &mut Options) {}
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        let what = option::single(matches, "WHAT")?;
+        let what = option::single_argument(matches, "WHAT")?;
         match what.as_str() {
             "latency" | "links" | "records" | "claims" | "placement" => Ok(Self { what }),
             _ => Err(Error::usage(format!("there is no measurement `{what}`"))),
--- a/crates/ctl/src/measure/latency.rs
+++ b/crates/ctl/src/measure/latency.rs
@@ -137,7 +137,7 @@
 
 impl Processes {
     fn of(fleet: &Fleet) -> Self {
-        Self(NAMES.map(|name| fleet.id(name).unwrap_or_default()))
+        Self(NAMES.map(|name| fleet.process_id(name).unwrap_or_default()))
     }
 
     fn usage(&self) -> [Usage; 3] {
--- a/crates/ctl/src/measure/links.rs
+++ b/crates/ctl/src/measure/links.rs
@@ -42,7 +42,7 @@
     };
     let deployment = super::start(fleet, plan, vec![super::workspace(0)]).await?;
     let entry = deployment.entries[0].listen;
-    let process = fleet.id("entry-a1").unwrap_or_default();
+    let process = fleet.process_id("entry-a1").unwrap_or_default();
     let mut points = Vec::new();
     let mut known = 0;
     for size in SIZES {
--- a/crates/ctl/src/measure/records.rs
+++ b/crates/ctl/src/measure/records.rs
@@ -45,7 +45,7 @@
     };
     let deployment = super::start(fleet, plan, vec![super::workspace(0)]).await?;
     let [accepts, follows] =
-        ["entry-a1", "entry-b1"].map(|name| fleet.id(name).unwrap_or_default());
+        ["entry-a1", "entry-b1"].map(|name| fleet.process_id(name).unwrap_or_default());
     let mut pair = Pair {
         accepts: deployment.entries[0].listen,
         follows: deployment.entries[1].listen,
--- a/crates/ctl/src/operator.rs
+++ b/crates/ctl/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' interface of entries.
 
-use crate::client::Answer;
+use crate::client::FullResponse;
 use crate::error::{EXIT_UNKNOWN, Outcome};
 use crate::{Client, Common, Error};
 use hyper::header::HeaderMap;
@@ -22,7 +22,7 @@
 
 /// A record in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredRecord {
     /// Change that last wrote it.
     pub revision: Revision,
     /// The record.
@@ -35,7 +35,7 @@
     /// Last accepted change.
     pub revision: Revision,
     /// The records.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// What an operator asks for; accepted as a whole or not at all.
@@ -54,7 +54,7 @@
 impl Change {
     /// An empty change under a fresh token.
     #[must_use]
-    pub fn draw() -> Self {
+    pub fn with_random_token() -> Self {
         Self {
             token: format!("{:032x}", StdRng::from_os_rng().random::<u128>()),
             ..Self::default()
@@ -100,11 +100,11 @@
 
 /// A client of the operators' interface.
 #[derive(Clone)]
-pub struct Operator {
+pub struct OperatorClient {
     client: Client,
 }
 
-impl Operator {
+impl OperatorClient {
     /// A client of the entries that the options name.
     ///
     /// # Errors
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Operator::read`].
+    /// As [`OperatorClient::read`].
     pub async fn records(&self) -> Result<Records, Error> {
         self.read("/v1/records").await
     }
@@ -155,8 +155,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Operator::read`].
-    pub async fn record(&self, key: &str) -> Result<Option<Stored>, Error> {
+    /// As [`OperatorClient::read`].
+    pub async fn record(&self, key: &str) -> Result<Option<StoredRecord>, Error> {
         let path = format!("/v1/records?key={key}");
         match self.read::<Records>(&path).await {
             Ok(records) => Ok(records.records.into_iter().next()),
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Conflicting`], [`Error::Found`], [`Error::Refused`], or [`Error::Lost`] if no
+    /// [`Error::Conflicting`], [`Error::Invalid`], [`Error::Refused`], or [`Error::Lost`] if no
     /// answer settled it.
     pub async fn apply(&mut self, change: &Change) -> Result<Accepted, Error> {
         let body = serde_json::to_vec(change).map_err(|error| Error::Failed {
@@ -223,7 +223,7 @@
             if problem.status == StatusCode::SERVICE_UNAVAILABLE
                 || problem.outcome == Some(Outcome::Unknown) =>
         {
-            Some(problem.wait().unwrap_or(PAUSE).min(MAX_PAUSE))
+            Some(problem.retry_delay().unwrap_or(PAUSE).min(MAX_PAUSE))
         }
         _ => None,
     }
@@ -231,10 +231,10 @@
 
 /// Whether the answer also says what became of the same change sent earlier.
 fn settles(error: &Error) -> bool {
-    matches!(error, Error::Conflicting { .. } | Error::Found { .. })
+    matches!(error, Error::Conflicting { .. } | Error::Invalid { .. })
 }
 
-fn accept<T: DeserializeOwned>(answer: &Answer, expected: StatusCode) -> Result<T, Error> {
+fn accept<T: DeserializeOwned>(answer: &FullResponse, expected: StatusCode) -> Result<T, Error> {
     match answer.status {
         status if status == expected => answer.json(),
         StatusCode::CONFLICT => {
@@ -245,7 +245,7 @@
             let rejected: Rejected = answer.json()?;
             let findings = rejected.findings.into_iter();
             let findings = findings.map(|each| Finding::new(each.key, each.path, each.message));
-            Err(Error::Found {
+            Err(Error::Invalid {
                 findings: Findings(findings.collect()),
             })
         }
--- a/crates/ctl/src/option.rs
+++ b/crates/ctl/src/option.rs
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// [`Error::Usage`] if there is none or more than one.
-pub fn single(matches: &Matches, what: &str) -> Result<String, Error> {
+pub fn single_argument(matches: &Matches, what: &str) -> Result<String, Error> {
     match matches.free.as_slice() {
         [argument] => Ok(argument.clone()),
         [] => Err(Error::usage(format!("{what} is missing"))),
@@ -122,7 +122,7 @@
 /// # Errors
 ///
 /// [`Error::Usage`] if there is one.
-pub fn none(matches: &Matches) -> Result<(), Error> {
+pub fn no_arguments(matches: &Matches) -> Result<(), Error> {
     matches
         .free
         .first()
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Help};
 use crate::operator::Records;
-use crate::{Common, Error, Operator, check, option, output};
+use crate::{Common, Error, OperatorClient, check, option, output};
 use getopts::{Matches, Options};
 use record::{Directory, Document, Plan};
 use std::collections::HashSet;
@@ -10,12 +10,12 @@
 
 /// Shows what `apply` would change.
 #[derive(Debug)]
-pub struct Planning {
+pub struct PlanCommand {
     directory: PathBuf,
     prune: bool,
 }
 
-impl Command for Planning {
+impl Command for PlanCommand {
     const HELP: Help = Help {
         name: "plan",
         arguments: "DIR",
@@ -28,14 +28,14 @@
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
         Ok(Self {
-            directory: option::single(matches, "DIR")?.into(),
+            directory: option::single_argument(matches, "DIR")?.into(),
             prune: matches.opt_present("prune"),
         })
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
         let directory = check::load_checked(&self.directory)?;
-        let records = Operator::new(common)?.records().await?;
+        let records = OperatorClient::new(common)?.records().await?;
         let plan = plan(&records, &directory, self.prune)?;
         output::print(common.format, &plan, &plan)
     }
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Found`] if the records would contradict those that stay in force.
+/// [`Error::Invalid`] if the records would contradict those that stay in force.
 pub fn plan(records: &Records, directory: &Directory, prune: bool) -> Result<Plan, Error> {
     let stored = records.records.iter();
     let in_force: Vec<Document> = stored.map(|each| each.document.clone()).collect();
@@ -62,6 +62,6 @@
     let planned: HashSet<&String> = plan.changes.iter().map(|change| &change.key).collect();
     let stays = |document: &Document| !planned.contains(&document.key());
     let others: Vec<Document> = in_force.into_iter().filter(stays).collect();
-    check::no_findings(directory.check_with(&others))?;
+    check::ensure_no_findings(directory.check_with(&others))?;
     Ok(plan)
 }
--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -54,7 +54,7 @@
     /// [`Error::Failed`] if something cannot be started.
     pub async fn new(directory: PathBuf, programs: PathBuf) -> Result<Self, Error> {
         Ok(Self {
-            fleet: Fleet::of(directory, programs)?,
+            fleet: Fleet::with_programs(directory, programs)?,
             table: serve(Kind::Table, free(), Options::default()).await?,
             objects: serve(Kind::Object, free(), Options::default()).await?,
             vms: serve(Kind::Vm, free(), Options::default()).await?,
@@ -228,7 +228,7 @@
     pub async fn gone(&mut self, id: &str) -> Result<bool, Error> {
         let end = Instant::now() + LIMIT;
         while Instant::now() < end {
-            if let Some(status) = self.fleet.ended(id)? {
+            if let Some(status) = self.fleet.try_wait(id)? {
                 return Ok(status.success());
             }
             tokio::time::sleep(LOOK).await;
@@ -245,7 +245,7 @@
         if !self.fleet.has(id) {
             return Ok(false);
         }
-        match self.fleet.ended(id)? {
+        match self.fleet.try_wait(id)? {
             None => Ok(true),
             Some(status) if status.success() => Ok(false),
             Some(status) => Err(failed(format!("{id} ended with {status}"))),
--- a/crates/ctl/src/rig/caller.rs
+++ b/crates/ctl/src/rig/caller.rs
@@ -1,7 +1,7 @@
 //! A caller: asks, checks that what comes is its own and whole, and asks again while it may.
 
 use crate::Error;
-use crate::client::{Answer, Client, collect};
+use crate::client::{Client, FullResponse, collect};
 use crate::error::{Outcome, Problem};
 use crate::rig::record;
 use crate::rig::stream::{Stream, is_stream, token};
@@ -158,7 +158,7 @@
         }
     }
 
-    pub(crate) fn judge(&self, answer: &Answer) -> Told {
+    pub(crate) fn judge(&self, answer: &FullResponse) -> Told {
         if !answer.status.is_success() {
             return Told::Problem(answer.problem());
         }
@@ -345,7 +345,7 @@
 
     fn pause(&self) -> Duration {
         match self {
-            Self::Problem(problem) => problem.wait().unwrap_or(PAUSE).min(PAUSE_MOST),
+            Self::Problem(problem) => problem.retry_delay().unwrap_or(PAUSE).min(PAUSE_MOST),
             _ => PAUSE,
         }
     }
--- a/crates/ctl/src/rig/probe.rs
+++ b/crates/ctl/src/rig/probe.rs
@@ -1,7 +1,7 @@
 //! Calls to the processes and stand-ins of a bench, and waiting for what they show.
 
 use crate::Error;
-use crate::client::{Answer, Client};
+use crate::client::{Client, FullResponse};
 use hyper::Method;
 use hyper::header::{AUTHORIZATION, HeaderMap, HeaderValue};
 use serde_json::Value;
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// Those of the call; a refusal is an answer.
-pub async fn apply(entry: SocketAddr, token: &str, change: &Value) -> Result<Answer, Error> {
+pub async fn apply(entry: SocketAddr, token: &str, change: &Value) -> Result<FullResponse, Error> {
     let bearer = HeaderValue::from_str(&format!("Bearer {token}"));
     let bearer = bearer.map_err(|error| failed(error.to_string()))?;
     let headers = HeaderMap::from_iter([(AUTHORIZATION, bearer)]);
--- a/crates/ctl/src/standin.rs
+++ b/crates/ctl/src/standin.rs
@@ -68,7 +68,7 @@
 }
 
 fn kind(matches: &Matches) -> Result<Kind, Error> {
-    let text = option::single(matches, "KIND")?;
+    let text = option::single_argument(matches, "KIND")?;
     text.parse()
         .map_err(|error| Error::usage(format!("KIND `{text}`: {error}")))
 }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,7 +1,7 @@
 //! `status`: what an entry knows.
 
 use crate::command::{Command, Help};
-use crate::{Common, Error, Operator, option, output};
+use crate::{Common, Error, OperatorClient, option, output};
 use getopts::Matches;
 use record::Revision;
 use serde::{Deserialize, Serialize};
@@ -38,11 +38,11 @@
     };
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        option::none(matches).map(|()| Self)
+        option::no_arguments(matches).map(|()| Self)
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
-        let entry: Entry = Operator::new(common)?.read("/v1/status").await?;
+        let entry: Entry = OperatorClient::new(common)?.read("/v1/status").await?;
         output::print(common.format, show(&entry), &entry)
     }
 }
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -118,7 +118,7 @@
 
     /// Prints an event and says whether it is the end.
     fn print(&mut self, event: Event) -> Result<bool, Error> {
-        let data: Value = serde_json::from_str(&event.data).map_err(|error| Error::Garbled {
+        let data: Value = serde_json::from_str(&event.data).map_err(|error| Error::Malformed {
             reason: format!("event {}: {error}", event.id),
         })?;
         if event.name == PROBLEM {
--- a/crates/ctl/src/torture/operators.rs
+++ b/crates/ctl/src/torture/operators.rs
@@ -1,6 +1,6 @@
 //! Operators who race one another on a few records, and a watch over what is in force.
 
-use crate::client::Answer;
+use crate::client::FullResponse;
 use crate::error::Outcome;
 use crate::rig::bench::OPERATORS;
 use crate::rig::probe::{apply, get};
@@ -145,11 +145,11 @@
 }
 
 /// *Not run* is final only for a change that was sent once.
-fn is_final(answer: &Answer) -> bool {
+fn is_final(answer: &FullResponse) -> bool {
     answer.problem().outcome != Some(Outcome::Unknown)
 }
 
-fn note(ledger: &Ledger, change: &Value, answer: &Answer) {
+fn note(ledger: &Ledger, change: &Value, answer: &FullResponse) {
     let body: Value = answer.json().unwrap_or_default();
     ledger.lock().push(Accepted {
         revision: body["revision"].as_u64().unwrap_or_default(),
--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -125,7 +125,7 @@
         world: &World,
     ) -> Result<Self, Error> {
         let mut cluster = Self {
-            fleet: Fleet::of(logs, programs)?,
+            fleet: Fleet::with_programs(logs, programs)?,
             store: Store::start().await.map_err(|error| system(&error))?,
             relays: Vec::new(),
             targets: Vec::new(),
--- a/crates/ctl/src/torture/relays/fault.rs
+++ b/crates/ctl/src/torture/relays/fault.rs
@@ -419,7 +419,7 @@
         if !self.cluster.fleet.has(subject) {
             return Ok(true);
         }
-        if let Some(status) = self.cluster.fleet.ended(subject)? {
+        if let Some(status) = self.cluster.fleet.try_wait(subject)? {
             if !status.success() {
                 self.stuck.push(format!("{subject} ended with {status}"));
             }
--- a/crates/ctl/tests/bench/mod.rs
+++ b/crates/ctl/tests/bench/mod.rs
@@ -6,7 +6,7 @@
 use ctl::fleet::{Fleet, Ready, Signal};
 use ctl::operator::Change;
 use ctl::rig::probe;
-use ctl::{Client, Common, Format, Operator};
+use ctl::{Client, Common, Format, OperatorClient};
 use hyper::Method;
 use hyper::header::HeaderMap;
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
         let own = format!("linnetdrift-{name}-{fencing}-{}", std::process::id());
         let directory = std::env::temp_dir().join(own);
         let programs = Path::new(DESK).parent().unwrap();
-        let mut fleet = Fleet::of(&directory, programs).unwrap();
+        let mut fleet = Fleet::with_programs(&directory, programs).unwrap();
         let engine = |(number, models): (usize, &&[&str])| Runner {
             options: Options {
                 fencing,
@@ -77,8 +77,8 @@
             token: Some(self.deployment.token.clone()),
             format: Format::Json,
         };
-        let mut operator = Operator::new(&common).unwrap();
-        let mut change = Change::draw();
+        let mut operator = OperatorClient::new(&common).unwrap();
+        let mut change = Change::with_random_token();
         change.documents = serde_json::from_value(documents.clone()).unwrap();
         for document in &change.documents {
             let key = document.key();
@@ -178,7 +178,7 @@
     method: Method,
     path: &str,
     body: Bytes,
-) -> ctl::client::Answer {
+) -> ctl::client::FullResponse {
     let mut headers = HeaderMap::new();
     headers.insert("linnetdrift-workspace", "ferry-yard".parse().unwrap());
     let client = Client::plain(address);
--- a/crates/ctl/tests/failure_outage.rs
+++ b/crates/ctl/tests/failure_outage.rs
@@ -39,7 +39,7 @@
         }
         let mut status = None;
         while status.is_none() {
-            status = bench.fleet.ended("entry-1").unwrap();
+            status = bench.fleet.try_wait("entry-1").unwrap();
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
         assert!(status.unwrap().success());
--- a/crates/ctl/tests/failure_records.rs
+++ b/crates/ctl/tests/failure_records.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::run;
-use ctl::client::{Answer, Client};
+use ctl::client::{Client, FullResponse};
 use ctl::error::Outcome;
 use ctl::fleet::Signal;
 use ctl::rig::bench::{Bench, OPERATORS};
@@ -30,7 +30,7 @@
     json!({"token": token, "base": {key: base}, "documents": [workspace(name, share)]})
 }
 
-fn revision(answer: &Answer) -> u64 {
+fn revision(answer: &FullResponse) -> u64 {
     assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.problem());
     answer.json::<Value>().unwrap()["revision"]
         .as_u64()
--- a/crates/ctl/tests/lost_answers.rs
+++ b/crates/ctl/tests/lost_answers.rs
@@ -5,7 +5,7 @@
 mod fake;
 
 use ctl::operator::Change;
-use ctl::{Common, Error, Format, Operator};
+use ctl::{Common, Error, Format, OperatorClient};
 use fake::{Fake, answer, lost};
 use std::net::SocketAddr;
 use std::process::{Command, Output};
@@ -24,8 +24,8 @@
         token: Some("t".to_owned()),
         format: Format::Json,
     };
-    let mut operator = Operator::new(&common).unwrap();
-    let result = operator.apply(&Change::draw()).await;
+    let mut operator = OperatorClient::new(&common).unwrap();
+    let result = operator.apply(&Change::with_random_token()).await;
     let bodies = fake.seen().into_iter().map(|seen| seen.body).collect();
     (result.map(|accepted| accepted.revision), bodies)
 }
--- a/crates/ctl/tests/model_routing.rs
+++ b/crates/ctl/tests/model_routing.rs
@@ -16,11 +16,11 @@
 const BEFORE_END: Duration = Duration::from_millis(300);
 
 /// Runs a version of the pipeline.
-async fn run(bench: &Bench, entry: usize, version: u32) -> ctl::client::Answer {
+async fn run(bench: &Bench, entry: usize, version: u32) -> ctl::client::FullResponse {
     run_at(bench.entry(entry), version).await
 }
 
-async fn run_at(entry: SocketAddr, version: u32) -> ctl::client::Answer {
+async fn run_at(entry: SocketAddr, version: u32) -> ctl::client::FullResponse {
     let path = format!("{RUN}{version}/run");
     let body = json!({"text": "a"}).to_string().into();
     call(entry, Method::POST, &path, body).await
--- a/crates/ctl/tests/operator_commands.rs
+++ b/crates/ctl/tests/operator_commands.rs
@@ -4,7 +4,7 @@
 
 use ctl::fleet::Fleet;
 use ctl::operator::{Change, Records};
-use ctl::{Common, Error, Format, Operator};
+use ctl::{Common, Error, Format, OperatorClient};
 use record::{Document, schema};
 use serde_json::{Value, json};
 use setting::{Place, Platform, Policy, Tls};
@@ -27,7 +27,7 @@
         let own = format!("linnetdrift-{name}-{}", std::process::id());
         let directory = std::env::temp_dir().join(own);
         let programs = Path::new(DESK).parent().unwrap();
-        let mut fleet = Fleet::of(&directory, programs).unwrap();
+        let mut fleet = Fleet::with_programs(&directory, programs).unwrap();
         let mut start = |name, kind| fleet.standin(name, kind, &Options::default()).unwrap();
         let platform = Platform {
             table: start("table", Kind::Table),
@@ -73,14 +73,14 @@
         path.display().to_string()
     }
 
-    fn operator(&self) -> Operator {
+    fn operator(&self) -> OperatorClient {
         let common = Common {
             entries: vec![self.entry.parse().unwrap()],
             ca: Some(self.ca.clone()),
             token: Some(TOKEN.to_owned()),
             format: Format::Json,
         };
-        Operator::new(&common).unwrap()
+        OperatorClient::new(&common).unwrap()
     }
 
     fn stop(mut self) {
@@ -191,7 +191,7 @@
     let records: Records = bench.operator().records().await.unwrap();
     let amend = |share| {
         let document: Document = serde_json::from_value(workspace(share)).unwrap();
-        let mut change = Change::draw();
+        let mut change = Change::with_random_token();
         change.base = [(document.key(), Some(records.records[0].revision))].into();
         change.documents.push(document);
         change
@@ -222,7 +222,7 @@
     let errors = String::from_utf8(output.stderr).unwrap();
     insta::assert_snapshot!("by_command", errors.replace(&path, "records.json"));
     let document: Document = serde_json::from_value(pipeline).unwrap();
-    let mut change = Change::draw();
+    let mut change = Change::with_random_token();
     change.base = [(document.key(), None)].into();
     change.documents.push(document);
     let error = bench.operator().apply(&change).await.unwrap_err();
--- a/crates/ctl/tests/relay_reload.rs
+++ b/crates/ctl/tests/relay_reload.rs
@@ -48,7 +48,7 @@
 fn hangup() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("relay_reload");
     let programs = Path::new(env!("CARGO_BIN_EXE_linnetdriftd")).parent();
-    let mut fleet = Fleet::of(directory, programs.unwrap()).unwrap();
+    let mut fleet = Fleet::with_programs(directory, programs.unwrap()).unwrap();
     let mut settings = settings();
     fleet.relay(&settings).unwrap();
     let log = fleet.log("relay-1");
--- a/crates/ctl/tests/tls_peers.rs
+++ b/crates/ctl/tests/tls_peers.rs
@@ -26,8 +26,8 @@
     setting::Entry {
         id: id.to_owned(),
         place: place(),
-        listen: listing::free(),
-        metrics: listing::free(),
+        listen: listing::any_port(),
+        metrics: listing::any_port(),
         platform: platform.clone(),
         key: "shared".to_owned(),
         operators: vec![Operator {
@@ -71,7 +71,7 @@
 async fn asked_elsewhere() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("tls-peers");
     let programs = Path::new(env!("CARGO_BIN_EXE_linnetdrift")).parent();
-    let mut fleet = Fleet::of(&directory, programs.unwrap()).unwrap();
+    let mut fleet = Fleet::with_programs(&directory, programs.unwrap()).unwrap();
     let mut start = |name, kind| fleet.standin(name, kind, &Options::default()).unwrap();
     let platform = Platform {
         table: start("table", Kind::Table),
