--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: brings a directory of records into force.
+//! `apply`: applies a directory of records.
 
 use crate::command::{Command, Help};
 use crate::operator::{Change, Records};
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Brings records into force, all or none.
+/// Applies a directory of records atomically.
 #[derive(Debug)]
 pub struct Apply {
     directory: PathBuf,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The change that a plan comes to, against the revisions that it was made from.
+/// Converts a plan into a change based on the revisions that the plan was computed from.
 fn change(records: &Records, plan: &Plan, wanted: &[Document]) -> Change {
     let seen: Map<String, Revision> = records
         .records
--- a/crates/ctl/src/bin/linnetdrift.rs
+++ b/crates/ctl/src/bin/linnetdrift.rs
@@ -1,4 +1,4 @@
-//! The command line of operators and developers.
+//! The command-line interface for operators and developers.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -1,4 +1,4 @@
-//! `call`: one request to a pipeline.
+//! `call`: sends one request to a pipeline.
 
 use crate::client::{Client, collect};
 use crate::command::{Command, Help};
@@ -20,16 +20,16 @@
 pub const CLASS: HeaderName = HeaderName::from_static("linnetdrift-class");
 /// End-to-end deadline in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("linnetdrift-deadline-ms");
-/// Key under which a request runs once, however often it is sent.
+/// Idempotency key: requests with the same key run once, however often they are sent.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Media type of a streamed answer.
-pub(crate) const EVENTS: HeaderValue = HeaderValue::from_static("text/event-stream");
-/// Times that a request under a key is sent.
-const ATTEMPTS: u32 = 6;
-/// Wait before it is sent again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Version that callers get who name none.
-const CURRENT: &str = "@current";
+/// Media type of a streamed response.
+pub(crate) const EVENT_STREAM: HeaderValue = HeaderValue::from_static("text/event-stream");
+/// Maximum number of times that a request with an idempotency key is sent.
+const MAX_ATTEMPTS: u32 = 6;
+/// Delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Version alias that is used if the caller specifies no version.
+const CURRENT_VERSION: &str = "@current";
 
 /// Sends one request.
 #[derive(Clone, Debug)]
@@ -40,10 +40,10 @@
     input: Bytes,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
-    /// Identity of the request.
+    /// Id of the request.
     pub request: String,
     /// Whether it arrived after its deadline.
     pub late: bool,
@@ -77,9 +77,9 @@
     fn parse(matches: &Matches) -> Result<Self, Error> {
         let name = option::path_safe(option::single_argument(matches, "PIPELINE")?, "PIPELINE")?;
         let version = match matches.opt_str("version") {
-            Some(text) if text == CURRENT => text,
+            Some(text) if text == CURRENT_VERSION => text,
             _ => option::parse::<record::Version>(matches, "version")?
-                .map_or(CURRENT.to_owned(), |version| version.to_string()),
+                .map_or(CURRENT_VERSION.to_owned(), |version| version.to_string()),
         };
         let mut headers = HeaderMap::new();
         for (name, option) in [(WORKSPACE, "workspace"), (CLASS, "class"), (KEY, "key")] {
@@ -92,7 +92,7 @@
         }
         let stream = matches.opt_present("stream");
         if stream {
-            headers.insert(ACCEPT, EVENTS);
+            headers.insert(ACCEPT, EVENT_STREAM);
         }
         Ok(Self {
             path: format!("/v1/pipelines/{name}/versions/{version}/run"),
@@ -106,43 +106,43 @@
         let mut client = Client::new(common)?;
         match self.submit(&mut client).await? {
             Reply::Stream(response) => stream::print(&client, common.format, response).await,
-            Reply::Whole(answer) => output::print(common.format, show(&answer), &answer),
+            Reply::Complete(answer) => output::print(common.format, to_text(&answer), &answer),
         }
     }
 }
 
-/// What an entry sends back.
+/// Successful response of an entry.
 enum Reply {
     Stream(Response<Incoming>),
-    Whole(Answer),
+    Complete(Answer),
 }
 
 impl Call {
-    /// Sends the request until an answer settles it.
+    /// Sends the request, with retries if it has an idempotency key.
     ///
-    /// A request whose answer was lost may have run. It is sent again only under a key, where the
-    /// entry that gets it next finds the first one. From then on a refusal speaks of the last call
-    /// alone, so only an answer of the request itself ends the doubt.
+    /// A request whose response was lost may have run. It is sent again only with a key, by which
+    /// the next entry finds the first request. After a lost response, a refusal applies only to the
+    /// last call; only the outcome of the request itself resolves the uncertainty.
     async fn submit(&self, client: &mut Client) -> Result<Reply, Error> {
-        let keyed = self.headers.contains_key(KEY);
-        let mut doubt = None;
+        let has_key = self.headers.contains_key(KEY);
+        let mut unresolved = None;
         let mut attempt = 1;
         loop {
             let error = match self.attempt(client).await {
                 Ok(reply) => return Ok(reply),
                 Err(error) => error,
             };
-            let error = match doubt.take() {
-                Some(first) if !settles(&error) => first,
+            let error = match unresolved.take() {
+                Some(first) if !is_conclusive(&error) => first,
                 _ => error,
             };
-            if !keyed || attempt == ATTEMPTS || !matches!(error, Error::Lost { .. }) {
+            if !has_key || attempt == MAX_ATTEMPTS || !matches!(error, Error::Lost { .. }) {
                 return Err(error);
             }
-            doubt = Some(error);
+            unresolved = Some(error);
             attempt += 1;
             client.rotate();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -156,7 +156,7 @@
         }
         let answer = collect(response).await?;
         match answer.status {
-            StatusCode::OK => answer.json().map(Reply::Whole),
+            StatusCode::OK => answer.json().map(Reply::Complete),
             _ => Err(Error::Refused {
                 problem: answer.problem(),
             }),
@@ -164,8 +164,8 @@
     }
 }
 
-/// Whether the answer says what became of the request, whichever call brought it.
-fn settles(error: &Error) -> bool {
+/// Returns whether the error states the outcome of the request itself, not just of the last call.
+fn is_conclusive(error: &Error) -> bool {
     match error {
         Error::Refused { problem } => problem.outcome == Some(Outcome::Failed),
         _ => false,
@@ -190,7 +190,7 @@
     Ok(text.into())
 }
 
-fn show(answer: &Answer) -> String {
+fn to_text(answer: &Answer) -> String {
     let late = if answer.late { ", late" } else { "" };
     format!("{:#}\nrequest {}{late}", answer.output, answer.request)
 }
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings and records, as the daemon and the entries would check them.
+//! `check`: validates settings and records as the daemon and the entries do.
 
 use crate::command::{Command, Help};
 use crate::error::FileSnafu;
@@ -10,12 +10,12 @@
 use snafu::ResultExt;
 use std::path::{Path, PathBuf};
 
-/// Field that every record has and no settings file does.
-const RECORD_MARK: &str = "kind";
-/// Field that an agent's settings have and an entry's do not.
-const AGENT_MARK: &str = "runner";
+/// Field that every record has and no settings file has.
+const RECORD_FIELD: &str = "kind";
+/// Field that an agent's settings have and an entry's settings do not.
+const AGENT_FIELD: &str = "runner";
 
-/// Checks files and directories.
+/// Validates files and directories.
 #[derive(Debug)]
 pub struct Check {
     paths: Vec<PathBuf>,
@@ -69,14 +69,15 @@
     let has = |field: &str| parsed.value.get(field).is_some();
     let result = match &parsed.value {
         Value::Array(_) => return records(path),
-        Value::Object(_) if has(RECORD_MARK) => return records(path),
-        _ if has(AGENT_MARK) => setting::agent::parse(&text, &origin).map(drop),
+        Value::Object(_) if has(RECORD_FIELD) => return records(path),
+        _ if has(AGENT_FIELD) => setting::agent::parse(&text, &origin).map(drop),
         _ => setting::entry::parse(&text, &origin).map(drop),
     };
     Ok(result.err().unwrap_or_default())
 }
 
-/// A directory holds a whole deployment; a single file may name services of another.
+/// Checks records. References between records are checked for a directory only, as it contains a
+/// complete deployment; a single file may refer to services that another file defines.
 fn records(path: &Path) -> Result<Findings, Error> {
     let directory = load(path)?;
     Ok(match path.is_dir() {
@@ -89,22 +90,22 @@
     directory::load(path).map_err(|error| Error::usage(error.to_string()))
 }
 
-/// Reads records that must each be without findings by themselves.
+/// Loads records and checks each of them separately.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] naming the file that cannot be read, or [`Error::Invalid`].
+/// [`Error::Usage`] if a file cannot be read, or [`Error::Invalid`] if a record is invalid.
 pub fn load_checked(path: &Path) -> Result<Directory, Error> {
     let directory = load(path)?;
     ensure_no_findings(directory.check_each())?;
     Ok(directory)
 }
 
-/// Nothing must have been found.
+/// Returns an error if there are any findings.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`] if something was.
+/// [`Error::Invalid`] with the findings.
 pub fn ensure_no_findings(findings: Findings) -> Result<(), Error> {
     let result = findings.into_result();
     result.map_err(|findings| Error::Invalid { findings })
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to entries, in plain text or over TLS.
+//! HTTP client for entries, with or without TLS.
 
 use crate::error::Problem;
 use crate::{Common, Error};
@@ -22,13 +22,13 @@
 use tokio::net::TcpStream;
 use tokio_rustls::TlsConnector;
 
-/// Longest wait for a connection.
+/// Maximum time to establish a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where an entry listens.
+/// Address of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Whether it speaks TLS.
+    /// Whether to connect with TLS.
     pub tls: bool,
     /// Host and port.
     pub authority: String,
@@ -51,49 +51,49 @@
             Some(("https", rest)) => (true, rest),
             Some(("http", rest)) => (false, rest),
             None => (false, text),
-            Some(_) => return Err(not_an_entry(text)),
+            Some(_) => return Err(invalid_endpoint(text)),
         };
         let (host, port) = authority
             .rsplit_once(':')
-            .ok_or_else(|| not_an_entry(text))?;
+            .ok_or_else(|| invalid_endpoint(text))?;
         if host.is_empty() || port.parse::<u16>().is_err() {
-            return Err(not_an_entry(text));
+            return Err(invalid_endpoint(text));
         }
         let authority = authority.to_owned();
         Ok(Self { tls, authority })
     }
 }
 
-fn not_an_entry(text: &str) -> Error {
+fn invalid_endpoint(text: &str) -> Error {
     Error::usage(format!(
         "--entry `{text}` is not IP:PORT or https://IP:PORT"
     ))
 }
 
-/// A whole answer.
+/// An HTTP response with its complete body.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl FullResponse {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if it is something else.
+    /// [`Error::Malformed`] if the body is not JSON of the expected form.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|error| Error::Malformed {
             reason: format!("{}: {error}", self.status),
         })
     }
 
-    /// The answer as a problem, whether or not its body is one.
+    /// Converts the response to a problem, even if its body is not a problem document.
     #[must_use]
     pub fn problem(&self) -> Problem {
         let problem: Problem = serde_json::from_slice(&self.body).unwrap_or_default();
@@ -118,7 +118,7 @@
     headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()
 }
 
-/// Calls entries; the next one is tried where one cannot be reached.
+/// HTTP client that tries the next entry if one cannot be reached.
 #[derive(Clone)]
 pub struct Client {
     entries: Vec<Endpoint>,
@@ -127,18 +127,18 @@
 }
 
 impl Client {
-    /// A client of the entries that the options name.
+    /// Creates a client for the entries given in the options.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`] if no entry is named or the certificates cannot be read.
+    /// [`Error::Usage`] if no entry is given or the certificates cannot be read.
     pub fn new(common: &Common) -> Result<Self, Error> {
         if common.entries.is_empty() {
             return Err(Error::usage("--entry is missing"));
         }
-        let secure = common.entries.iter().any(|entry| entry.tls);
-        let tls = match (&common.ca, secure) {
-            (Some(path), _) => Some(Arc::new(trust(path)?)),
+        let needs_tls = common.entries.iter().any(|entry| entry.tls);
+        let tls = match (&common.ca, needs_tls) {
+            (Some(path), _) => Some(Arc::new(load_tls_config(path)?)),
             (None, true) => return Err(Error::usage("an https entry needs --ca")),
             (None, false) => None,
         };
@@ -157,7 +157,7 @@
         })
     }
 
-    /// A client of one address, in plain text and without a token.
+    /// Creates a client for one address, without TLS and without a token.
     #[must_use]
     pub fn plain(address: SocketAddr) -> Self {
         let entry = Endpoint {
@@ -171,16 +171,16 @@
         }
     }
 
-    /// The same client, starting with the entry after the first.
+    /// Moves the first entry to the end of the list, so that the next call starts with the second.
     pub fn rotate(&mut self) {
         self.entries.rotate_left(1);
     }
 
-    /// Sends a call and gives the answer's head; its body follows as it arrives.
+    /// Sends a request and returns the response head; the body is streamed.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if nothing was sent, [`Error::Lost`] if no answer came.
+    /// [`Error::Unreachable`] if nothing was sent, [`Error::Lost`] if no response arrived.
     pub async fn send(
         &self,
         method: Method,
@@ -188,7 +188,7 @@
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<Response<Incoming>, Error> {
-        let mut last = Error::usage("--entry is missing");
+        let mut last_error = Error::usage("--entry is missing");
         for entry in &self.entries {
             match self.connect(entry).await {
                 Ok(mut sender) => {
@@ -196,29 +196,29 @@
                     return sender
                         .send_request(request)
                         .await
-                        .map_err(|error| lost(&error));
+                        .map_err(|error| response_lost(&error));
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Reads a JSON document.
+    /// Fetches a JSON document.
     ///
     /// # Errors
     ///
-    /// Those of the call; an answer that is something else.
+    /// As [`Client::call`], and [`Error::Malformed`] if the body is not of the expected form.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let answer = self.call(Method::GET, path, HeaderMap::new(), Bytes::new());
         answer.await?.json()
     }
 
-    /// Sends a call and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`].
+    /// As [`Client::send`], and [`Error::Lost`] if the response is incomplete.
     pub async fn call(
         &self,
         method: Method,
@@ -262,7 +262,7 @@
         };
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&entry.authority))
             .await
-            .map_err(|_| unreachable("no connection in time".to_owned()))?
+            .map_err(|_| unreachable("timed out while connecting".to_owned()))?
             .map_err(|error| unreachable(error.to_string()))?;
         let Some(config) = self.tls.as_ref().filter(|_| entry.tls) else {
             return handshake(stream).await.map_err(unreachable);
@@ -280,14 +280,17 @@
     }
 }
 
-/// Waits for the rest of an answer.
+/// Reads the body of a response to its end.
 ///
 /// # Errors
 ///
-/// [`Error::Lost`] if it breaks off.
+/// [`Error::Lost`] if the connection breaks before the end of the body.
 pub async fn collect(response: Response<Incoming>) -> Result<FullResponse, Error> {
     let (head, body) = response.into_parts();
-    let body = body.collect().await.map_err(|error| lost(&error))?;
+    let body = body
+        .collect()
+        .await
+        .map_err(|error| response_lost(&error))?;
     Ok(FullResponse {
         status: head.status,
         headers: head.headers,
@@ -305,7 +308,7 @@
     Ok(sender)
 }
 
-fn trust(path: &Path) -> Result<ClientConfig, Error> {
+fn load_tls_config(path: &Path) -> Result<ClientConfig, Error> {
     let unreadable = |error: String| Error::usage(format!("--ca {}: {error}", path.display()));
     let mut roots = RootCertStore::empty();
     let certificates =
@@ -317,7 +320,7 @@
             .map_err(|error| unreadable(error.to_string()))?;
     }
     if roots.is_empty() {
-        return Err(unreadable("there is no certificate in it".to_owned()));
+        return Err(unreadable("the file contains no certificate".to_owned()));
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
@@ -326,7 +329,7 @@
     Ok(config.with_root_certificates(roots).with_no_client_auth())
 }
 
-fn lost(error: &hyper::Error) -> Error {
+fn response_lost(error: &hyper::Error) -> Error {
     Error::Lost {
         reason: error.to_string(),
     }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,14 +1,14 @@
-//! Commands of `linnetdrift`: how they are found, parsed and run.
+//! Commands of `linnetdrift`: lookup, parsing and execution.
 
 use crate::error::EXIT_OK;
 use crate::{Common, Error, Format};
 use getopts::{Matches, Options};
 use std::process::ExitCode;
 
-/// First lines of the help.
+/// First line of the help text.
 const USAGE: &str = "Usage: linnetdrift COMMAND [ARGUMENTS] [OPTIONS]";
-/// Last lines of the help.
-const EXITS: &str = "\
+/// Last lines of the help text.
+const EXIT_CODES: &str = "\
 Exit codes:
   0  done as asked
   1  failed or refused
@@ -18,49 +18,50 @@
 
 /// A command with its parsed arguments.
 pub trait Command: Sized {
-    /// Name on the command line, its arguments and what it does.
+    /// Name, arguments and description for the help text.
     const HELP: Help;
-    /// Whether `--version` is the common flag; a command may have an option of that name.
+    /// Whether `--version` prints the program's version; false for a command that has its own option
+    /// of that name.
     const VERSION_FLAG: bool = true;
 
-    /// Adds the command's own options.
+    /// Declares the command's own options.
     fn declare(_options: &mut Options) {}
 
-    /// Reads the command's own options and arguments.
+    /// Parses the command's own options and arguments.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`] for each bad argument.
+    /// [`Error::Usage`] if an argument is invalid.
     fn parse(matches: &Matches) -> Result<Self, Error>;
 
-    /// Carries the command out.
+    /// Runs the command.
     ///
     /// # Errors
     ///
-    /// What went wrong; it determines the exit code.
+    /// Any [`Error`]; it determines the exit code.
     fn run(self, common: &Common) -> impl Future<Output = Result<(), Error>> + Send;
 }
 
-/// What the help says about a command.
+/// Help text of a command.
 #[derive(Clone, Copy, Debug)]
 pub struct Help {
     /// Name on the command line.
     pub name: &'static str,
-    /// Arguments.
+    /// Names of its arguments.
     pub arguments: &'static str,
-    /// What it does.
+    /// One-line description.
     pub about: &'static str,
 }
 
-/// What to do with a command line.
-enum Request<C> {
+/// A parsed command line.
+enum Invocation<C> {
     Print(String),
     Run(C, Common),
 }
 
 macro_rules! commands {
     ($($command:ty),* $(,)?) => {
-        const HELPS: &[Help] = &[$(<$command as Command>::HELP),*];
+        const COMMANDS: &[Help] = &[$(<$command as Command>::HELP),*];
 
         async fn dispatch(name: &str, arguments: &[String]) -> Result<(), Error> {
             $(
@@ -92,7 +93,7 @@
     crate::torture::Torture,
 ];
 
-/// Runs the command line and gives the exit code.
+/// Runs the command line and returns the exit code.
 pub async fn main(arguments: &[String]) -> ExitCode {
     let result = match arguments.first().map(String::as_str) {
         None => Err(Error::usage(format!("a command is missing\n{}", help()))),
@@ -110,20 +111,20 @@
     error.exit().into()
 }
 
-/// Name and version of a program.
+/// Returns the name and version of a program.
 #[must_use]
 pub fn version(program: &str) -> String {
     format!("{program} {}", env!("CARGO_PKG_VERSION"))
 }
 
 async fn execute<C: Command>(arguments: &[String]) -> Result<(), Error> {
-    match request::<C>(arguments)? {
-        Request::Print(text) => crate::output::line(text),
-        Request::Run(command, common) => command.run(&common).await,
+    match parse_arguments::<C>(arguments)? {
+        Invocation::Print(text) => crate::output::line(text),
+        Invocation::Run(command, common) => command.run(&common).await,
     }
 }
 
-fn request<C: Command>(arguments: &[String]) -> Result<Request<C>, Error> {
+fn parse_arguments<C: Command>(arguments: &[String]) -> Result<Invocation<C>, Error> {
     let mut options = Options::new();
     C::declare(&mut options);
     Common::declare(&mut options);
@@ -140,25 +141,26 @@
         .map_err(|error| Error::usage(format!("{name}: {error}")))?;
     if matches.opt_present("help") {
         let brief = format!("Usage: linnetdrift {name} {expected} [OPTIONS]\n\n{about}.");
-        return Ok(Request::Print(options.usage(&brief)));
+        return Ok(Invocation::Print(options.usage(&brief)));
     }
     if C::VERSION_FLAG && matches.opt_present("version") {
-        return Ok(Request::Print(version("linnetdrift")));
+        return Ok(Invocation::Print(version("linnetdrift")));
     }
     let common = Common::parse(&matches)?;
-    Ok(Request::Run(C::parse(&matches)?, common))
+    Ok(Invocation::Run(C::parse(&matches)?, common))
 }
 
 fn help() -> String {
-    let lines = HELPS.iter().map(|help| {
+    let lines = COMMANDS.iter().map(|help| {
         let call = format!("{} {}", help.name, help.arguments);
         format!("  {call:<34} {}\n", help.about)
     });
     let lines: String = lines.collect();
-    format!("{USAGE}\n\nCommands (COMMAND --help says more):\n{lines}\n{EXITS}")
+    format!("{USAGE}\n\nCommands (COMMAND --help says more):\n{lines}\n{EXIT_CODES}")
 }
 
-/// Whether errors are wanted as JSON too; asked before the options are known to be well.
+/// Returns whether errors are to be printed as JSON. It scans the raw arguments, since errors also
+/// arise while the options are parsed.
 fn wants_json(arguments: &[String]) -> bool {
     let pairs = arguments.windows(2);
     let json =
--- a/crates/ctl/src/daemon.rs
+++ b/crates/ctl/src/daemon.rs
@@ -11,7 +11,7 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 
-/// First lines of the help.
+/// First lines of the help text.
 const USAGE: &str = "\
 Usage: linnetdriftd entry|agent|relay [SETTINGS] [OPTIONS]
 
@@ -21,29 +21,29 @@
 relay to standard output, where `started` has the addresses. Without SETTINGS the variable
 LINNETDRIFT_CONFIG names the file.";
 
-/// Roles that the first argument names.
+/// Valid values of the first argument.
 const ROLES: [&str; 3] = ["entry", "agent", "relay"];
-/// Variable that names the file of settings where no argument does.
-const CONFIG: &str = "LINNETDRIFT_CONFIG";
+/// Environment variable with the path of the settings file, used if no argument gives one.
+const CONFIG_VARIABLE: &str = "LINNETDRIFT_CONFIG";
 
-/// Where a process serves, printed once it does.
+/// Addresses of a process, printed once it accepts connections.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Ready {
     /// Role of the process.
     pub role: &'static str,
     /// Name of its VM.
     pub id: String,
-    /// Where it serves.
+    /// Address that it listens on.
     pub listen: SocketAddr,
-    /// Where it publishes news, if it does.
+    /// Address at which it publishes notifications, if it does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub news: Option<SocketAddr>,
-    /// Where it serves metrics.
+    /// Address of its metrics.
     pub metrics: SocketAddr,
 }
 
-/// What the arguments ask for.
-enum Request {
+/// A parsed command line.
+enum Invocation {
     Print(String),
     Entry(Box<setting::Entry>),
     Agent(Box<setting::Agent>),
@@ -53,7 +53,7 @@
     },
 }
 
-/// Runs the daemon and gives the exit code.
+/// Runs the daemon and returns the exit code.
 pub fn main(arguments: &[String]) -> ExitCode {
     match run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
@@ -65,46 +65,51 @@
 }
 
 fn run(arguments: &[String]) -> Result<(), Error> {
-    match request(arguments)? {
-        Request::Print(text) => output::line(text),
-        Request::Entry(settings) => {
+    match parse_arguments(arguments)? {
+        Invocation::Print(text) => output::line(text),
+        Invocation::Entry(settings) => {
             let log = metric::log::logger("entry", &settings.id);
-            many_threads()?.block_on(logged(log.clone(), run_entry(*settings, log)))
+            multi_thread_runtime()?.block_on(log_lifecycle(log.clone(), run_entry(*settings, log)))
         }
-        Request::Agent(settings) => {
+        Invocation::Agent(settings) => {
             let log = metric::log::logger("agent", &settings.id);
-            many_threads()?.block_on(logged(log.clone(), run_agent(*settings, log)))
+            multi_thread_runtime()?.block_on(log_lifecycle(log.clone(), run_agent(*settings, log)))
         }
-        Request::Relay { settings, path } => {
+        Invocation::Relay { settings, path } => {
             let log = metric::log::logger_to(std::io::stdout(), "relay", &settings.id);
-            one_thread()?.block_on(logged(log.clone(), run_relay(*settings, path, log)))
+            single_thread_runtime()?
+                .block_on(log_lifecycle(log.clone(), run_relay(*settings, path, log)))
         }
     }
 }
 
-fn many_threads() -> Result<Runtime, Error> {
-    built(Builder::new_multi_thread().enable_all().build())
+fn multi_thread_runtime() -> Result<Runtime, Error> {
+    map_build_error(Builder::new_multi_thread().enable_all().build())
 }
 
-/// A relay runs on VMs with a part of one core, where more threads only take turns.
-fn one_thread() -> Result<Runtime, Error> {
-    built(Builder::new_current_thread().enable_all().build())
+/// Builds a single-threaded runtime: a relay runs on VMs with a fraction of one core, where more
+/// threads would only compete for it.
+fn single_thread_runtime() -> Result<Runtime, Error> {
+    map_build_error(Builder::new_current_thread().enable_all().build())
 }
 
-fn built(runtime: std::io::Result<Runtime>) -> Result<Runtime, Error> {
+fn map_build_error(runtime: std::io::Result<Runtime>) -> Result<Runtime, Error> {
     runtime.map_err(|error| Error::Failed {
         reason: error.to_string(),
     })
 }
 
-async fn logged(log: Logger, role: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+async fn log_lifecycle(
+    log: Logger,
+    role: impl Future<Output = Result<(), Error>>,
+) -> Result<(), Error> {
     info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"));
     let result = role.await;
     info!(log, "stopped"; "clean" => result.is_ok());
     result
 }
 
-fn request(arguments: &[String]) -> Result<Request, Error> {
+fn parse_arguments(arguments: &[String]) -> Result<Invocation, Error> {
     let mut options = Options::new();
     options.optflag("h", "help", "print this help");
     options.optflag("", "version", "print the version");
@@ -112,54 +117,56 @@
         .parse(arguments)
         .map_err(|error| Error::usage(error.to_string()))?;
     if matches.opt_present("help") {
-        return Ok(Request::Print(options.usage(USAGE)));
+        return Ok(Invocation::Print(options.usage(USAGE)));
     }
     if matches.opt_present("version") {
-        return Ok(Request::Print(command::version("linnetdriftd")));
+        return Ok(Invocation::Print(command::version("linnetdriftd")));
     }
     let (role, path) = match matches.free.as_slice() {
         [role, path] => (role, path.clone()),
         [role] => (
             role,
-            configured().ok_or_else(|| wrong_arguments(&matches.free))?,
+            settings_path_from_env().ok_or_else(|| wrong_arguments(&matches.free))?,
         ),
         _ => return Err(wrong_arguments(&matches.free)),
     };
-    let found = |findings| Error::Invalid { findings };
+    let invalid = |findings| Error::Invalid { findings };
     match role.as_str() {
         "entry" => {
-            let settings = setting::entry::parse(&read(&path)?, &path).map_err(found)?;
-            Ok(Request::Entry(Box::new(settings)))
+            let settings = setting::entry::parse(&read(&path)?, &path).map_err(invalid)?;
+            Ok(Invocation::Entry(Box::new(settings)))
         }
         "agent" => {
-            let settings = setting::agent::parse(&read(&path)?, &path).map_err(found)?;
-            Ok(Request::Agent(Box::new(settings)))
+            let settings = setting::agent::parse(&read(&path)?, &path).map_err(invalid)?;
+            Ok(Invocation::Agent(Box::new(settings)))
         }
         "relay" => {
-            let settings = setting::relay::parse(&read(&path)?, &path).map_err(found)?;
+            let settings = setting::relay::parse(&read(&path)?, &path).map_err(invalid)?;
             let settings = Box::new(settings);
-            Ok(Request::Relay { settings, path })
+            Ok(Invocation::Relay { settings, path })
         }
-        _ => Err(no_role(role)),
+        _ => Err(unknown_role(role)),
     }
 }
 
 fn wrong_arguments(arguments: &[String]) -> Error {
     match arguments {
         [] => Error::usage("the role is missing: entry, agent or relay"),
-        [role] if !ROLES.contains(&role.as_str()) => no_role(role),
+        [role] if !ROLES.contains(&role.as_str()) => unknown_role(role),
         [_] => Error::usage("SETTINGS is missing"),
         _ => Error::usage(format!("unexpected argument `{}`", arguments[2])),
     }
 }
 
-fn no_role(role: &str) -> Error {
+fn unknown_role(role: &str) -> Error {
     Error::usage(format!("there is no role `{role}`: entry, agent or relay"))
 }
 
-/// The file of settings that the environment names.
-fn configured() -> Option<String> {
-    std::env::var(CONFIG).ok().filter(|path| !path.is_empty())
+/// Returns the path of the settings file from the environment.
+fn settings_path_from_env() -> Option<String> {
+    std::env::var(CONFIG_VARIABLE)
+        .ok()
+        .filter(|path| !path.is_empty())
 }
 
 fn read(path: &str) -> Result<String, Error> {
@@ -169,7 +176,7 @@
 async fn run_entry(settings: setting::Entry, log: Logger) -> Result<(), Error> {
     let id = settings.id.clone();
     let ready = |ready: entry::Ready| {
-        announce(&Ready {
+        print_ready(&Ready {
             role: "entry",
             id,
             listen: ready.listen,
@@ -177,7 +184,7 @@
             metrics: ready.metrics,
         });
     };
-    let result = entry::run(settings, log, ready, signal::stop()).await;
+    let result = entry::run(settings, log, ready, signal::wait_for_stop()).await;
     result.map_err(|error| Error::Failed {
         reason: error.to_string(),
     })
@@ -186,7 +193,7 @@
 async fn run_agent(settings: setting::Agent, log: Logger) -> Result<(), Error> {
     let id = settings.id.clone();
     let ready = |ready: agent::Ready| {
-        announce(&Ready {
+        print_ready(&Ready {
             role: "agent",
             id,
             listen: ready.listen,
@@ -194,19 +201,19 @@
             metrics: ready.metrics,
         });
     };
-    let result = agent::run(settings, log, ready, signal::stop()).await;
+    let result = agent::run(settings, log, ready, signal::wait_for_stop()).await;
     result.map_err(|error| Error::Failed {
         reason: error.to_string(),
     })
 }
 
 async fn run_relay(settings: setting::Relay, path: String, log: Logger) -> Result<(), Error> {
-    // Its log goes to the same output and has the addresses: a line from here could end up in the
-    // middle of one from the thread that writes the log, and neither could be read.
+    // The log is written to the same output and contains the addresses. A line printed here could
+    // be interleaved with one from the logging thread, which would make both unreadable.
     let ready = |_: platform::Ready| {};
-    let (newest, settings) = watch::channel(settings);
-    let reloading = signal::reload(|| reload(&path, &newest, &log));
-    let running = platform::run(settings, log.clone(), ready, signal::stop());
+    let (settings_sender, settings) = watch::channel(settings);
+    let reloading = signal::on_reload(|| reload(&path, &settings_sender, &log));
+    let running = platform::run(settings, log.clone(), ready, signal::wait_for_stop());
     let result = tokio::select! {
         result = running => result,
         never = reloading => match never {},
@@ -216,19 +223,19 @@
     })
 }
 
-/// Reads the settings again after they may have changed. A file with findings is reported, and those
-/// in force stay.
-fn reload(path: &str, newest: &watch::Sender<setting::Relay>, log: &Logger) {
+/// Reloads the settings. If the file cannot be read or is invalid, a warning is logged and the current
+/// settings stay in force.
+fn reload(path: &str, settings_sender: &watch::Sender<setting::Relay>, log: &Logger) {
     let read = std::fs::read_to_string(path);
     let parsed = read.map(|text| setting::relay::parse(&text, path));
     match parsed {
-        Ok(Ok(settings)) => drop(newest.send_replace(settings)),
+        Ok(Ok(settings)) => drop(settings_sender.send_replace(settings)),
         Ok(Err(findings)) => warn!(log, "reload"; "settings" => path, "findings" => %findings),
         Err(error) => warn!(log, "reload"; "settings" => path, "error" => %error),
     }
 }
 
-/// Nobody may read the line; a process that serves goes on without it.
-fn announce(ready: &Ready) {
+/// Prints the addresses. Errors are ignored: the process keeps serving if its output is closed.
+fn print_ready(ready: &Ready) {
     let _ = output::json(ready);
 }
--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a whole deployment on one machine, as separate processes.
+//! `demo`: runs a complete deployment on one machine, as separate processes.
 
 mod scenario;
 
@@ -10,7 +10,7 @@
 use standin::Kind;
 use std::path::PathBuf;
 
-/// Starts a deployment, sends requests to it and checks what was run.
+/// Starts a deployment, sends requests to it and checks what its runners executed.
 #[derive(Debug)]
 pub struct Demo {
     records: PathBuf,
@@ -37,8 +37,9 @@
     }
 
     async fn run(self, _common: &Common) -> Result<(), Error> {
-        let own = std::env::temp_dir().join(format!("linnetdrift-demo-{}", std::process::id()));
-        let logs = self.logs.as_ref().unwrap_or(&own);
+        let default_logs =
+            std::env::temp_dir().join(format!("linnetdrift-demo-{}", std::process::id()));
+        let logs = self.logs.as_ref().unwrap_or(&default_logs);
         output::line(format_args!("settings and logs: {}", logs.display()))?;
         let mut fleet = Fleet::new(logs)?;
         let deployment = Deployment::start(&mut fleet, plan()).await?;
@@ -51,14 +52,14 @@
         let stopped = fleet.stop();
         result.and(stopped)?;
         if self.logs.is_none() {
-            // They are of use only where something went wrong.
-            let _ = std::fs::remove_dir_all(&own);
+            // The settings and logs are only needed after a failure.
+            let _ = std::fs::remove_dir_all(&default_logs);
         }
         output::line("all counts are right, every process ended with 0")
     }
 }
 
-/// The runners of the demonstration, for the records of the co-operative.
+/// Returns the runners that match the records of the example.
 fn plan() -> Plan {
     Plan {
         runners: vec![
--- a/crates/ctl/src/demo/scenario.rs
+++ b/crates/ctl/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! What the demonstration does: apply, call, count.
+//! Steps of the demonstration: applies records, sends requests and counts executions.
 
 use crate::client::Client;
 use crate::deployment::Deployment;
@@ -16,13 +16,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait until the entries know all targets and the records.
+/// Maximum time until the entries have the records and are connected to all targets.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Requests to the pipeline of four stages.
-const CHECKS: usize = 3;
-/// Input of the requests.
+/// Interval between status queries.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of requests to the pipeline of four stages.
+const CHECK_REQUESTS: usize = 3;
+/// Input text of these requests.
 const TEXT: &str = "loom 7, splice 3";
 
 /// Applies the records, sends the requests and checks the counts.
@@ -31,7 +31,7 @@
     deployment: &Deployment,
     records: &Path,
 ) -> Result<(), Error> {
-    let desk = Desk {
+    let cli = Cli {
         fleet,
         token: &deployment.token,
     };
@@ -42,53 +42,57 @@
     else {
         return failed("the demonstration needs two entries");
     };
-    wait(first, |status| status["ready"] == true).await?;
+    wait_for_status(first, |status| status["ready"] == true).await?;
     let records = records.display().to_string();
-    let applied = desk.json(first, &["apply", &records])?;
+    let applied = cli.json(first, &["apply", &records])?;
     let revision = applied["revision"].clone();
     output::line(format_args!("records in force at revision {revision}"))?;
     for entry in [first, second] {
-        wait(entry, |status| {
-            serves(status, &revision, deployment.agents.len())
+        wait_for_status(entry, |status| {
+            is_serving(status, &revision, deployment.agents.len())
         })
         .await?;
     }
-    plain(&desk, first)?;
-    streamed(&desk, second)?;
-    late(&desk, first)?;
-    once(&desk, first, second)?;
-    count(deployment).await
+    request_plain(&cli, first)?;
+    request_streamed(&cli, second)?;
+    request_late(&cli, first)?;
+    request_once(&cli, first, second)?;
+    check_executions(deployment).await
 }
 
-/// An answer as one JSON document, by the version that operators call current.
-fn plain(desk: &Desk<'_>, entry: SocketAddr) -> Result<(), Error> {
-    let answer = desk.json(entry, &check(&["--deadline", "10000"]))?;
-    expect("answer", &answer["output"]["text"], &expected().into())?;
-    expect("lateness", &answer["late"], &false.into())
+/// Requests an answer as one JSON document, from the version that is marked as current.
+fn request_plain(cli: &Cli<'_>, entry: SocketAddr) -> Result<(), Error> {
+    let answer = cli.json(entry, &check_arguments(&["--deadline", "10000"]))?;
+    check_equal("answer", &answer["output"]["text"], &expected_text().into())?;
+    check_equal("lateness", &answer["late"], &false.into())
 }
 
-/// Another version of the same pipeline, token by token.
-fn streamed(desk: &Desk<'_>, entry: SocketAddr) -> Result<(), Error> {
-    let arguments = check(&["--version", "2", "--stream", "--deadline", "10000"]);
-    let events = desk.run(entry, &arguments)?;
+/// Requests a streamed answer from another version of the same pipeline.
+fn request_streamed(cli: &Cli<'_>, entry: SocketAddr) -> Result<(), Error> {
+    let arguments = check_arguments(&["--version", "2", "--stream", "--deadline", "10000"]);
+    let events = cli.run(entry, &arguments)?;
     let [tokens @ .., end] = events.as_slice() else {
         return failed("the stream is empty");
     };
-    expect("end mark", &end["event"], &"done".into())?;
+    check_equal("end mark", &end["event"], &"done".into())?;
     let tokens = tokens.iter().map(|event| token(&event["data"]));
     let text = tokens.collect::<Vec<_>>().join(" ");
-    expect("streamed answer", &text.into(), &expected().into())
+    check_equal("streamed answer", &text.into(), &expected_text().into())
 }
 
-/// A deadline that cannot be met: the answer comes whole all the same, marked late.
-fn late(desk: &Desk<'_>, entry: SocketAddr) -> Result<(), Error> {
-    let answer = desk.json(entry, &check(&["--deadline", "1"]))?;
-    expect("late answer", &answer["output"]["text"], &expected().into())?;
-    expect("lateness", &answer["late"], &true.into())
+/// Sends a request whose deadline cannot be met: the answer is complete, but marked as late.
+fn request_late(cli: &Cli<'_>, entry: SocketAddr) -> Result<(), Error> {
+    let answer = cli.json(entry, &check_arguments(&["--deadline", "1"]))?;
+    check_equal(
+        "late answer",
+        &answer["output"]["text"],
+        &expected_text().into(),
+    )?;
+    check_equal("lateness", &answer["late"], &true.into())
 }
 
-/// A call that may not be repeated, sent to both entries under one key.
-fn once(desk: &Desk<'_>, first: SocketAddr, second: SocketAddr) -> Result<(), Error> {
+/// Sends a request that must not be run twice to both entries with the same idempotency key.
+fn request_once(cli: &Cli<'_>, first: SocketAddr, second: SocketAddr) -> Result<(), Error> {
     let input = r#"{"text": "W-1042"}"#;
     let arguments = [
         "call",
@@ -100,20 +104,20 @@
         "--input",
         input,
     ];
-    let one = desk.json(first, &arguments)?;
-    let other = desk.json(second, &arguments)?;
-    expect("answer to the same key", &other["output"], &one["output"])
+    let one = cli.json(first, &arguments)?;
+    let other = cli.json(second, &arguments)?;
+    check_equal("answer to the same key", &other["output"], &one["output"])
 }
 
-fn check<'a>(options: &[&'a str]) -> Vec<&'a str> {
+fn check_arguments<'a>(options: &[&'a str]) -> Vec<&'a str> {
     const INPUT: &str = r#"{"text": "loom 7, splice 3"}"#;
     let call = ["call", "drawing-check", "--workspace", "tractor-line"];
     let input = ["--class", "fitter", "--input", INPUT];
     [&call, &input[..], options].concat()
 }
 
-/// What the stand-ins make of the input, worked out here from the input alone.
-fn expected() -> String {
+/// Computes the expected answer of the stand-ins from the input.
+fn expected_text() -> String {
     let stages = ["encode", "retrieve", "rerank"];
     let text = stages.iter().fold(TEXT.to_owned(), |text, stage| {
         standin::answer::wrap(stage, &text)
@@ -126,15 +130,15 @@
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// Whether an entry has the records and a link to every target.
-fn serves(status: &Value, revision: &Value, targets_due: usize) -> bool {
+/// Returns whether an entry has the records and a link to every target.
+fn is_serving(status: &Value, revision: &Value, targets_due: usize) -> bool {
     let targets = status["targets"].as_array();
     let live = |targets: &Vec<Value>| targets.iter().filter(|one| one["state"] == "live").count();
     status["revision"] == *revision && targets.map(live) == Some(targets_due)
 }
 
-/// Waits until an entry's status is as it should be.
-async fn wait(entry: SocketAddr, done: impl Fn(&Value) -> bool) -> Result<(), Error> {
+/// Waits until the status of an entry satisfies a condition.
+async fn wait_for_status(entry: SocketAddr, done: impl Fn(&Value) -> bool) -> Result<(), Error> {
     let client = Client::plain(entry);
     let end = Instant::now() + READY_TIMEOUT;
     loop {
@@ -143,15 +147,15 @@
             return Ok(());
         }
         if Instant::now() > end {
-            return failed(format!("{entry} did not get ready: {status}"));
+            return failed(format!("{entry} did not become ready in time: {status}"));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Compares what the runners ran with what was asked for. A stage that may be repeated counts
-/// once for each request that it answered, however often it was tried.
-async fn count(deployment: &Deployment) -> Result<(), Error> {
+/// Compares the executions of the runners with the requests that were sent. A stage that may be
+/// retried counts once for each request that it answered, regardless of the number of attempts.
+async fn check_executions(deployment: &Deployment) -> Result<(), Error> {
     let mut services: Vec<(&str, usize, HashSet<String>)> = Vec::new();
     for (runner, address) in deployment.plan.runners.iter().zip(&deployment.runners) {
         let log: Page = get(&Client::plain(*address), "/standin/log").await?;
@@ -173,11 +177,11 @@
     }
     for (service, runs, requests) in services {
         if service == "label" {
-            expect("executions of label", &runs.into(), &1.into())?;
+            check_equal("executions of label", &runs.into(), &1.into())?;
             continue;
         }
         let what = format!("requests answered by {service}");
-        expect(&what, &requests.len().into(), &CHECKS.into())?;
+        check_equal(&what, &requests.len().into(), &CHECK_REQUESTS.into())?;
     }
     Ok(())
 }
@@ -189,7 +193,7 @@
     answer.json()
 }
 
-fn expect(what: &str, found: &Value, expected: &Value) -> Result<(), Error> {
+fn check_equal(what: &str, found: &Value, expected: &Value) -> Result<(), Error> {
     if found == expected {
         return output::line(format_args!("  ok: {what} is {found}"));
     }
@@ -202,14 +206,14 @@
     })
 }
 
-/// Runs commands of the command line as an operator or caller would.
-struct Desk<'a> {
+/// Runs commands of `linnetdrift` as an operator or a caller does.
+struct Cli<'a> {
     fleet: &'a Fleet,
     token: &'a str,
 }
 
-impl Desk<'_> {
-    /// The one JSON value that a command prints.
+impl Cli<'_> {
+    /// Runs a command and returns the JSON value that it prints.
     fn json(&self, entry: SocketAddr, arguments: &[&str]) -> Result<Value, Error> {
         let values = self.run(entry, arguments)?;
         values.into_iter().next().ok_or_else(|| Error::Failed {
@@ -217,7 +221,7 @@
         })
     }
 
-    /// All JSON values that a command prints, one a line.
+    /// Runs a command and returns all JSON values that it prints, one per line.
     fn run(&self, entry: SocketAddr, arguments: &[&str]) -> Result<Vec<Value>, Error> {
         output::line(format_args!("$ linnetdrift {}", arguments.join(" ")))?;
         let run = Command::new(self.fleet.program("linnetdrift"))
--- a/crates/ctl/src/deployment.rs
+++ b/crates/ctl/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on one machine: stand-ins, runners with an agent each, entries.
+//! A complete deployment on one machine: stand-ins, runners with an agent each, and entries.
 
 use crate::Error;
 use crate::fleet::{Fleet, Ready};
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use store::Role;
 
-/// Region of all processes.
+/// Region of all VMs.
 const REGION: &str = "ee-north";
-/// Its failure domains.
+/// Failure domains of the region.
 const DOMAINS: [&str; 4] = ["a", "b", "c", "d"];
-/// How often entries read the list of VMs and the change log, in milliseconds.
-const POLL_MS: u64 = 50;
-/// Targets of one service that an entry keeps links to.
-const SUBSET: usize = 64;
-/// Calls given to a runner at once.
-const CONCURRENCY: u32 = 4;
-/// Calls that wait for a runner.
-const QUEUE: u32 = 16;
+/// Default interval at which entries poll the list of VMs and the change log, in milliseconds.
+const DEFAULT_POLL_MS: u64 = 50;
+/// Default number of targets of one service that an entry keeps links to.
+const DEFAULT_SUBSET: usize = 64;
+/// Default number of calls that a runner gets concurrently.
+const DEFAULT_CONCURRENCY: u32 = 4;
+/// Default number of calls that wait for a runner.
+const DEFAULT_QUEUE: u32 = 16;
 
 /// A runner to start.
 #[derive(Clone, Debug)]
@@ -28,14 +28,14 @@
     pub vm: String,
     /// Service that it serves.
     pub service: String,
-    /// Kind of stand-in.
+    /// Kind of the stand-in.
     pub kind: Kind,
     /// Options of the stand-in.
     pub options: Options,
 }
 
 impl Runner {
-    /// A runner whose answers name an operation.
+    /// Creates a runner whose answers contain the name of an operation.
     pub fn new(vm: &str, service: &str, kind: Kind, operation: &str) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -49,24 +49,24 @@
     }
 }
 
-/// What to start.
+/// Processes to start, with their settings.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Runners, each with an agent.
+    /// Runners; each gets an agent.
     pub runners: Vec<Runner>,
     /// Names of the entries.
     pub entries: Vec<String>,
-    /// Decisions that entries and agents take.
+    /// Set of decision algorithms that entries and agents use.
     pub policy: Policy,
-    /// Calls given to a runner at once.
+    /// Calls that a runner gets concurrently.
     pub concurrency: u32,
     /// Calls that wait for a runner.
     pub queue: u32,
-    /// How often entries read the list of VMs and the change log, in milliseconds.
+    /// Interval at which entries poll the list of VMs and the change log, in milliseconds.
     pub poll_ms: u64,
-    /// How the entries place models.
+    /// Model placement settings of the entries.
     pub placement: Placement,
-    /// Targets of one service that an entry keeps links to at most.
+    /// Maximum number of targets of one service that an entry keeps links to.
     pub subset: usize,
 }
 
@@ -76,40 +76,40 @@
             runners: Vec::new(),
             entries: vec!["entry-a1".to_owned(), "entry-b1".to_owned()],
             policy: Policy::Shipped,
-            concurrency: CONCURRENCY,
-            queue: QUEUE,
-            poll_ms: POLL_MS,
+            concurrency: DEFAULT_CONCURRENCY,
+            queue: DEFAULT_QUEUE,
+            poll_ms: DEFAULT_POLL_MS,
             placement: Placement::default(),
-            subset: SUBSET,
+            subset: DEFAULT_SUBSET,
         }
     }
 }
 
-/// Addresses of a deployment that serves.
+/// A running deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// What was started.
+    /// Processes that were started.
     pub plan: Plan,
-    /// Where the entries serve.
+    /// Addresses of the entries, in the order of the plan.
     pub entries: Vec<Ready>,
-    /// Where the runners serve, in the order of the plan.
+    /// Addresses of the runners, in the order of the plan.
     pub runners: Vec<SocketAddr>,
-    /// Where the agents serve, in the order of the plan.
+    /// Addresses of the agents, in the order of the plan.
     pub agents: Vec<Ready>,
-    /// The platform's stand-ins.
+    /// Addresses of the platform's stand-ins.
     pub platform: Platform,
     /// The operator's token.
     pub token: String,
-    /// The key that entries and agents share.
+    /// Shared key of entries and agents.
     pub key: String,
 }
 
 impl Deployment {
-    /// Starts all processes and lists their VMs.
+    /// Starts all processes and registers their VMs.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if a process does not serve.
+    /// [`Error::Failed`] if a process does not become ready.
     pub async fn start(fleet: &mut Fleet, plan: Plan) -> Result<Self, Error> {
         let platform = Platform {
             table: fleet.standin("table", Kind::Table, &Options::default())?,
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: whether a VM gets new work.
+//! `drain` and `undrain`: control whether a VM gets new work.
 
 use crate::command::{Command, Help};
 use crate::operator::Change;
@@ -7,13 +7,13 @@
 use record::{Document, Kind, Revision, schema};
 use serde::Serialize;
 
-/// Takes new work away from a VM.
+/// Stops assigning new work to a VM.
 #[derive(Debug)]
 pub struct Drain {
     vm: String,
 }
 
-/// Gives a VM new work again.
+/// Resumes assigning new work to a VM.
 #[derive(Debug)]
 pub struct Undrain {
     vm: String,
@@ -38,7 +38,7 @@
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
-        set(common, &self.vm, true).await
+        set_drained(common, &self.vm, true).await
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
-        set(common, &self.vm, false).await
+        set_drained(common, &self.vm, false).await
     }
 }
 
@@ -62,7 +62,7 @@
     option::path_safe(option::single_argument(matches, "VM")?, "VM")
 }
 
-async fn set(common: &Common, vm: &str, drained: bool) -> Result<(), Error> {
+async fn set_drained(common: &Common, vm: &str, drained: bool) -> Result<(), Error> {
     let mut operator = OperatorClient::new(common)?;
     let wanted = Document {
         schema: schema::OLDEST,
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a command, and the exit code that a script sees.
+//! Errors of commands and the exit codes that they map to.
 
 use crate::operator::Conflict;
 use record::Findings;
@@ -8,49 +8,49 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Exit code: done as asked.
+/// Exit code: success.
 pub const EXIT_OK: u8 = 0;
-/// Exit code: failed or refused; nothing was changed, or the answer says what was.
+/// Exit code: failed or refused. Nothing was changed, or the response states what was.
 pub const EXIT_FAILED: u8 = 1;
-/// Exit code: bad arguments, or findings in a file.
+/// Exit code: invalid arguments, or invalid files.
 pub const EXIT_USAGE: u8 = 2;
-/// Exit code: another operator was first; nothing was changed.
+/// Exit code: conflict with another operator's change; nothing was changed.
 pub const EXIT_CONFLICT: u8 = 3;
-/// Exit code: it may have been done; no answer says so.
+/// Exit code: unknown outcome; the request may have taken effect.
 pub const EXIT_UNKNOWN: u8 = 4;
 
-/// What a problem says about the work.
+/// Outcome of the work, as a problem document states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It did not run and never will.
+    /// The work did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The work may have run.
     Unknown,
-    /// It ran and failed.
+    /// The work ran and failed.
     Failed,
 }
 
-/// A problem document (RFC 9457) as entries write it.
+/// A problem document (RFC 9457) in the form that entries write.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Problem {
     /// HTTP status.
     pub status: u16,
-    /// Short text for the kind of problem.
+    /// Short description of the kind of problem.
     pub title: String,
-    /// What happened this time.
+    /// Details of this occurrence.
     pub detail: String,
-    /// What became of the work.
+    /// Outcome of the work, if stated.
     pub outcome: Option<Outcome>,
-    /// Identity of the request, to ask for its answer later.
+    /// Id of the request, with which its answer can be fetched later.
     pub request: Option<String>,
     /// Seconds after which a retry may succeed.
     pub retry_after: Option<f64>,
 }
 
 impl Problem {
-    /// Wait after which a retry may succeed, if the entry named one.
+    /// Returns the delay after which a retry may succeed, if the entry gave one.
     #[must_use]
     pub fn retry_delay(&self) -> Option<Duration> {
         Duration::try_from_secs_f64(self.retry_after?).ok()
@@ -67,88 +67,88 @@
             write!(formatter, " (request {request})")?;
         }
         if let Some(seconds) = self.retry_after {
-            write!(formatter, "; come back in {seconds} s")?;
+            write!(formatter, "; retry in {seconds} s")?;
         }
         Ok(())
     }
 }
 
-/// What can go wrong with a command.
+/// Error of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The arguments make no sense.
+    /// The arguments are invalid.
     #[snafu(display("{message}"))]
     Usage {
-        /// What is wrong with them.
+        /// Description of the invalid argument.
         message: String,
     },
-    /// A file that an argument names cannot be read.
+    /// A file given as an argument cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause given by the operating system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Files or records are not as they should be.
+    /// Settings or records are invalid.
     #[snafu(display("{findings}"))]
     Invalid {
-        /// Everything that is wrong.
+        /// All faults that were found.
         findings: Findings,
     },
-    /// No entry could be reached, so that nothing was sent.
+    /// No entry could be reached; nothing was sent.
     #[snafu(display("{endpoint}: {reason}"))]
     Unreachable {
-        /// Entry that was tried last.
+        /// Address of the entry that was tried last.
         endpoint: String,
-        /// Why it could not be reached.
+        /// Reason why it could not be reached.
         reason: String,
     },
-    /// The call was sent and its answer did not arrive, or not whole.
-    #[snafu(display("answer lost, the outcome is unknown: {reason}"))]
+    /// The request was sent, but its response did not arrive or was incomplete.
+    #[snafu(display("response lost, outcome unknown: {reason}"))]
     Lost {
-        /// What became of the answer.
+        /// Reason why the response was lost.
         reason: String,
     },
-    /// The entry answered with a problem.
+    /// The entry responded with a problem document.
     #[snafu(display("{problem}"))]
     Refused {
-        /// The problem.
+        /// The problem document.
         problem: Problem,
     },
-    /// Another operator was first.
+    /// The change conflicts with a change of another operator.
     #[snafu(display(
         "another operator was first, nothing was accepted: {}",
-        list(conflicts)
+        format_conflicts(conflicts)
     ))]
     Conflicting {
-        /// The records as they are now.
+        /// Current state of the conflicting records.
         conflicts: Vec<Conflict>,
     },
-    /// The answer is not what the interface promises.
-    #[snafu(display("answer unreadable: {reason}"))]
+    /// The response does not have the expected form.
+    #[snafu(display("malformed response: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// Error of the parser.
         reason: String,
     },
-    /// Something on this machine failed.
+    /// An operation on this machine failed.
     #[snafu(display("{reason}"))]
     Failed {
-        /// What failed.
+        /// Description of the failure.
         reason: String,
     },
 }
 
 impl Error {
-    /// An error in the arguments.
+    /// Creates an [`Error::Usage`].
     pub fn usage(message: impl Into<String>) -> Self {
         Self::Usage {
             message: message.into(),
         }
     }
 
-    /// Exit code of a command that ends with this error.
+    /// Returns the exit code of a command that fails with this error.
     ///
     /// # Examples
     ///
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The error as one JSON object, for scripts.
+    /// Converts the error to a JSON object for scripts.
     #[must_use]
     pub fn value(&self) -> serde_json::Value {
         let mut value = serde_json::json!({"error": self.to_string(), "exit": self.exit()});
@@ -183,10 +183,10 @@
     }
 }
 
-fn list(conflicts: &[Conflict]) -> String {
+fn format_conflicts(conflicts: &[Conflict]) -> String {
     let line = |conflict: &Conflict| match conflict.revision {
         Some(revision) => format!("{} is at revision {revision}", conflict.key),
-        None => format!("{} is gone", conflict.key),
+        None => format!("{} was deleted", conflict.key),
     };
     conflicts.iter().map(line).collect::<Vec<_>>().join(", ")
 }
--- a/crates/ctl/src/event.rs
+++ b/crates/ctl/src/event.rs
@@ -1,19 +1,19 @@
-//! Server-sent events.
+//! Parser for server-sent events.
 
 use std::mem;
 
-/// One event of a stream.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Type of the event; empty for a plain part of the answer.
+    /// Event type; empty for a part of the answer.
     pub name: String,
-    /// Its id, from which a broken stream is resumed.
+    /// Event id, from which an interrupted stream is resumed.
     pub id: String,
-    /// Its data, lines joined by line feeds.
+    /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Splits bytes, as they arrive, into events.
+/// Incremental parser that splits a byte stream into events.
 ///
 /// # Examples
 ///
@@ -25,21 +25,21 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Parser {
-    rest: Vec<u8>,
+    remaining: Vec<u8>,
     event: Event,
     started: bool,
 }
 
 impl Parser {
-    /// Takes in bytes and gives the events that they complete.
+    /// Adds bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = self.rest.iter().rposition(|byte| *byte == b'\n') else {
+        self.remaining.extend_from_slice(bytes);
+        let Some(end) = self.remaining.iter().rposition(|byte| *byte == b'\n') else {
             return Vec::new();
         };
-        let rest = self.rest.split_off(end + 1);
-        let whole = mem::replace(&mut self.rest, rest);
-        let text = String::from_utf8_lossy(&whole);
+        let remaining = self.remaining.split_off(end + 1);
+        let complete = mem::replace(&mut self.remaining, remaining);
+        let text = String::from_utf8_lossy(&complete);
         text.lines().filter_map(|line| self.line(line)).collect()
     }
 
--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -92,7 +92,7 @@
     async fn run(self, _common: &Common) -> Result<(), Error> {
         tokio::select! {
             result = self.arms() => result,
-            () = signal::stop() => Err(Error::Failed {
+            () = signal::wait_for_stop() => Err(Error::Failed {
                 reason: "broken off by a signal".to_owned(),
             }),
         }
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Processes of a whole deployment on one machine, for demonstrations and tests.
+//! Process control for a complete deployment on one machine, for demonstrations and tests.
 //!
-//! The rule that a process of the system starts no other binds the daemon; this is the test tool.
+//! The rule that processes of the system start no other processes applies to the daemon, not to this
+//! test tool.
 
 use crate::Error;
 use serde::Deserialize;
@@ -10,54 +11,54 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 
-/// Name of the program that serves stand-ins.
-const DESK: &str = "linnetdrift";
-/// Name of the program that serves entries, agents and relays.
+/// Name of the program that runs stand-ins.
+const CLIENT: &str = "linnetdrift";
+/// Name of the program that runs entries, agents and relays.
 const DAEMON: &str = "linnetdriftd";
 
-/// Line that a process prints once it serves.
+/// Line that a process prints once it accepts connections.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Ready {
-    /// Where it serves.
+    /// Address that it listens on.
     pub listen: SocketAddr,
-    /// Where it publishes news, if it does.
+    /// Address at which it publishes notifications, if it does.
     #[serde(default)]
     pub news: Option<SocketAddr>,
-    /// Where it is asked whether it takes callers, if it is.
+    /// Address of its readiness check, if it has one.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// Where it serves metrics, if it does.
+    /// Address of its metrics, if it serves any.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// A process that serves.
+/// A running process.
 #[derive(Debug)]
 pub struct Process {
-    /// Name in messages and of its log file.
+    /// Name, used in error messages and for the log file.
     pub name: String,
-    /// Its addresses.
+    /// Addresses that it listens on.
     pub ready: Ready,
     child: Child,
 }
 
-/// A signal to one process.
+/// A signal that can be sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends it at once, with nothing said to anyone.
+    /// Kills the process immediately, without a graceful shutdown.
     Kill,
-    /// Freezes it.
+    /// Suspends the process.
     Stop,
-    /// Lets a frozen one go on.
+    /// Resumes a suspended process.
     Continue,
-    /// Asks it to stop gracefully.
+    /// Requests a graceful shutdown.
     Terminate,
-    /// Asks it to read its settings again.
+    /// Requests a reload of the settings.
     Reload,
 }
 
 impl Signal {
-    /// Name that the `kill` command takes.
+    /// Returns the name of the signal as the `kill` command expects it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Processes that stop together.
+/// Processes that are started and stopped together.
 #[derive(Debug)]
 pub struct Fleet {
     programs: PathBuf,
@@ -79,27 +80,29 @@
 }
 
 impl Fleet {
-    /// A fleet of the programs beside the one that runs; settings and logs go into a new directory.
+    /// Creates a fleet that runs the programs in the directory of the current program. Settings and
+    /// logs are written to `directory`.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if the directory cannot be made.
+    /// [`Error::Failed`] if the directory cannot be created.
     pub fn new(directory: impl Into<PathBuf>) -> Result<Self, Error> {
-        let program = std::env::current_exe().map_err(failed("own path"))?;
+        let program = std::env::current_exe().map_err(failed("path of the running program"))?;
         Self::with_programs(directory, program.parent().unwrap_or(Path::new(".")))
     }
 
-    /// A fleet of the programs in a directory; settings and logs go into a new directory.
+    /// Creates a fleet that runs the programs in the directory `programs`. Settings and logs are
+    /// written to `directory`.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if the directory for settings and logs cannot be made.
+    /// [`Error::Failed`] if the directory for settings and logs cannot be created.
     pub fn with_programs(
         directory: impl Into<PathBuf>,
         programs: impl Into<PathBuf>,
     ) -> Result<Self, Error> {
         let directory = directory.into();
-        std::fs::create_dir_all(&directory).map_err(failed("directory"))?;
+        std::fs::create_dir_all(&directory).map_err(failed("directory for settings and logs"))?;
         Ok(Self {
             programs: programs.into(),
             directory,
@@ -107,13 +110,13 @@
         })
     }
 
-    /// Path of one of the programs.
+    /// Returns the path of a program.
     #[must_use]
     pub fn program(&self, name: &str) -> PathBuf {
         self.programs.join(name)
     }
 
-    /// Number of the process of that name.
+    /// Returns the process id of a running process.
     #[must_use]
     pub fn process_id(&self, name: &str) -> Option<u32> {
         let process = self.processes.iter().find(|process| process.name == name)?;
@@ -124,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it does not serve.
+    /// [`Error::Failed`] if it does not become ready.
     pub fn standin(
         &mut self,
         name: &str,
@@ -133,14 +136,15 @@
     ) -> Result<SocketAddr, Error> {
         let options = serde_json::to_string(options).map_err(failed(name))?;
         let arguments = ["standin", kind.name(), "--options", &options];
-        self.start(name, DESK, &arguments).map(|ready| ready.listen)
+        self.start(name, CLIENT, &arguments)
+            .map(|ready| ready.listen)
     }
 
     /// Starts an entry.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it does not serve.
+    /// [`Error::Failed`] if it does not become ready.
     pub fn entry(&mut self, settings: &setting::Entry) -> Result<Ready, Error> {
         self.daemon("entry", &settings.id, settings)
     }
@@ -149,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it does not serve.
+    /// [`Error::Failed`] if it does not become ready.
     pub fn agent(&mut self, settings: &setting::Agent) -> Result<Ready, Error> {
         self.daemon("agent", &settings.id, settings)
     }
@@ -158,18 +162,19 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if it does not serve.
+    /// [`Error::Failed`] if it does not become ready.
     pub fn relay(&mut self, settings: &setting::Relay) -> Result<Ready, Error> {
         self.daemon("relay", &settings.id, settings)
     }
 
-    /// File with what a process has written.
+    /// Returns the path of a process's log file.
     #[must_use]
     pub fn log(&self, name: &str) -> PathBuf {
         self.directory.join(format!("{name}.log"))
     }
 
-    /// Writes the settings of a process anew; it hears of them by a signal or at its next start.
+    /// Overwrites the settings of a process, which reads them at its next start or on
+    /// [`Signal::Reload`].
     ///
     /// # Errors
     ///
@@ -181,11 +186,11 @@
         Ok(path)
     }
 
-    /// Ends a process at once, as a machine that fails does.
+    /// Kills a process, to simulate the failure of its machine.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] if there is no process of that name or it cannot be ended.
+    /// [`Error::Failed`] if there is no process of that name or it cannot be killed.
     pub fn kill(&mut self, name: &str) -> Result<(), Error> {
         let place = self.processes.iter().position(|one| one.name == name);
         let place = place.ok_or_else(|| failed(name)("no such process"))?;
@@ -195,31 +200,31 @@
         Ok(())
     }
 
-    /// Sends a signal to a process that was started here and has not been seen to end.
+    /// Sends a signal to a running process.
     ///
     /// # Errors
     ///
     /// [`Error::Failed`] if there is no such process or the signal cannot be sent.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<(), Error> {
         let process = self.processes.iter().find(|process| process.name == name);
-        let process = process.ok_or_else(|| unknown(name))?;
+        let process = process.ok_or_else(|| unknown_process(name))?;
         process.signal(signal).map_err(failed(name))
     }
 
-    /// Addresses of a process that was started here and has not been seen to end.
+    /// Returns the addresses of a running process.
     #[must_use]
     pub fn ready(&self, name: &str) -> Option<Ready> {
         let process = self.processes.iter().find(|process| process.name == name)?;
         Some(process.ready)
     }
 
-    /// Whether a process was started here and has not been seen to end.
+    /// Returns whether a process was started and its exit has not been observed.
     #[must_use]
     pub fn has(&self, name: &str) -> bool {
         self.processes.iter().any(|process| process.name == name)
     }
 
-    /// How a process ended, if it has; it then no longer belongs to the fleet.
+    /// Returns the exit status of a process if it has exited, and then removes it from the fleet.
     ///
     /// # Errors
     ///
@@ -227,7 +232,7 @@
     pub fn try_wait(&mut self, name: &str) -> Result<Option<ExitStatus>, Error> {
         let mut processes = self.processes.iter_mut();
         let index = processes.position(|process| process.name == name);
-        let index = index.ok_or_else(|| unknown(name))?;
+        let index = index.ok_or_else(|| unknown_process(name))?;
         let status = self.processes[index].child.try_wait();
         let status = status.map_err(failed(name))?;
         if status.is_some() {
@@ -236,11 +241,11 @@
         Ok(status)
     }
 
-    /// Asks all processes to stop, the last started first, and waits for each.
+    /// Stops all processes gracefully in reverse order of their start, and waits for each.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] naming the processes that did not end with 0.
+    /// [`Error::Failed`] naming the processes that did not exit with 0.
     pub fn stop(&mut self) -> Result<(), Error> {
         let mut failures = Vec::new();
         while let Some(mut process) = self.processes.pop() {
@@ -278,10 +283,10 @@
             .spawn()
             .map_err(failed(name))?;
         let output = child.stdout.take().map(BufReader::new);
-        let Some(ready) = output.and_then(|output| until_ready(output, &mut log)) else {
+        let Some(ready) = output.and_then(|output| read_until_ready(output, &mut log)) else {
             let status = child.wait().map_err(failed(name))?;
             return Err(Error::Failed {
-                reason: format!("{name} ended with {status} before it served"),
+                reason: format!("{name} exited with {status} before it was ready"),
             });
         };
         self.processes.push(Process {
@@ -294,7 +299,7 @@
 }
 
 impl Process {
-    /// Asks the process to stop and waits until it has.
+    /// Sends SIGTERM and waits until the process has exited.
     fn stop(&mut self) -> std::io::Result<ExitStatus> {
         if let Some(status) = self.child.try_wait()? {
             return Ok(status);
@@ -303,21 +308,21 @@
         self.child.wait()
     }
 
-    /// The standard library only has SIGKILL. The process has not been waited for, so that its id
-    /// cannot have passed to another one.
+    /// Sends a signal with the `kill` command, as the standard library supports SIGKILL only. The
+    /// process has not been waited for, so its id cannot have been reused.
     fn signal(&self, signal: Signal) -> std::io::Result<()> {
         let id = self.child.id().to_string();
         let script = format!("kill -{} \"$0\"", signal.name());
         let status = Command::new("sh").args(["-c", &script, &id]).status()?;
         match status.success() {
             true => Ok(()),
-            false => Err(std::io::Error::other(format!("kill ended with {status}"))),
+            false => Err(std::io::Error::other(format!("kill exited with {status}"))),
         }
     }
 }
 
-/// A failed demonstration must leave no processes behind, which would keep their ports and go on
-/// taking processor time unseen.
+/// Kills all processes, so that a failed run leaves none behind that would keep ports in use and
+/// consume processor time.
 impl Drop for Fleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
@@ -327,15 +332,15 @@
     }
 }
 
-/// Waits for the line that tells the addresses. A relay logs to the same output: all lines go to its
-/// log.
-fn until_ready(mut output: BufReader<ChildStdout>, log: &mut File) -> Option<Ready> {
+/// Waits for the line with the addresses. A relay logs to the same output, so all lines are copied
+/// to the log file.
+fn read_until_ready(mut output: BufReader<ChildStdout>, log: &mut File) -> Option<Ready> {
     let mut line = String::new();
     while output.read_line(&mut line).ok()? > 0 {
         log.write_all(line.as_bytes()).ok()?;
         if let Ok(ready) = serde_json::from_str(&line) {
             let mut log = log.try_clone().ok()?;
-            // Ends with the process, whose output ends then.
+            // The thread ends when the process exits, which closes its output.
             std::thread::spawn(move || std::io::copy(&mut output, &mut log));
             return Some(ready);
         }
@@ -344,7 +349,7 @@
     None
 }
 
-fn unknown(name: &str) -> Error {
+fn unknown_process(name: &str) -> Error {
     Error::Failed {
         reason: format!("there is no process {name}"),
     }
--- a/crates/ctl/src/get.rs
+++ b/crates/ctl/src/get.rs
@@ -1,11 +1,11 @@
-//! `get`: the records in force.
+//! `get`: prints the records in force.
 
 use crate::command::{Command, Help};
 use crate::operator::StoredRecord;
 use crate::{Common, Error, Format, OperatorClient, option, output};
 use getopts::Matches;
 
-/// Prints one record or all.
+/// Prints one record or all records.
 #[derive(Debug)]
 pub struct Get {
     key: Option<String>,
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the accepted changes.
+//! `history`: prints the accepted changes.
 
 use crate::command::{Command, Help};
 use crate::{Common, Error, Format, OperatorClient, option, output};
@@ -6,7 +6,7 @@
 use record::{Document, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Changes printed where no limit is given.
+/// Number of changes that are printed if no limit is given.
 const DEFAULT_LIMIT: u32 = 100;
 
 /// Prints accepted changes.
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,12 +1,12 @@
 //! The command line `linnetdrift` and the daemon `linnetdriftd`.
 //!
-//! * [`command`]: commands of `linnetdrift` and their common options
+//! * [`command`], [`option`]: commands of `linnetdrift` and their common options
 //! * [`daemon`]: roles of `linnetdriftd`
-//! * [`client`], [`operator`]: calls to entries
-//! * [`demo`], [`deployment`], [`fleet`], [`listing`]: a whole deployment on one machine
-//! * [`load`], [`experiment`], [`measure`], [`report`]: load, and what it shows
-//! * [`rig`]: a deployment in small, for failure tests and soaks; [`torture`]: the soaks
-//! * [`error`]: what can go wrong, with the exit codes
+//! * [`client`], [`operator`]: clients for the HTTP interfaces of entries
+//! * [`demo`], [`deployment`], [`fleet`], [`listing`]: a complete deployment on one machine
+//! * [`load`], [`experiment`], [`measure`], [`report`]: load generation, measurements and charts
+//! * [`rig`]: a small deployment for failure tests and soaks; [`torture`]: the soaks
+//! * [`error`]: errors and exit codes
 
 pub mod apply;
 pub mod call;
--- a/crates/ctl/src/listing.rs
+++ b/crates/ctl/src/listing.rs
@@ -1,4 +1,4 @@
-//! VMs of processes on this machine, as the stand-in of the platform lists them.
+//! Registration of VMs with the platform's stand-in.
 
 use crate::Error;
 use crate::client::Client;
@@ -12,27 +12,27 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use store::{Role, Vm};
 
-/// Incarnation of a process that was not started before.
-const FIRST: u64 = 1;
+/// Incarnation number of a process that has not been restarted.
+const FIRST_INCARNATION: u64 = 1;
 
-/// An address on this machine, with a port that the system chooses.
+/// Returns a loopback address with port 0, for which the system chooses a free port.
 #[must_use]
 pub fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Draws a key or token: 128 bits in hex.
+/// Generates a random key or token of 128 bits in hexadecimal.
 #[must_use]
 pub fn random_key() -> String {
     format!("{:032x}", StdRng::from_os_rng().random::<u128>())
 }
 
-/// The VM of a process in its first life; `service` is empty for an entry.
+/// Returns the VM of a process in its first incarnation; `service` is empty for an entry.
 #[must_use]
 pub fn vm(id: &str, role: Role, service: &str, place: &Place, ready: Ready) -> Vm {
     Vm {
         id: id.to_owned(),
-        incarnation: FIRST,
+        incarnation: FIRST_INCARNATION,
         role,
         service: service.to_owned(),
         region: place.region.clone(),
@@ -43,20 +43,20 @@
     }
 }
 
-/// Puts a VM on the stand-in's list, as the platform does when it starts one.
+/// Adds a VM to the stand-in's list, as the platform does when it starts a VM.
 ///
 /// # Errors
 ///
-/// Those of [`post`].
+/// As [`post`].
 pub async fn register(list: SocketAddr, vm: &Vm) -> Result<(), Error> {
     post(list, "/standin/vm", vm).await
 }
 
-/// Sends a body as JSON to a stand-in.
+/// Sends a JSON body to a stand-in.
 ///
 /// # Errors
 ///
-/// [`Error::Refused`] if it is not taken, or an error of the call.
+/// [`Error::Refused`] if the stand-in rejects it, or an error of [`Client::call`].
 pub async fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> Result<(), Error> {
     let body = serde_json::to_vec(body).map_err(|error| Error::Failed {
         reason: error.to_string(),
--- a/crates/ctl/src/operator.rs
+++ b/crates/ctl/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of entries.
+//! Client for the operators' interface of entries.
 
 use crate::client::FullResponse;
 use crate::error::{EXIT_UNKNOWN, Outcome};
@@ -13,37 +13,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Times that a change is sent before its outcome is given up as unknown.
-const ATTEMPTS: u32 = 6;
-/// Wait before a change is sent again, where the entry names none.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Longest wait that an entry may ask of a command.
-const MAX_PAUSE: Duration = Duration::from_secs(10);
+/// Maximum number of times that a change is sent before its outcome is reported as unknown.
+const MAX_ATTEMPTS: u32 = 6;
+/// Delay between attempts if the entry gives none.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Upper limit of the delay that an entry may request.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// A record in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// Change that last wrote it.
+    /// Revision of the change that last wrote the record.
     pub revision: Revision,
     /// The record.
     pub document: Document,
 }
 
-/// Records in force.
+/// All records in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Records {
-    /// Last accepted change.
+    /// Revision of the last accepted change.
     pub revision: Revision,
     /// The records.
     pub records: Vec<StoredRecord>,
 }
 
-/// What an operator asks for; accepted as a whole or not at all.
+/// A change of records, which is accepted completely or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Unique for each change, so that it takes effect once however often it is sent.
+    /// Unique token of the change, so that it takes effect once however often it is sent.
     pub token: String,
-    /// Revision of each record that the operator saw; `None` where there was none.
+    /// Revision at which the operator read each record; `None` if the record did not exist.
     pub base: BTreeMap<String, Option<Revision>>,
     /// Records to write.
     pub documents: Vec<Document>,
@@ -52,7 +52,7 @@
 }
 
 impl Change {
-    /// An empty change under a fresh token.
+    /// Creates an empty change with a random token.
     #[must_use]
     pub fn with_random_token() -> Self {
         Self {
@@ -62,21 +62,21 @@
     }
 }
 
-/// A record that another operator has changed.
+/// A record that another operator has changed in the meantime.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Conflict {
     /// Key of the record.
     pub key: String,
-    /// Its revision, if it exists.
+    /// Current revision, if the record exists.
     pub revision: Option<Revision>,
-    /// The record as it is, if it exists.
+    /// Current content, if the record exists.
     pub document: Option<Document>,
 }
 
 /// An accepted change.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its number.
+    /// Revision of the change.
     pub revision: Revision,
 }
 
@@ -98,14 +98,14 @@
     message: String,
 }
 
-/// A client of the operators' interface.
+/// Client for the operators' interface.
 #[derive(Clone)]
 pub struct OperatorClient {
     client: Client,
 }
 
 impl OperatorClient {
-    /// A client of the entries that the options name.
+    /// Creates a client for the entries given in the options.
     ///
     /// # Errors
     ///
@@ -115,34 +115,34 @@
         Ok(Self { client })
     }
 
-    /// Reads from an entry; again after a wait where it cannot tell yet.
+    /// Reads from an entry, with retries while it is unavailable.
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] for a problem, and those of [`Client::call`].
+    /// [`Error::Refused`] for a problem document, and the errors of [`Client::call`].
     pub async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let mut attempt = 1;
         loop {
             let error = match self.read_once(path).await {
                 Ok(value) => return Ok(value),
-                Err(error @ Error::Refused { .. }) if attempt < ATTEMPTS => error,
+                Err(error @ Error::Refused { .. }) if attempt < MAX_ATTEMPTS => error,
                 Err(error) => return Err(error),
             };
-            let Some(pause) = pause(&error) else {
+            let Some(retry_delay) = retry_delay(&error) else {
                 return Err(error);
             };
             attempt += 1;
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(retry_delay).await;
         }
     }
 
     async fn read_once<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let (headers, body) = (HeaderMap::new(), bytes::Bytes::new());
         let answer = self.client.call(Method::GET, path, headers, body).await?;
-        accept(&answer, StatusCode::OK)
+        parse_response(&answer, StatusCode::OK)
     }
 
-    /// All records in force.
+    /// Fetches all records in force.
     ///
     /// # Errors
     ///
@@ -151,7 +151,7 @@
         self.read("/v1/records").await
     }
 
-    /// The record of a key, if there is one.
+    /// Fetches the record of a key, if it exists.
     ///
     /// # Errors
     ///
@@ -165,44 +165,44 @@
         }
     }
 
-    /// Sends a change until an answer settles it.
+    /// Sends a change, with retries until its outcome is known.
     ///
-    /// An answer that is lost after the entry wrote the change leaves the operator unsure. The
-    /// same token is sent again, to the next entry, and gets the answer of the first call; a new
-    /// token would meet the operator's own change as a conflict. Once one answer has been lost, a
-    /// later refusal says nothing about the first call, so only an acceptance, a conflict or
-    /// findings end the loop early.
+    /// If a response is lost after the entry wrote the change, the outcome is unknown to the
+    /// operator. The change is sent again to the next entry with the same token and gets the
+    /// response of the first call; with a new token it would conflict with the operator's own
+    /// change. After a lost response, a refusal does not apply to the first call, so only an
+    /// acceptance, a conflict or findings end the loop early.
     ///
     /// # Errors
     ///
-    /// [`Error::Conflicting`], [`Error::Invalid`], [`Error::Refused`], or [`Error::Lost`] if no
-    /// answer settled it.
+    /// [`Error::Conflicting`], [`Error::Invalid`], [`Error::Refused`], or [`Error::Lost`] if the
+    /// outcome remains unknown.
     pub async fn apply(&mut self, change: &Change) -> Result<Accepted, Error> {
         let body = serde_json::to_vec(change).map_err(|error| Error::Failed {
             reason: error.to_string(),
         })?;
         let body = bytes::Bytes::from(body);
-        let mut doubt = None;
+        let mut unresolved = None;
         let mut attempt = 1;
         loop {
             let error = match self.attempt(body.clone()).await {
                 Ok(accepted) => return Ok(accepted),
                 Err(error) => error,
             };
-            let pause = pause(&error).filter(|_| attempt < ATTEMPTS);
-            let error = match doubt.take() {
-                Some(first) if !settles(&error) => first,
+            let retry_delay = retry_delay(&error).filter(|_| attempt < MAX_ATTEMPTS);
+            let error = match unresolved.take() {
+                Some(first) if !is_conclusive(&error) => first,
                 _ => error,
             };
-            let Some(pause) = pause else {
+            let Some(retry_delay) = retry_delay else {
                 return Err(error);
             };
             if error.exit() == EXIT_UNKNOWN {
-                doubt = Some(error);
+                unresolved = Some(error);
             }
             attempt += 1;
             self.client.rotate();
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(retry_delay).await;
         }
     }
 
@@ -211,30 +211,38 @@
             .client
             .call(Method::POST, "/v1/apply", HeaderMap::new(), body)
             .await?;
-        accept(&answer, StatusCode::OK)
+        parse_response(&answer, StatusCode::OK)
     }
 }
 
-/// How long to wait before the change is sent again, or `None` if that makes no sense.
-fn pause(error: &Error) -> Option<Duration> {
+/// Returns the delay before the next attempt, or `None` if a retry is of no use.
+fn retry_delay(error: &Error) -> Option<Duration> {
     match error {
-        Error::Lost { .. } | Error::Unreachable { .. } => Some(PAUSE),
+        Error::Lost { .. } | Error::Unreachable { .. } => Some(RETRY_DELAY),
         Error::Refused { problem }
             if problem.status == StatusCode::SERVICE_UNAVAILABLE
                 || problem.outcome == Some(Outcome::Unknown) =>
         {
-            Some(problem.retry_delay().unwrap_or(PAUSE).min(MAX_PAUSE))
+            Some(
+                problem
+                    .retry_delay()
+                    .unwrap_or(RETRY_DELAY)
+                    .min(MAX_RETRY_DELAY),
+            )
         }
         _ => None,
     }
 }
 
-/// Whether the answer also says what became of the same change sent earlier.
-fn settles(error: &Error) -> bool {
+/// Returns whether the error also states the outcome of earlier attempts of the same change.
+fn is_conclusive(error: &Error) -> bool {
     matches!(error, Error::Conflicting { .. } | Error::Invalid { .. })
 }
 
-fn accept<T: DeserializeOwned>(answer: &FullResponse, expected: StatusCode) -> Result<T, Error> {
+fn parse_response<T: DeserializeOwned>(
+    answer: &FullResponse,
+    expected: StatusCode,
+) -> Result<T, Error> {
     match answer.status {
         status if status == expected => answer.json(),
         StatusCode::CONFLICT => {
--- a/crates/ctl/src/option.rs
+++ b/crates/ctl/src/option.rs
@@ -1,4 +1,4 @@
-//! Options that all commands have.
+//! Options that are common to all commands.
 
 use crate::Error;
 use crate::client::Endpoint;
@@ -6,16 +6,16 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Variable of the environment that holds the operator's token.
+/// Environment variable with the operator's token.
 pub const TOKEN_VARIABLE: &str = "LINNETDRIFT_TOKEN";
 
-/// How answers are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// For scripts: one JSON value.
+    /// JSON for scripts.
     Json,
 }
 
@@ -31,21 +31,21 @@
     }
 }
 
-/// Values of the common options.
+/// Parsed common options.
 #[derive(Clone, Debug)]
 pub struct Common {
-    /// Entries to call; the next one is tried where one cannot be reached.
+    /// Entries to call; if one cannot be reached, the next is tried.
     pub entries: Vec<Endpoint>,
-    /// PEM file with the authority that signed the entries' certificates.
+    /// PEM file with the certificate authority of the entries.
     pub ca: Option<PathBuf>,
     /// The operator's token.
     pub token: Option<String>,
-    /// How answers are printed.
+    /// Output format.
     pub format: Format,
 }
 
 impl Common {
-    /// Adds the common options.
+    /// Declares the common options.
     pub fn declare(options: &mut Options) {
         options.optmulti(
             "",
@@ -69,11 +69,11 @@
         options.optflag("h", "help", "print this help");
     }
 
-    /// Reads the common options.
+    /// Parses the common options.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`] for a value that makes no sense.
+    /// [`Error::Usage`] if a value is invalid.
     pub fn parse(matches: &Matches) -> Result<Self, Error> {
         let entries = matches.opt_strs("entry");
         let entries = entries.iter().map(|text| text.parse());
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads an option that may be left out.
+/// Parses an optional option.
 ///
 /// # Errors
 ///
@@ -104,36 +104,36 @@
     Ok(Some(value))
 }
 
-/// The one argument that a command takes.
+/// Returns the only argument of a command.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if there is none or more than one.
+/// [`Error::Usage`] if there is not exactly one argument.
 pub fn single_argument(matches: &Matches, what: &str) -> Result<String, Error> {
     match matches.free.as_slice() {
         [argument] => Ok(argument.clone()),
         [] => Err(Error::usage(format!("{what} is missing"))),
-        [_, extra, ..] => Err(unexpected(extra)),
+        [_, extra, ..] => Err(unexpected_argument(extra)),
     }
 }
 
-/// Checks that there are no arguments.
+/// Returns an error if there are any arguments.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if there is one.
+/// [`Error::Usage`] naming the first argument.
 pub fn no_arguments(matches: &Matches) -> Result<(), Error> {
     matches
         .free
         .first()
-        .map_or(Ok(()), |extra| Err(unexpected(extra)))
+        .map_or(Ok(()), |extra| Err(unexpected_argument(extra)))
 }
 
-/// Checks that an argument can stand in a path: a name or key.
+/// Checks that an argument, which is a name or a key, is safe to use in a URL path.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if it cannot.
+/// [`Error::Usage`] if it is not.
 pub fn path_safe(argument: String, what: &str) -> Result<String, Error> {
     let safe = |c: char| c.is_ascii_alphanumeric() || "-_./@".contains(c);
     if !argument.is_empty() && argument.chars().all(safe) {
@@ -144,6 +144,6 @@
     )))
 }
 
-fn unexpected(argument: &str) -> Error {
+fn unexpected_argument(argument: &str) -> Error {
     Error::usage(format!("unexpected argument `{argument}`"))
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,11 +1,11 @@
-//! Printing of answers.
+//! Printing to standard output.
 
 use crate::{Error, Format};
 use serde::Serialize;
 use std::fmt::Display;
 use std::io::Write;
 
-/// Prints a value: as text for people, as one line of JSON for scripts.
+/// Prints a value as text or as one line of JSON.
 ///
 /// # Errors
 ///
@@ -17,7 +17,7 @@
     }
 }
 
-/// Prints one line at once, so that a reader sees it while the command goes on.
+/// Prints one line and flushes it, so that a reader sees it while the command is running.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what a directory of records would change.
+//! `plan`: shows what applying a directory of records would change.
 
 use crate::command::{Command, Help};
 use crate::operator::Records;
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::path::PathBuf;
 
-/// Shows what `apply` would change.
+/// Shows the changes that `apply` would make.
 #[derive(Debug)]
 pub struct PlanCommand {
     directory: PathBuf,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Adds the option that deletes what a directory no longer holds.
+/// Declares the option to delete records that the directory does not contain.
 pub fn declare_prune(options: &mut Options) {
     options.optflag(
         "",
@@ -50,11 +50,11 @@
     );
 }
 
-/// Compares the records of files with those in force.
+/// Compares the records of a directory with the records in force.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`] if the records would contradict those that stay in force.
+/// [`Error::Invalid`] if the records are inconsistent with those that stay in force.
 pub fn plan(records: &Records, directory: &Directory, prune: bool) -> Result<Plan, Error> {
     let stored = records.records.iter();
     let in_force: Vec<Document> = stored.map(|each| each.document.clone()).collect();
--- a/crates/ctl/src/signal.rs
+++ b/crates/ctl/src/signal.rs
@@ -1,21 +1,21 @@
-//! Signals that ask a process to stop or to read its settings again.
+//! Signals that request a shutdown or a reload of the settings.
 
 use std::convert::Infallible;
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
 ///
-/// Where a signal cannot be listened for, its default action still ends the process; waiting on
-/// the other one goes on.
-pub async fn stop() {
+/// If the handler of a signal cannot be installed, its default action still terminates the process,
+/// and the function keeps waiting for the other signal.
+pub async fn wait_for_stop() {
     tokio::select! {
-        () = received(SignalKind::terminate()) => {}
-        () = received(SignalKind::interrupt()) => {}
+        () = wait_for_signal(SignalKind::terminate()) => {}
+        () = wait_for_signal(SignalKind::interrupt()) => {}
     }
 }
 
-/// Calls `reload` at each SIGHUP; never ends.
-pub async fn reload(reload: impl Fn()) -> Infallible {
+/// Calls `reload` on each SIGHUP; never returns.
+pub async fn on_reload(reload: impl Fn()) -> Infallible {
     if let Ok(mut signals) = signal(SignalKind::hangup()) {
         while signals.recv().await.is_some() {
             reload();
@@ -24,7 +24,7 @@
     std::future::pending().await
 }
 
-async fn received(kind: SignalKind) {
+async fn wait_for_signal(kind: SignalKind) {
     match signal(kind) {
         Ok(mut signals) => {
             signals.recv().await;
--- a/crates/ctl/src/standin.rs
+++ b/crates/ctl/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: a small stand-in of the platform or of a runner, as its own process.
+//! `standin`: runs a stand-in for a platform service or a runner as a separate process.
 
 use crate::command::{Command, Help};
 use crate::{Common, Error, option, output, signal};
@@ -7,7 +7,7 @@
 use standin::{Kind, Server};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Serves a stand-in until it is told to stop.
+/// Runs a stand-in until SIGTERM or SIGINT arrives.
 #[derive(Debug)]
 pub struct Standin {
     kind: Kind,
@@ -61,7 +61,7 @@
             listen: server.address(),
         };
         output::json(&ready)?;
-        signal::stop().await;
+        signal::wait_for_stop().await;
         server.stop().await;
         Ok(())
     }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what an entry knows.
+//! `status`: prints the state of an entry.
 
 use crate::command::{Command, Help};
 use crate::{Common, Error, OperatorClient, option, output};
@@ -6,7 +6,7 @@
 use record::Revision;
 use serde::{Deserialize, Serialize};
 
-/// Prints what an entry knows.
+/// Prints the revision, readiness and targets of an entry.
 #[derive(Debug)]
 pub struct Status;
 
