--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,71 +1,77 @@
-//! The events of one answer, as a body.
+//! The events of one response, as a body.
 
-use super::Begun;
+use super::Started;
 use super::batch::Progress;
 use crate::answer;
-use crate::fault::Draw;
-use crate::log::{Ended, Entry};
-use crate::reply::Broken;
-use crate::runner::Cancel;
+use crate::fault::CallFaults;
+use crate::log::{ExecutionStatus, LogEntry};
+use crate::reply::ConnectionClosed;
+use crate::runner::CancelGuard;
 use bytes::Bytes;
 use hyper::body::Frame;
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A stream of events; dropping it cancels the work.
+/// A stream of events; dropping it cancels the execution.
 pub(crate) struct Stream {
-    entry: Entry,
+    entry: LogEntry,
     receiver: UnboundedReceiver<Progress>,
     text: String,
     total: u32,
-    /// Token before which a cut stream breaks off.
+    /// Number of the token at which the `cut` fault closes the connection.
     middle: u32,
-    draw: Draw,
-    _cancel: Cancel,
+    faults: CallFaults,
+    _cancel: CancelGuard,
 }
 
 impl Stream {
-    pub(super) fn new(begun: Begun, text: String, resume: u32, total: u32, draw: Draw) -> Self {
+    pub(super) fn new(
+        started: Started,
+        text: String,
+        resume: u32,
+        total: u32,
+        faults: CallFaults,
+    ) -> Self {
         Self {
-            entry: begun.entry,
-            receiver: begun.receiver,
+            entry: started.entry,
+            receiver: started.receiver,
             text,
             total,
             middle: resume + total.saturating_sub(resume) / 2,
-            draw,
-            _cancel: begun.cancel,
+            faults,
+            _cancel: started.cancel,
         }
     }
 
-    /// The next event; a stream that was cancelled ends without an end mark.
+    /// Polls the next event; a cancelled stream ends without a `done` event.
     pub(crate) fn poll(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         let Some(progress) = ready!(self.receiver.poll_recv(context)) else {
             return Poll::Ready(None);
         };
         Poll::Ready(match progress {
-            Progress::Token(k) if self.draw.cut && k >= self.middle => {
-                self.entry.end(Ended::Cut, 0);
-                Some(Err(Broken))
+            Progress::Token(k) if self.faults.cut && k >= self.middle => {
+                self.entry.end(ExecutionStatus::Cut, 0);
+                Some(Err(ConnectionClosed))
             }
             Progress::Token(k) => Some(Ok(self.frame(&self.token(k)))),
-            Progress::Done { busy_us } if self.draw.truncate => {
-                self.entry.end(Ended::Cut, busy_us);
+            Progress::Done { busy_us } if self.faults.truncate => {
+                self.entry.end(ExecutionStatus::Cut, busy_us);
                 None
             }
             Progress::Done { busy_us } => {
-                self.entry.end(Ended::Answered, busy_us);
+                self.entry.end(ExecutionStatus::Answered, busy_us);
                 Some(Ok(self.frame(&self.done())))
             }
-            // The start has been taken before the stream was made.
+            // `Start` is received before the stream is created.
             Progress::Start { .. } => Some(Ok(Frame::data(Bytes::new()))),
         })
     }
 
     fn token(&self, k: u32) -> String {
-        // Tokens hold hex digits and a point only, so that they need no escapes.
+        // Tokens contain only hexadecimal digits and a dot, so that they need no escaping.
         let token = answer::token(&self.text, k);
         format!("id: {k}\ndata: {{\"token\":\"{token}\"}}\n\n")
     }
@@ -75,7 +81,7 @@
     }
 
     fn frame(&self, event: &str) -> Frame<Bytes> {
-        let times = 1 + usize::from(self.draw.double);
+        let times = 1 + usize::from(self.faults.double);
         Frame::data(Bytes::from(event.repeat(times)))
     }
 }
