--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,15 +1,15 @@
-//! `apply`: brings a directory of records into force.
+//! `apply`: applies a directory of records.
 
 use crate::command::{Command, Help};
 use crate::operator::{Change, Records};
-use crate::{Common, Error, Operator, check, option, output};
+use crate::{Common, Error, OperatorClient, check, option, output};
 use getopts::{Matches, Options};
 use record::plan::Action;
 use record::{Document, Map, Plan, Revision};
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Brings records into force, all or none.
+/// Applies a directory of records atomically.
 #[derive(Debug)]
 pub struct Apply {
     directory: PathBuf,
@@ -36,14 +36,14 @@
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
         Ok(Self {
-            directory: option::single(matches, "DIR")?.into(),
+            directory: option::single_argument(matches, "DIR")?.into(),
             prune: matches.opt_present("prune"),
         })
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
         let directory = check::load_checked(&self.directory)?;
-        let mut operator = Operator::new(common)?;
+        let mut operator = OperatorClient::new(common)?;
         let records = operator.records().await?;
         let plan = crate::plan::plan(&records, &directory, self.prune)?;
         let mut revision = records.revision;
@@ -62,16 +62,16 @@
     }
 }
 
-/// The change that a plan comes to, against the revisions that it was made from.
+/// Converts a plan into a change based on the revisions that the plan was computed from.
 fn change(records: &Records, plan: &Plan, wanted: &[Document]) -> Change {
-    let seen: Map<String, Revision> = records
+    let revisions: Map<String, Revision> = records
         .records
         .iter()
         .map(|stored| (stored.document.key(), stored.revision))
         .collect();
-    let mut change = Change::draw();
+    let mut change = Change::with_random_token();
     for pending in plan.pending() {
-        let base = seen.get(&pending.key).copied();
+        let base = revisions.get(&pending.key).copied();
         change.base.insert(pending.key.clone(), base);
         if pending.action == Action::Delete {
             change.delete.push(pending.key.clone());
--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -67,7 +67,7 @@
     }
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        let text = option::single(matches, "SCENARIO")?;
+        let text = option::single_argument(matches, "SCENARIO")?;
         let scenario = text
             .parse()
             .map_err(|error| Error::usage(format!("SCENARIO `{text}`: {error}")))?;
@@ -94,7 +94,7 @@
     async fn run(self, _common: &Common) -> Result<(), Error> {
         tokio::select! {
             result = self.arms() => result,
-            () = signal::stop() => Err(Error::Failed {
+            () = signal::wait_for_stop() => Err(Error::Failed {
                 reason: "interrupted by a signal".to_owned(),
             }),
         }
--- a/crates/ctl/src/load/caller.rs
+++ b/crates/ctl/src/load/caller.rs
@@ -214,7 +214,7 @@
 fn problem(body: &[u8]) -> RequestOutcome {
     let problem: Problem = serde_json::from_slice(body).unwrap_or_default();
     match problem.outcome {
-        Some(Outcome::NotRun) => RequestOutcome::NotRun(problem.wait()),
+        Some(Outcome::NotRun) => RequestOutcome::NotRun(problem.retry_delay()),
         Some(Outcome::Unknown) => RequestOutcome::Unknown,
         Some(Outcome::Failed) => RequestOutcome::Failed,
         None => RequestOutcome::Lost,
--- a/crates/ctl/src/rig/bench.rs
+++ b/crates/ctl/src/rig/bench.rs
@@ -56,7 +56,7 @@
     /// [`Error::Failed`] if something cannot be started.
     pub async fn new(directory: PathBuf, programs: PathBuf) -> Result<Self, Error> {
         Ok(Self {
-            fleet: Fleet::of(directory, programs)?,
+            fleet: Fleet::with_programs(directory, programs)?,
             table: serve(Kind::Table, any_port(), Options::default()).await?,
             objects: serve(Kind::Object, any_port(), Options::default()).await?,
             vms: serve(Kind::Vm, any_port(), Options::default()).await?,
@@ -232,7 +232,7 @@
     pub async fn wait_for_exit(&mut self, id: &str) -> Result<bool, Error> {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            if let Some(status) = self.fleet.ended(id)? {
+            if let Some(status) = self.fleet.try_wait(id)? {
                 return Ok(status.success());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -249,7 +249,7 @@
         if !self.fleet.has(id) {
             return Ok(false);
         }
-        match self.fleet.ended(id)? {
+        match self.fleet.try_wait(id)? {
             None => Ok(true),
             Some(status) if status.success() => Ok(false),
             Some(status) => Err(failed(format!("{id} exited with {status}"))),
--- a/crates/ctl/src/rig/caller.rs
+++ b/crates/ctl/src/rig/caller.rs
@@ -2,7 +2,7 @@
 //! and retries where that is allowed.
 
 use crate::Error;
-use crate::client::{Answer, Client, collect};
+use crate::client::{Client, FullResponse, collect};
 use crate::error::{Outcome, Problem};
 use crate::rig::record;
 use crate::rig::stream::{Stream, is_stream, token};
@@ -159,7 +159,7 @@
         }
     }
 
-    pub(crate) fn check_answer(&self, answer: &Answer) -> ResponseOutcome {
+    pub(crate) fn check_answer(&self, answer: &FullResponse) -> ResponseOutcome {
         if !answer.status.is_success() {
             return ResponseOutcome::Problem(answer.problem());
         }
@@ -362,7 +362,10 @@
 
     fn retry_delay(&self) -> Duration {
         match self {
-            Self::Problem(problem) => problem.wait().unwrap_or(RETRY_DELAY).min(MAX_RETRY_DELAY),
+            Self::Problem(problem) => problem
+                .retry_delay()
+                .unwrap_or(RETRY_DELAY)
+                .min(MAX_RETRY_DELAY),
             _ => RETRY_DELAY,
         }
     }
--- a/crates/ctl/src/standin.rs
+++ b/crates/ctl/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: a small stand-in of the platform or of a runner, as its own process.
+//! `standin`: runs a stand-in for a platform service or a runner as a separate process.
 
 use crate::command::{Command, Help};
 use crate::{Common, Error, option, output, signal};
@@ -7,7 +7,7 @@
 use standin::{Kind, Server};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Serves a stand-in until it is told to stop.
+/// Runs a stand-in until SIGTERM or SIGINT arrives.
 #[derive(Debug)]
 pub struct Standin {
     kind: Kind,
@@ -35,11 +35,11 @@
     }
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        let free = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let options = matches.opt_str("options").unwrap_or("{}".to_owned());
         Ok(Self {
             kind: kind(matches)?,
-            listen: option::parse(matches, "listen")?.unwrap_or(free),
+            listen: option::parse(matches, "listen")?.unwrap_or(any_port),
             options: serde_json::from_str(&options)
                 .map_err(|error| Error::usage(format!("--options: {error}")))?,
         })
@@ -61,14 +61,14 @@
             listen: server.address(),
         };
         output::json(&ready)?;
-        signal::stop().await;
+        signal::wait_for_stop().await;
         server.stop().await;
         Ok(())
     }
 }
 
 fn kind(matches: &Matches) -> Result<Kind, Error> {
-    let text = option::single(matches, "KIND")?;
+    let text = option::single_argument(matches, "KIND")?;
     text.parse()
         .map_err(|error| Error::usage(format!("KIND `{text}`: {error}")))
 }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,12 +1,12 @@
-//! `status`: what an entry knows.
+//! `status`: prints the state of an entry.
 
 use crate::command::{Command, Help};
-use crate::{Common, Error, Operator, option, output};
+use crate::{Common, Error, OperatorClient, option, output};
 use getopts::Matches;
 use record::Revision;
 use serde::{Deserialize, Serialize};
 
-/// Prints what an entry knows.
+/// Prints the revision, readiness and targets of an entry.
 #[derive(Debug)]
 pub struct Status;
 
@@ -38,11 +38,11 @@
     };
 
     fn parse(matches: &Matches) -> Result<Self, Error> {
-        option::none(matches).map(|()| Self)
+        option::no_arguments(matches).map(|()| Self)
     }
 
     async fn run(self, common: &Common) -> Result<(), Error> {
-        let entry: Entry = Operator::new(common)?.read("/v1/status").await?;
+        let entry: Entry = OperatorClient::new(common)?.read("/v1/status").await?;
         output::print(common.format, show(&entry), &entry)
     }
 }
--- a/crates/ctl/src/torture/operators.rs
+++ b/crates/ctl/src/torture/operators.rs
@@ -1,6 +1,6 @@
 //! Operators that change a few records concurrently, and a monitor of the changes in force.
 
-use crate::client::Answer;
+use crate::client::FullResponse;
 use crate::error::Outcome;
 use crate::rig::bench::OPERATORS;
 use crate::rig::probe::{apply, get};
@@ -151,11 +151,11 @@
 
 /// Whether the response settles a change that was sent once. After a retry, *not run* is not final:
 /// an earlier attempt may have been applied.
-fn is_final(answer: &Answer) -> bool {
+fn is_final(answer: &FullResponse) -> bool {
     answer.problem().outcome != Some(Outcome::Unknown)
 }
 
-fn record_accepted(audit_log: &AuditLog, change: &Value, answer: &Answer) {
+fn record_accepted(audit_log: &AuditLog, change: &Value, answer: &FullResponse) {
     let body: Value = answer.json().unwrap_or_default();
     audit_log.lock().push(AcceptedChange {
         revision: body["revision"].as_u64().unwrap_or_default(),
--- a/crates/ctl/src/torture/relays/cluster.rs
+++ b/crates/ctl/src/torture/relays/cluster.rs
@@ -126,7 +126,7 @@
         state: &SoakState,
     ) -> Result<Self, Error> {
         let mut cluster = Self {
-            fleet: Fleet::of(logs, programs)?,
+            fleet: Fleet::with_programs(logs, programs)?,
             store: Store::start().await.map_err(|error| io_error(&error))?,
             relays: Vec::new(),
             targets: Vec::new(),
--- a/crates/ctl/tests/tls_peers.rs
+++ b/crates/ctl/tests/tls_peers.rs
@@ -1,4 +1,4 @@
-//! Entries that serve over TLS ask one another over TLS.
+//! Entries that serve over TLS also call one another over TLS.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -26,8 +26,8 @@
     setting::Entry {
         id: id.to_owned(),
         place: place(),
-        listen: listing::free(),
-        metrics: listing::free(),
+        listen: listing::any_port(),
+        metrics: listing::any_port(),
         platform: platform.clone(),
         key: "shared".to_owned(),
         operators: vec![Operator {
@@ -46,14 +46,14 @@
 }
 
 fn certificate(directory: &Path) -> Tls {
-    let made = rcgen::generate_simple_self_signed(["127.0.0.1".to_owned()]).unwrap();
+    let generated = rcgen::generate_simple_self_signed(["127.0.0.1".to_owned()]).unwrap();
     let tls = Tls {
         certificate: directory.join("entry.pem"),
         key: directory.join("entry.key"),
         ca: None,
     };
-    std::fs::write(&tls.certificate, made.cert.pem()).unwrap();
-    std::fs::write(&tls.key, made.signing_key.serialize_pem()).unwrap();
+    std::fs::write(&tls.certificate, generated.cert.pem()).unwrap();
+    std::fs::write(&tls.key, generated.signing_key.serialize_pem()).unwrap();
     tls
 }
 
@@ -65,13 +65,14 @@
     answer.json().unwrap()
 }
 
-/// A caller sends a request to one entry and asks for it at another, as happens behind a balancer.
-/// If the entries could not speak to each other, it would be told that nobody knows the request.
+/// A caller sends a request to one entry and fetches its outcome from another, as happens behind a
+/// load balancer. If the entries could not call each other, the request would be reported as
+/// unknown.
 #[tokio::test]
 async fn asked_elsewhere() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("tls-peers");
     let programs = Path::new(env!("CARGO_BIN_EXE_linnetdrift")).parent();
-    let mut fleet = Fleet::of(&directory, programs.unwrap()).unwrap();
+    let mut fleet = Fleet::with_programs(&directory, programs.unwrap()).unwrap();
     let mut start = |name, kind| fleet.standin(name, kind, &Options::default()).unwrap();
     let platform = Platform {
         table: start("table", Kind::Table),
@@ -93,10 +94,10 @@
         };
         clients.push(Client::new(&common).unwrap());
     }
-    let nothing = json!(null);
+    let null_body = json!(null);
     for client in &clients {
         wait_until("the entry is ready", || async {
-            answer(client, Method::GET, "/v1/status", &nothing).await["ready"] == true
+            answer(client, Method::GET, "/v1/status", &null_body).await["ready"] == true
         })
         .await
         .unwrap();
@@ -108,13 +109,13 @@
     ]});
     let accepted = answer(&clients[0], Method::POST, "/v1/apply", &change).await;
     assert_eq!(accepted["revision"], 1);
-    // There is no target, so that the request ends at once as not run.
+    // There is no target, so the request fails immediately as not run.
     let path = "/v1/pipelines/read/versions/1/run";
     let told = answer(&clients[0], Method::POST, path, &json!({"text": "a"})).await;
     assert_eq!(told["outcome"], "not_run");
     let path = format!("/v1/requests/{}", told["request"].as_str().unwrap());
     wait_until("the other entry knows whom to ask", || async {
-        answer(&clients[1], Method::GET, &path, &nothing).await["outcome"] == "not_run"
+        answer(&clients[1], Method::GET, &path, &null_body).await["outcome"] == "not_run"
     })
     .await
     .unwrap();
