--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -25,7 +25,7 @@
 /// Media type of a streamed response.
 pub(crate) const EVENT_STREAM: HeaderValue = HeaderValue::from_static("text/event-stream");
 /// Maximum number of times that a request with an idempotency key is sent.
-const MAX_ATTEMPTS: u32 = 6;
+const ATTEMPT_LIMIT: u32 = 6;
 /// Delay between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Version alias that is used if the caller specifies no version.
@@ -136,7 +136,7 @@
                 Some(first) if !is_conclusive(&error) => first,
                 _ => error,
             };
-            if !has_key || attempt == MAX_ATTEMPTS || !matches!(error, Error::Lost { .. }) {
+            if !has_key || attempt == ATTEMPT_LIMIT || !matches!(error, Error::Lost { .. }) {
                 return Err(error);
             }
             unresolved = Some(error);
--- a/crates/ctl/src/operator.rs
+++ b/crates/ctl/src/operator.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Maximum number of times that a change is sent before its outcome is reported as unknown.
-const MAX_ATTEMPTS: u32 = 6;
+const ATTEMPT_LIMIT: u32 = 6;
 /// Delay between attempts if the entry gives none.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Upper limit of the delay that an entry may request.
@@ -125,7 +125,7 @@
         loop {
             let error = match self.read_once(path).await {
                 Ok(value) => return Ok(value),
-                Err(error @ Error::Refused { .. }) if attempt < MAX_ATTEMPTS => error,
+                Err(error @ Error::Refused { .. }) if attempt < ATTEMPT_LIMIT => error,
                 Err(error) => return Err(error),
             };
             let Some(retry_delay) = retry_delay(&error) else {
@@ -189,7 +189,7 @@
                 Ok(accepted) => return Ok(accepted),
                 Err(error) => error,
             };
-            let retry_delay = retry_delay(&error).filter(|_| attempt < MAX_ATTEMPTS);
+            let retry_delay = retry_delay(&error).filter(|_| attempt < ATTEMPT_LIMIT);
             let error = match unresolved.take() {
                 Some(first) if !is_conclusive(&error) => first,
                 _ => error,
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -24,7 +24,7 @@
 /// Event type that is printed for a complete answer that arrived instead of the rest of a stream.
 const FULL_ANSWER_EVENT: &str = "whole";
 /// Maximum number of consecutive attempts to resume a stream without receiving an event.
-const MAX_ATTEMPTS: u32 = 5;
+const ATTEMPT_LIMIT: u32 = 5;
 /// Delay between these attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -53,7 +53,7 @@
     let mut result = printer.print_events(response).await;
     let mut attempts = 0;
     while let (Err(Error::Lost { .. }), Some(request)) = (&result, &request) {
-        if attempts == MAX_ATTEMPTS {
+        if attempts == ATTEMPT_LIMIT {
             break;
         }
         attempts += 1;
--- a/crates/ctl/src/torture/operators.rs
+++ b/crates/ctl/src/torture/operators.rs
@@ -28,7 +28,7 @@
 /// Pause between two checks of the monitor.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Most attempts to apply a change with the same token while its outcome is unknown.
-const MAX_ATTEMPTS: usize = 200;
+const ATTEMPT_LIMIT: usize = 200;
 /// Changes that are read per request.
 const PAGE_SIZE: u64 = 100;
 
@@ -132,7 +132,7 @@
 
 /// Applies a change with the same token until its outcome is known.
 async fn apply_until_final(state: &SoakState, audit_log: &AuditLog, side: usize, change: Value) {
-    for attempt in 0..MAX_ATTEMPTS {
+    for attempt in 0..ATTEMPT_LIMIT {
         let entries = state.entries();
         let Some(entry) = entries.get((side + attempt) % entries.len().max(1)) else {
             return;
