--- a/crates/agent/src/history.rs
+++ b/crates/agent/src/history.rs
@@ -80,8 +80,8 @@
 
     /// Records that the call must never start from now on.
     ///
-    /// An entry that was told so may report *not run* to its caller. Starting the call for an offer
-    /// that is still in transit on an older link would make that report false.
+    /// An entry that was notified of this may report *not run* to its caller. Starting the call for
+    /// an offer that is still in transit on an older link would make that report false.
     pub(crate) fn forbid(&mut self, call: CallId, reason: Refusal) {
         if self.forbidden.contains_key(&call) {
             return;
--- a/crates/agent/tests/start_grant.rs
+++ b/crates/agent/tests/start_grant.rs
@@ -60,7 +60,7 @@
 }
 
 /// The entry revokes a call while the agent waits for the grant, and the grant is already in
-/// transit. The caller is told *not run*, so the late grant must have no effect.
+/// transit. *Not run* is reported to the caller, so the late grant must have no effect.
 #[tokio::test]
 async fn revoked_before_grant() {
     let (runner, _agent, (sender, mut receiver)) = start_agent().await;
--- a/crates/ctl/src/torture/relays/verdict.rs
+++ b/crates/ctl/src/torture/relays/verdict.rs
@@ -381,13 +381,14 @@
     /// passed on.
     fn check_rate_limits(&mut self, records: &[RequestRecord], runs: &[Run], state: &SoakState) {
         let by_id = by_id(records);
-        let mut told: HashMap<(&str, SocketAddr), Micros, RandomState> = HashMap::default();
+        let mut first_reports: HashMap<(&str, SocketAddr), Micros, RandomState> =
+            HashMap::default();
         let limited = || runs.iter().filter(|run| run.limit.is_some());
         for run in limited() {
             if let Some(record) = by_id.get(run.id.as_str())
                 && matches!(record.outcome, ResponseOutcome::Whole { proven: true, .. })
             {
-                let first = told
+                let first = first_reports
                     .entry((run.runner.as_str(), record.entry))
                     .or_insert(record.done);
                 *first = record.done.min(*first);
@@ -398,14 +399,14 @@
             let Some(record) = by_id.get(run.id.as_str()) else {
                 continue;
             };
-            let reported_at = told.get(&(run.runner.as_str(), record.entry));
+            let reported_at = first_reports.get(&(run.runner.as_str(), record.entry));
             let undisturbed = !state.had_fault_at(
                 record.entry,
                 run.started - LIMIT_WINDOW - SETTLE_TIME,
                 run.started,
             );
             if undisturbed
-                && reported_at.is_some_and(|told| told + LIMIT_REPORT_DELAY < run.started)
+                && reported_at.is_some_and(|reported| reported + LIMIT_REPORT_DELAY < run.started)
             {
                 arrivals.entry(&run.runner).or_default().push(run.started);
             }
--- a/crates/ctl/src/torture/tally.rs
+++ b/crates/ctl/src/torture/tally.rs
@@ -43,7 +43,7 @@
     pub crossed: u64,
     /// Responses that claim to be complete but are truncated.
     pub truncated: u64,
-    /// Requests that ran although the callers were told that they did not.
+    /// Requests that ran although they were reported to their callers as not run.
     pub not_run_ran: u64,
     /// Calls that started at a target more than three seconds after it began to leave.
     pub new_work_at_leaving: u64,
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -58,34 +58,34 @@
 pub(crate) async fn check_outcome(
     bench: &Bench,
     service: &str,
-    ask: &ClientRequest,
-    word: &RequestRecord,
+    request: &ClientRequest,
+    record: &RequestRecord,
 ) {
-    let runs = bench.runs(service, &ask.input()).await;
-    let is_consistent = match word.last() {
+    let runs = bench.runs(service, &request.input()).await;
+    let is_consistent = match record.last() {
         Some(ResponseOutcome::Whole { .. }) => runs == 1,
-        Some(told) if told.outcome() == Some(Outcome::NotRun) => runs == 0,
-        Some(told) if told.outcome() == Some(Outcome::Unknown) => runs <= 1,
+        Some(response) if response.outcome() == Some(Outcome::NotRun) => runs == 0,
+        Some(response) if response.outcome() == Some(Outcome::Unknown) => runs <= 1,
         _ => false,
     };
     assert!(
         is_consistent,
-        "{}: ran {runs} times, told {word:?}",
-        ask.text
+        "{}: ran {runs} times, told {record:?}",
+        request.text
     );
 }
 
 /// Starts callers that retry until they get a final outcome.
 pub(crate) fn spawn(
-    asks: impl IntoIterator<Item = ClientRequest>,
+    requests: impl IntoIterator<Item = ClientRequest>,
     entries: &[std::net::SocketAddr],
 ) -> Vec<tokio::task::JoinHandle<(ClientRequest, RequestRecord)>> {
-    let caller = |ask: ClientRequest| {
+    let caller = |request: ClientRequest| {
         let entries = entries.to_vec();
         tokio::spawn(async move {
-            let word = ask.send_until_final(&entries, CALLER_TIMEOUT).await;
-            (ask, word)
+            let record = request.send_until_final(&entries, CALLER_TIMEOUT).await;
+            (request, record)
         })
     };
-    asks.into_iter().map(caller).collect()
+    requests.into_iter().map(caller).collect()
 }
--- a/crates/ctl/tests/failure_answers.rs
+++ b/crates/ctl/tests/failure_answers.rs
@@ -46,13 +46,13 @@
 
 /// Injects a fault into the answers of one runner of a pair, and sends requests until that runner
 /// has executed one.
-async fn check_answers(bench: &Bench, entry: SocketAddr, kind: &str, ask: ClientRequest) {
+async fn check_answers(bench: &Bench, entry: SocketAddr, kind: &str, request: ClientRequest) {
     break_runner(bench, "one", json!({kind: true})).await;
     let broken = bench.get("one").unwrap();
     let before = broken.log().await.len();
     while broken.log().await.len() == before {
-        let word = ask.send_until_final(&[entry], CALLER_TIMEOUT).await;
-        assert!(word.last().unwrap().is_whole(), "{kind}: {word:?}");
+        let record = request.send_until_final(&[entry], CALLER_TIMEOUT).await;
+        assert!(record.last().unwrap().is_whole(), "{kind}: {record:?}");
     }
 }
 
@@ -77,12 +77,12 @@
         for id in ["one", "two"] {
             break_runner(&bench, id, json!({"late_ms": 400})).await;
         }
-        let mut ask = ClientRequest::new(READ, "late");
-        ask.deadline = Duration::from_millis(50);
-        let told = ask.once(entry).await;
+        let mut request = ClientRequest::new(READ, "late");
+        request.deadline = Duration::from_millis(50);
+        let response = request.once(entry).await;
         assert!(
-            matches!(told, ResponseOutcome::Whole { late: true, .. }),
-            "{told:?}"
+            matches!(response, ResponseOutcome::Whole { late: true, .. }),
+            "{response:?}"
         );
     });
 }
@@ -95,8 +95,8 @@
     run("broken-streams", async |mut bench| {
         let entry = start_pair(&mut bench, ASSISTANT, 2.0).await;
         for kind in ["cut", "truncate", "double", "cross"] {
-            let ask = ClientRequest::new(DRAFT, kind).streamed(20);
-            check_answers(&bench, entry, kind, ask).await;
+            let request = ClientRequest::new(DRAFT, kind).streamed(20);
+            check_answers(&bench, entry, kind, request).await;
         }
     });
 }
@@ -108,8 +108,8 @@
     run("engine-dies", async |mut bench| {
         let entry = start_pair(&mut bench, ASSISTANT, 10.0).await;
         drain_runner(&mut bench, entry, "two").await;
-        let ask = ClientRequest::new(DRAFT, "half way").streamed(60);
-        let mut stream = ask.open(entry).await.unwrap();
+        let request = ClientRequest::new(DRAFT, "half way").streamed(60);
+        let mut stream = request.open(entry).await.unwrap();
         stream.read(10).await.unwrap();
         undrain_runner(&mut bench, entry, "two").await;
         bench.crash_runner("one").await.unwrap();
@@ -126,8 +126,8 @@
     run("agent-dies", async |mut bench| {
         let entry = start_pair(&mut bench, ASSISTANT, 10.0).await;
         drain_runner(&mut bench, entry, "two").await;
-        let ask = ClientRequest::new(DRAFT, "half way").streamed(60);
-        let mut stream = ask.open(entry).await.unwrap();
+        let request = ClientRequest::new(DRAFT, "half way").streamed(60);
+        let mut stream = request.open(entry).await.unwrap();
         stream.read(10).await.unwrap();
         undrain_runner(&mut bench, entry, "two").await;
         bench.kill("one").await.unwrap();
@@ -142,8 +142,8 @@
     run("caller-returns", async |mut bench| {
         let other = bench.entry("entry-2").await.unwrap();
         let entry = start_pair(&mut bench, ASSISTANT, 10.0).await;
-        let ask = ClientRequest::new(DRAFT, "broken off").streamed(60);
-        let mut stream = ask.open(entry).await.unwrap();
+        let request = ClientRequest::new(DRAFT, "broken off").streamed(60);
+        let mut stream = request.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         stream.resume(other).await.unwrap();
         stream.read(20).await.unwrap();
@@ -161,8 +161,8 @@
         let entry = start_pair(&mut bench, ASSISTANT, 20.0).await;
         drain_runner(&mut bench, entry, "two").await;
         for mode in [Mode::Cut, Mode::Freeze] {
-            let ask = ClientRequest::new(DRAFT, format!("{mode:?}")).streamed(40);
-            let mut stream = ask.open(entry).await.unwrap();
+            let request = ClientRequest::new(DRAFT, format!("{mode:?}")).streamed(40);
+            let mut stream = request.open(entry).await.unwrap();
             stream.read(5).await.unwrap();
             bench.get("one").unwrap().proxy.as_ref().unwrap().set(mode);
             wait_for_target(entry, "one", "unlinked").await.unwrap();
@@ -173,8 +173,8 @@
                 .as_ref()
                 .unwrap()
                 .set(Mode::Pass);
-            let told = stream.finish().await;
-            assert!(told.is_whole(), "{mode:?}: {told:?}");
+            let response = stream.finish().await;
+            assert!(response.is_whole(), "{mode:?}: {response:?}");
             wait_for_target(entry, "one", "live").await.unwrap();
         }
     });
@@ -190,8 +190,8 @@
         bench.runner("printer", plan).await.unwrap();
         bench.ready().await.unwrap();
         for (runs, mode) in [(1, Mode::Cut), (2, Mode::Freeze)] {
-            let ask = ClientRequest::new(PRINT, format!("{mode:?}")).key(format!("{mode:?}"));
-            let callers = spawn([ask.clone()], &[entry]);
+            let request = ClientRequest::new(PRINT, format!("{mode:?}")).key(format!("{mode:?}"));
+            let callers = spawn([request.clone()], &[entry]);
             wait_for_runs(&bench, "label", runs).await;
             bench
                 .get("printer")
@@ -209,8 +209,8 @@
                 .unwrap()
                 .set(Mode::Pass);
             for caller in callers {
-                let (_, word) = caller.await.unwrap();
-                assert!(word.last().unwrap().is_whole(), "{mode:?}: {word:?}");
+                let (_, record) = caller.await.unwrap();
+                assert!(record.last().unwrap().is_whole(), "{mode:?}: {record:?}");
             }
             assert_eq!(bench.executions("label").await.len(), runs);
         }
@@ -240,17 +240,17 @@
             runner.proxy.as_ref().unwrap().set(delay);
         }
         break_runner(&bench, "retriever-1", json!({"cross": true})).await;
-        let asks = (0..10).map(|number| {
-            let ask = ClientRequest::new(CHECK, format!("loom {number}"));
+        let requests = (0..10).map(|number| {
+            let request = ClientRequest::new(CHECK, format!("loom {number}"));
             if number % 2 == 0 {
-                ask.streamed(8)
+                request.streamed(8)
             } else {
-                ask
+                request
             }
         });
-        for ask in asks {
-            let word = ask.send_until_final(&[entry], CALLER_TIMEOUT).await;
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
+        for request in requests {
+            let record = request.send_until_final(&[entry], CALLER_TIMEOUT).await;
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
         }
     });
 }
--- a/crates/ctl/tests/failure_durable.rs
+++ b/crates/ctl/tests/failure_durable.rs
@@ -80,11 +80,11 @@
 fn entry_killed() {
     run("durable-killed", async |mut bench| {
         let [first, second] = start(&mut bench, 300.0).await;
-        let (status, told) = submit(first).await;
+        let (status, response) = submit(first).await;
         assert_eq!(status, 202);
         wait_for_runs(&bench, REPORT, 1).await;
         bench.fleet.signal("entry-1", Signal::Kill).unwrap();
-        let text = wait_for_answer(second, &told["request"]).await;
+        let text = wait_for_answer(second, &response["request"]).await;
         assert_eq!(text, standin::answer::wrap(REPORT, TEXT));
     });
 }
@@ -95,12 +95,12 @@
 fn entry_frozen() {
     run("durable-frozen", async |mut bench| {
         let [first, second] = start(&mut bench, 300.0).await;
-        let (_, told) = submit(first).await;
+        let (_, response) = submit(first).await;
         wait_for_runs(&bench, REPORT, 1).await;
         bench.fleet.signal("entry-1", Signal::Stop).unwrap();
-        let text = wait_for_answer(second, &told["request"]).await;
+        let text = wait_for_answer(second, &response["request"]).await;
         bench.fleet.signal("entry-1", Signal::Continue).unwrap();
-        assert_eq!(wait_for_answer(first, &told["request"]).await, text);
+        assert_eq!(wait_for_answer(first, &response["request"]).await, text);
         wait_until_idle(&bench, REPORT).await;
         wait_until("the journal is empty", || async {
             journal_size(&bench).await == 0
@@ -119,8 +119,8 @@
         set_faults(bench.table.address(), &json!({"down": true}))
             .await
             .unwrap();
-        let (_, told) = submit(first).await;
-        let request = &told["request"];
+        let (_, response) = submit(first).await;
+        let request = &response["request"];
         wait_until("the refusal is reported", || async {
             fetch_outcome(first, request).await.as_deref() == Some("not_run")
         })
@@ -149,8 +149,8 @@
         set_faults(bench.table.address(), &json!({"lose_answers": 1}))
             .await
             .unwrap();
-        let (_, told) = submit(first).await;
-        let text = wait_for_answer(first, &told["request"]).await;
+        let (_, response) = submit(first).await;
+        let text = wait_for_answer(first, &response["request"]).await;
         assert_eq!(text, standin::answer::wrap(REPORT, TEXT));
         assert_eq!(bench.executions(REPORT).await.len(), 1);
     });
--- a/crates/ctl/tests/failure_once.rs
+++ b/crates/ctl/tests/failure_once.rs
@@ -58,14 +58,14 @@
         bench.kill("label-1").await.unwrap();
         bench.restart_agent("label-1").await.unwrap();
         for caller in waiting {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         for caller in caller {
-            let (ask, word) = caller.await.unwrap();
-            assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert_eq!(record.last().unwrap().outcome(), Some(Outcome::Unknown));
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         let again = printing.send_until_final(&[other], CALLER_TIMEOUT).await;
         assert_eq!(again.last().unwrap().outcome(), Some(Outcome::Unknown));
@@ -89,15 +89,15 @@
         let plan = Plan::new(LABEL, 1).time(20.0);
         bench.runner("label-2", plan).await.unwrap();
         for caller in waiting {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         bench.fleet.signal("label-1", Signal::Continue).unwrap();
         for caller in running {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         bench.wait_for_links().await.unwrap();
         wait_until_idle(&bench, LABEL).await;
@@ -112,14 +112,14 @@
 fn entry_killed() {
     run("entry-killed", async |mut bench| {
         let [first, second] = start(&mut bench, 700.0).await;
-        let ask = print_request("claimed");
-        let caller = spawn([ask.clone()], &[first, second]);
+        let request = print_request("claimed");
+        let caller = spawn([request.clone()], &[first, second]);
         wait_for_runs(&bench, LABEL, 1).await;
         bench.kill("entry-1").await.unwrap();
         for caller in caller {
-            let (ask, word) = caller.await.unwrap();
-            assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert_eq!(record.last().unwrap().outcome(), Some(Outcome::Unknown));
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         wait_until_idle(&bench, LABEL).await;
         assert_eq!(bench.executions(LABEL).await.len(), 1);
@@ -133,19 +133,19 @@
 fn entry_frozen() {
     run("entry-frozen", async |mut bench| {
         let [first, second] = start(&mut bench, 700.0).await;
-        let ask = print_request("claimed");
-        let caller = spawn([ask.clone()], &[first]);
+        let request = print_request("claimed");
+        let caller = spawn([request.clone()], &[first]);
         wait_for_runs(&bench, LABEL, 1).await;
         bench.fleet.signal("entry-1", Signal::Stop).unwrap();
-        let told = ask.once(second).await;
-        assert_eq!(told.outcome(), Some(Outcome::Unknown), "{told:?}");
+        let response = request.once(second).await;
+        assert_eq!(response.outcome(), Some(Outcome::Unknown), "{response:?}");
         bench.fleet.signal("entry-1", Signal::Continue).unwrap();
         for caller in caller {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
-        assert!(ask.once(second).await.is_whole());
+        assert!(request.once(second).await.is_whole());
         assert_eq!(bench.executions(LABEL).await.len(), 1);
     });
 }
@@ -156,11 +156,11 @@
 fn racing_callers() {
     run("racing-callers", async |mut bench| {
         let entries = start(&mut bench, 100.0).await;
-        let ask = print_request("raced");
-        let callers = (0..16).map(|number| ask.once(entries[number % 2]));
-        for told in join_all(callers).await {
+        let request = print_request("raced");
+        let callers = (0..16).map(|number| request.once(entries[number % 2]));
+        for response in join_all(callers).await {
             assert_eq!(
-                told,
+                response,
                 ResponseOutcome::Whole {
                     late: false,
                     serial: Some(1)
@@ -180,11 +180,11 @@
         let entries = start(&mut bench, 1.0).await;
         let faults = json!({"lose_answers": 0.5});
         set_faults(bench.table.address(), &faults).await.unwrap();
-        let asks = (0..24).map(|number| print_request(&format!("label-{number}")));
-        for caller in spawn(asks, &entries) {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+        let requests = (0..24).map(|number| print_request(&format!("label-{number}")));
+        for caller in spawn(requests, &entries) {
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
     });
 }
@@ -200,19 +200,21 @@
             ("down", json!({"down": true})),
             ("slow", json!({"slow_ms": 2500})),
         ] {
-            let ask = print_request(name);
+            let request = print_request(name);
             set_faults(bench.table.address(), &faults).await.unwrap();
-            let told = ask.once(first).await;
-            let ResponseOutcome::Problem(problem) = told else {
-                panic!("{told:?}")
+            let response = request.once(first).await;
+            let ResponseOutcome::Problem(problem) = response else {
+                panic!("{response:?}")
             };
             assert_eq!(problem.outcome, Some(Outcome::NotRun));
             assert!(problem.retry_after.is_some());
-            assert_eq!(bench.runs(LABEL, &ask.input()).await, 0);
+            assert_eq!(bench.runs(LABEL, &request.input()).await, 0);
             set_faults(bench.table.address(), &json!({})).await.unwrap();
-            let word = ask.send_until_final(&[second, first], CALLER_TIMEOUT).await;
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let record = request
+                .send_until_final(&[second, first], CALLER_TIMEOUT)
+                .await;
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
     });
 }
@@ -229,11 +231,11 @@
         let free = "127.0.0.1:0".parse().unwrap();
         bench.table = standin::start(Kind::Table, free, options).await.unwrap();
         let entries = start(&mut bench, 1.0).await;
-        let asks = (0..40).map(|number| print_request(&format!("label-{number}")));
-        for caller in spawn(asks, &entries) {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+        let requests = (0..40).map(|number| print_request(&format!("label-{number}")));
+        for caller in spawn(requests, &entries) {
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
     });
 }
--- a/crates/ctl/tests/failure_outage.rs
+++ b/crates/ctl/tests/failure_outage.rs
@@ -31,11 +31,11 @@
         }
         bench.fleet.signal("entry-1", Signal::Terminate).unwrap();
         for caller in callers {
-            let (_, word) = tokio::time::timeout(CALLER_TIMEOUT, caller)
+            let (_, record) = tokio::time::timeout(CALLER_TIMEOUT, caller)
                 .await
                 .unwrap()
                 .unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
         }
         let mut status = None;
         while status.is_none() {
--- a/crates/ctl/tests/failure_pairs.rs
+++ b/crates/ctl/tests/failure_pairs.rs
@@ -57,21 +57,21 @@
         bench.kill("printer").await.unwrap();
         bench.restart_agent("printer").await.unwrap();
         for caller in printing {
-            let (ask, word) = caller.await.unwrap();
-            assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert_eq!(record.last().unwrap().outcome(), Some(Outcome::Unknown));
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         for caller in waiting {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         set_faults(bench.table.address(), &json!({})).await.unwrap();
         for entry in [first, second] {
-            let word = print_request("waiting")
+            let record = print_request("waiting")
                 .send_until_final(&[entry], CALLER_TIMEOUT)
                 .await;
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
         }
         wait_until_idle(&bench, LABEL).await;
         assert_eq!(bench.executions(LABEL).await.len(), 2);
@@ -92,15 +92,15 @@
         bench.fleet.signal("printer", Signal::Stop).unwrap();
         bench.kill("entry-1").await.unwrap();
         for caller in waiting {
-            let (ask, word) = caller.await.unwrap();
-            assert_eq!(word.last().unwrap().outcome(), Some(Outcome::Unknown));
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert_eq!(record.last().unwrap().outcome(), Some(Outcome::Unknown));
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         bench.fleet.signal("printer", Signal::Continue).unwrap();
         for caller in printing {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
         let after = print_request("after")
             .send_until_final(&[second], CALLER_TIMEOUT)
@@ -119,8 +119,8 @@
         set_faults(bench.table.address(), &json!({"lose_answers": 0.4}))
             .await
             .unwrap();
-        let asks = (0..16).map(|number| print_request(&format!("label-{number}")));
-        let callers = spawn(asks, &entries);
+        let requests = (0..16).map(|number| print_request(&format!("label-{number}")));
+        let callers = spawn(requests, &entries);
         for runs in [2, 5, 8, 11] {
             wait_for_runs(&bench, LABEL, runs).await;
             let relay = bench.get("printer").unwrap().proxy.as_ref().unwrap();
@@ -131,9 +131,9 @@
             relay.set(Mode::Pass);
         }
         for caller in callers {
-            let (ask, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
-            check_outcome(&bench, LABEL, &ask, &word).await;
+            let (request, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
+            check_outcome(&bench, LABEL, &request, &record).await;
         }
     });
 }
@@ -148,14 +148,14 @@
         let plan = Plan::new(ASSISTANT, 8).time(10.0);
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = ClientRequest::new(DRAFT, "held up").streamed(60);
-        let mut stream = ask.open(entry).await.unwrap();
+        let request = ClientRequest::new(DRAFT, "held up").streamed(60);
+        let mut stream = request.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench.fleet.signal("one", Signal::Stop).unwrap();
         bench.fleet.signal("entry-1", Signal::Terminate).unwrap();
         bench.runner("two", plan).await.unwrap();
-        let told = stream.finish().await;
-        assert!(told.is_whole(), "{told:?}");
+        let response = stream.finish().await;
+        assert!(response.is_whole(), "{response:?}");
         assert!(bench.wait_for_exit("entry-1").await.unwrap());
         bench.fleet.signal("one", Signal::Continue).unwrap();
     });
@@ -170,8 +170,8 @@
         let plan = Plan::new(ASSISTANT, 8).time(10.0).behind_proxy();
         bench.runner("one", plan.clone()).await.unwrap();
         bench.ready().await.unwrap();
-        let ask = ClientRequest::new(DRAFT, "cut off").streamed(60);
-        let mut stream = ask.open(entry).await.unwrap();
+        let request = ClientRequest::new(DRAFT, "cut off").streamed(60);
+        let mut stream = request.open(entry).await.unwrap();
         stream.read(5).await.unwrap();
         bench
             .get("one")
@@ -182,8 +182,8 @@
             .set(Mode::Freeze);
         bench.fleet.signal("one", Signal::Terminate).unwrap();
         bench.runner("two", plan).await.unwrap();
-        let told = stream.finish().await;
-        assert!(told.is_whole(), "{told:?}");
+        let response = stream.finish().await;
+        assert!(response.is_whole(), "{response:?}");
         assert!(bench.wait_for_exit("one").await.unwrap());
     });
 }
@@ -195,8 +195,8 @@
 fn entry_and_objects() {
     run("entry-and-objects", async |mut bench| {
         let [first, second] = start(&mut bench, 10.0).await;
-        let ask = print_request("kept");
-        assert!(ask.once(first).await.is_whole());
+        let request = print_request("kept");
+        assert!(request.once(first).await.is_whole());
         let claim = "/v1/rows/claim?key=4:yard:kept";
         wait_until("the answer is stored", || async {
             let row: Value = get(bench.table.address(), claim).await.unwrap();
@@ -208,14 +208,14 @@
             .await
             .unwrap();
         bench.kill("entry-1").await.unwrap();
-        let told = ask.once(second).await;
-        assert_eq!(told.outcome(), Some(Outcome::Unknown), "{told:?}");
+        let response = request.once(second).await;
+        assert_eq!(response.outcome(), Some(Outcome::Unknown), "{response:?}");
         set_faults(bench.objects.address(), &json!({}))
             .await
             .unwrap();
-        let told = ask.once(second).await;
+        let response = request.once(second).await;
         assert_eq!(
-            told,
+            response,
             ResponseOutcome::Whole {
                 late: false,
                 serial: Some(1)
--- a/crates/ctl/tests/failure_stops.rs
+++ b/crates/ctl/tests/failure_stops.rs
@@ -30,8 +30,8 @@
 
 /// Starts a stream and reads its first tokens.
 async fn start_stream(entry: SocketAddr, name: &str) -> Stream {
-    let ask = ClientRequest::new(DRAFT, name).streamed(80);
-    let mut stream = ask.open(entry).await.unwrap();
+    let request = ClientRequest::new(DRAFT, name).streamed(80);
+    let mut stream = request.open(entry).await.unwrap();
     stream.read(3).await.unwrap();
     stream
 }
@@ -56,11 +56,11 @@
 async fn check_no_new_work(bench: &Bench, id: &str, entries: &[SocketAddr]) {
     let before = execution_count(bench, id).await;
     for number in 0..12 {
-        let ask = ClientRequest::new(DRAFT, format!("later-{number}")).streamed(2);
-        let word = ask
+        let request = ClientRequest::new(DRAFT, format!("later-{number}")).streamed(2);
+        let record = request
             .send_until_final(&entries[number % 2..], CALLER_TIMEOUT)
             .await;
-        assert!(word.last().unwrap().is_whole(), "{word:?}");
+        assert!(record.last().unwrap().is_whole(), "{record:?}");
     }
     assert_eq!(execution_count(bench, id).await, before);
 }
@@ -84,15 +84,15 @@
         })
         .await
         .unwrap();
-        let told = ClientRequest::new(DRAFT, "new").once(first).await;
-        let ResponseOutcome::Problem(problem) = told else {
-            panic!("{told:?}")
+        let response = ClientRequest::new(DRAFT, "new").once(first).await;
+        let ResponseOutcome::Problem(problem) = response else {
+            panic!("{response:?}")
         };
         assert_eq!(problem.outcome, Some(Outcome::NotRun));
         assert!(problem.retry_after.is_some());
         for stream in [direct, resumed, forwarded] {
-            let told = stream.finish().await;
-            assert!(told.is_whole(), "{told:?}");
+            let response = stream.finish().await;
+            assert!(response.is_whole(), "{response:?}");
         }
         assert!(bench.wait_for_exit("entry-1").await.unwrap());
         assert_eq!(bench.executions(ASSISTANT).await.len(), 3);
@@ -117,8 +117,8 @@
         }
         check_no_new_work(&bench, "one", &entries).await;
         for stream in streams {
-            let told = stream.finish().await;
-            assert!(told.is_whole(), "{told:?}");
+            let response = stream.finish().await;
+            assert!(response.is_whole(), "{response:?}");
         }
         assert!(bench.wait_for_exit("one").await.unwrap());
         assert_eq!(execution_count(&bench, "one").await, 2);
--- a/crates/ctl/tests/failure_waits.rs
+++ b/crates/ctl/tests/failure_waits.rs
@@ -27,8 +27,8 @@
     names: impl IntoIterator<Item = String>,
     entry: SocketAddr,
 ) -> Vec<JoinHandle<ResponseOutcome>> {
-    let ask = |name| tokio::spawn(async move { ClientRequest::new(READ, name).once(entry).await });
-    names.into_iter().map(ask).collect()
+    let send = |name| tokio::spawn(async move { ClientRequest::new(READ, name).once(entry).await });
+    names.into_iter().map(send).collect()
 }
 
 /// Starts one entry and one runner that accepts one call at a time.
@@ -54,13 +54,16 @@
         bench.unlist("reader").await.unwrap();
         bench.fleet.signal("reader", Signal::Terminate).unwrap();
         for call in waiting {
-            let told = call.await.unwrap();
-            assert_eq!(told.outcome(), Some(Outcome::NotRun), "{told:?}");
+            let response = call.await.unwrap();
+            assert_eq!(response.outcome(), Some(Outcome::NotRun), "{response:?}");
         }
         assert!(!running[0].is_finished());
         for call in running {
-            let told = call.await.unwrap();
-            assert!(matches!(told, ResponseOutcome::Whole { .. }), "{told:?}");
+            let response = call.await.unwrap();
+            assert!(
+                matches!(response, ResponseOutcome::Whole { .. }),
+                "{response:?}"
+            );
         }
         wait_until_idle(&bench, REPORT).await;
         assert_eq!(bench.executions(REPORT).await.len(), 1);
@@ -77,8 +80,8 @@
         bench.move_agent("reader").await.unwrap();
         let callers = spawn([ClientRequest::new(READ, "after")], &[entry]);
         for caller in callers {
-            let (_, word) = caller.await.unwrap();
-            assert!(word.last().unwrap().is_whole(), "{word:?}");
+            let (_, record) = caller.await.unwrap();
+            assert!(record.last().unwrap().is_whole(), "{record:?}");
         }
     });
 }
--- a/crates/ctl/tests/lost_answers.rs
+++ b/crates/ctl/tests/lost_answers.rs
@@ -52,8 +52,8 @@
 }
 
 /// The first response is lost and all later calls are refused as not run, because the store is
-/// unavailable. This holds for the later calls only: the first one may have been accepted, so the
-/// operator must not be told "not run".
+/// unavailable. This holds for the later calls only: the first one may have been accepted, so
+/// "not run" must not be reported to the operator.
 #[tokio::test]
 async fn outcome_stays_unknown() {
     let refused = answer("503 Service Unavailable", NOT_RUN);
--- a/crates/ctl/tests/tls_peers.rs
+++ b/crates/ctl/tests/tls_peers.rs
@@ -111,9 +111,9 @@
     assert_eq!(accepted["revision"], 1);
     // There is no target, so the request fails immediately as not run.
     let path = "/v1/pipelines/read/versions/1/run";
-    let told = answer(&clients[0], Method::POST, path, &json!({"text": "a"})).await;
-    assert_eq!(told["outcome"], "not_run");
-    let path = format!("/v1/requests/{}", told["request"].as_str().unwrap());
+    let response = answer(&clients[0], Method::POST, path, &json!({"text": "a"})).await;
+    assert_eq!(response["outcome"], "not_run");
+    let path = format!("/v1/requests/{}", response["request"].as_str().unwrap());
     wait_until("the other entry knows whom to ask", || async {
         answer(&clients[1], Method::GET, &path, &null_body).await["outcome"] == "not_run"
     })
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -25,7 +25,7 @@
 pub struct SettledClaim {
     claim: Claim,
     key: String,
-    /// Whether the request may run, or what its caller is told instead.
+    /// Whether the request may run, or what is returned to its caller instead.
     pub decision: Decision,
 }
 
@@ -76,7 +76,8 @@
     }
 
     /// Writes the final state of the row, retrying for as long as it takes. Otherwise, the key
-    /// would stay claimed by a request that has ended, and its next caller would be told *unknown*.
+    /// would stay claimed by a request that has ended, and *unknown* would be reported to its next
+    /// caller.
     pub async fn close(&self, mut settled: SettledClaim, event: Event) {
         let mut action = settled.claim.on(event);
         while !settled.claim.is_settled() {
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -174,7 +174,7 @@
 
 /// Refuses new requests, completes the running ones, then closes the connections.
 ///
-/// The listener stays open meanwhile: a caller that the load balancer still routes here is told
+/// The listener stays open meanwhile: a caller that the load balancer still routes here gets
 /// *not run* and retries elsewhere, instead of having its connection refused.
 async fn stop_gracefully<P: Platform>(
     core: &Arc<Core<P>>,
--- a/crates/entry/tests/journal_row.rs
+++ b/crates/entry/tests/journal_row.rs
@@ -29,8 +29,8 @@
 }
 
 /// An entry crashes while a runner executes its request, and the entry that takes the request over
-/// finds no target for it. The first entry may have run the request, so its caller must not be told
-/// that it did not run.
+/// finds no target for it. The first entry may have run the request, so it must not be
+/// reported to its caller as not run.
 #[test]
 fn taken_over_may_have_run() {
     let job = row().taken_over("entry-2/1").job(7, &set()).unwrap();
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -1,4 +1,4 @@
-//! The entry's view of one attempt: what has been granted, and what the client may be told.
+//! The entry's view of one attempt: what has been granted, and what may be reported to the client.
 //!
 //! An attempt at a call that may not be repeated is offered first and runs only after the entry has
 //! granted it. Before the grant, the entry may report *not run* at any time, because an agent that
@@ -158,7 +158,7 @@
     }
 
     /// A delayed request for a grant must still be denied: an agent that was suspended with the
-    /// offer would otherwise run work that the client was told had not run.
+    /// offer would otherwise run work that was reported to the client as not run.
     fn after_end(event: Event) -> Actions {
         match event {
             Event::Ask => [Some(Action::Deny), None],
--- a/crates/protocol/tests/counterexamples.rs
+++ b/crates/protocol/tests/counterexamples.rs
@@ -12,7 +12,7 @@
 
 /// An agent starts a call, crashes and restarts. The entry asks for the response, and the new
 /// process reports that it does not know the call. If the entry treated this as a refusal, the
-/// client would be told *not run* and would repeat the call.
+/// client would get *not run* and would repeat the call.
 #[test]
 fn restarted_agent_does_not_know_call() {
     let mut call = Call::offer(false, 0);
@@ -26,7 +26,7 @@
 }
 
 /// A first request did not run and its key is free again. A second request's claim gets no
-/// response, the table becomes unavailable, and the client is told *not run*. Once the table is
+/// response, the table becomes unavailable, and the client gets *not run*. Once the table is
 /// available again, the row still shows the first claim. If the second claim settled then, its write
 /// could still take effect, and the call could never run.
 #[test]
--- a/crates/protocol/tests/follower_member_search.rs
+++ b/crates/protocol/tests/follower_member_search.rs
@@ -265,9 +265,9 @@
 
     fn steps(&self) -> Vec<(Update, Self)> {
         let updates = (1..=MAX).flat_map(|incarnation| {
-            let heard = [true, false].map(|leaving| Update::FromVm(incarnation, leaving));
+            let from_vm = [true, false].map(|leaving| Update::FromVm(incarnation, leaving));
             let listed = [true, false].map(|leaving| Update::Listed(incarnation, leaving));
-            heard
+            from_vm
                 .into_iter()
                 .chain(listed)
                 .chain([Update::Unresponsive(incarnation)])
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -413,7 +413,7 @@
     answer
 }
 
-/// What the client is told when no more runners are tried.
+/// What is returned to the client when no more runners are tried.
 fn final_refusal<D: Downstream>(job: &Job<D>, progress: &Progress) -> Refusal {
     let remaining = job.remaining();
     if let (0, Some(quarantined)) = (progress.executions, &progress.quarantined) {
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -45,7 +45,7 @@
 /// fetch at the same time.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(60);
 
-/// Time for which results that are no longer needed are collected before their runners are told.
+/// Time for which results that are no longer needed are collected before their runners are notified.
 const RELEASE_DELAY: Duration = Duration::from_millis(25);
 
 /// Maximum number of runners in a cell. At 8 pieces and 0.37 s per call, eight runners process 175
@@ -284,7 +284,7 @@
     /// Drops results that are no longer needed, without waiting for the next call.
     ///
     /// If this process is killed, no other process knows which results are still stored at the
-    /// runners, and they occupy room until they expire. A runner that was told only with its next
+    /// runners, and they occupy room until they expire. A runner that was notified only with its next
     /// call would be filled mostly with such results.
     async fn release_pending(self: Arc<Self>, relay: Arc<Relay<D>>) {
         tokio::time::sleep(RELEASE_DELAY).await;
--- a/crates/relay/tests/allowed_regions.rs
+++ b/crates/relay/tests/allowed_regions.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Route and workspace have no allowed region in common, or none that has a runner. The client must be told
-/// so, and that the request has not run.
+/// Route and workspace have no allowed region in common, or none that has a runner. The client must be
+/// notified of this, and that the request has not run.
 #[tokio::test]
 async fn no_common_region() {
     for (route, workspace) in [(&["north"][..], &["south"][..]), (&["west"], &[])] {
--- a/crates/relay/tests/at_most_once.rs
+++ b/crates/relay/tests/at_most_once.rs
@@ -22,8 +22,8 @@
 }
 
 /// A response is lost after the runner may have printed a label. Another runner would print it
-/// again, so that two looms carry one serial number; the client is told that the request may have
-/// run.
+/// again, so that two looms carry one serial number; the client is notified that the request may
+/// have run.
 #[tokio::test(start_paused = true)]
 async fn answer_lost() {
     let (fake, (status, ..)) = serve("unsafe", [Behavior::Lose]).await;
@@ -63,7 +63,7 @@
     }
 }
 
-/// All runners refuse: the client is told that the request has not run, and when to retry.
+/// All runners refuse: the client is notified that the request has not run, and when to retry.
 #[tokio::test(start_paused = true)]
 async fn refused_by_all() {
     let fake = Fake::with_behaviors([
--- a/crates/relay/tests/forgotten_results.rs
+++ b/crates/relay/tests/forgotten_results.rs
@@ -50,8 +50,8 @@
 }
 
 /// A process is killed between two calls to a runner. Results that are no longer needed must have
-/// been dropped by then: if the runner were told only with the next call, they would occupy room
-/// for seconds after the kill.
+/// been dropped by then: if the runner were notified only with the next call, they would occupy
+/// room for seconds after the kill.
 #[tokio::test(start_paused = true)]
 async fn dropped_at_once() {
     let fake = Fake::default();
--- a/crates/relay/tests/poison_request.rs
+++ b/crates/relay/tests/poison_request.rs
@@ -319,11 +319,11 @@
 #[tokio::test(start_paused = true)]
 async fn row_deleted() {
     let relay = relay();
-    let told = [
+    let replies = [
         FeedReply::At(5, row(Some(json!({ "crashes": 3 })))),
         FeedReply::At(6, row(None)),
     ];
-    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(told)));
+    let following = tokio::spawn(member::follow(relay.clone(), ScriptedFeed::new(replies)));
     sleep(Duration::from_secs(4)).await;
     assert!(!is_quarantined(&relay).await);
     following.abort();
--- a/crates/relay/tests/stage_pieces.rs
+++ b/crates/relay/tests/stage_pieces.rs
@@ -168,7 +168,7 @@
 }
 
 /// Pieces that can no longer be processed in time are dropped from the queue, so that the client is
-/// told at once and no runner works on them.
+/// notified at once and no runner works on them.
 #[tokio::test(start_paused = true)]
 async fn too_late() {
     let fake = Fake::default();
@@ -352,7 +352,7 @@
     assert_eq!((text.matches("data").count(), whole), (2, true));
 }
 
-/// All runners of a stage are gone. The client is told at once; otherwise its pieces would wait
+/// All runners of a stage are gone. The client is notified at once; otherwise its pieces would wait
 /// until the client has no time left to retry.
 #[tokio::test(start_paused = true)]
 async fn no_runner() {
--- a/crates/store/tests/lost_writes.rs
+++ b/crates/store/tests/lost_writes.rs
@@ -31,7 +31,7 @@
 }
 
 // The claim of a label print was written and its answer lost. If the outcome were not resolved, the
-// caller would be told that the label may or may not be printed.
+// caller would be notified that the label may or may not be printed.
 #[tokio::test(start_paused = true)]
 async fn lost_answer() {
     let memory = Memory::default();
